--- a/internal/serve/follow/evacuation_test.go
+++ b/internal/serve/follow/evacuation_test.go
@@ -11,7 +11,7 @@
 )
 
 // evacuateMost is within what time an evacuation must be in force.
-const evacuateMost = time.Duration(DefaultBound)
+const evacuateMost = time.Duration(DefaultPropagationBound)
 
 // withTargets gives a store a configuration and targets x and y in zones of their own.
 func withTargets(s *fakeStore) {
--- a/internal/serve/follow/follow.go
+++ b/internal/serve/follow/follow.go
@@ -27,10 +27,10 @@
 // Source is the store that operators and targets write to. Each call gives the
 // revision up to which its answer goes.
 type Source interface {
-	// ReadOrders gives all that operators have ordered.
-	ReadOrders(ctx context.Context) (Orders, uint64, error)
-	// WatchOrders waits for changes after a revision.
-	WatchOrders(ctx context.Context, after uint64, wait time.Duration) (OrderChanges, uint64, error)
+	// ReadOperatorState gives all that operators have ordered.
+	ReadOperatorState(ctx context.Context) (OperatorState, uint64, error)
+	// WatchOperatorState waits for changes after a revision.
+	WatchOperatorState(ctx context.Context, after uint64, wait time.Duration) (OperatorStateChanges, uint64, error)
 	// ReadTargets gives a page of all entries, the first one for an empty cursor.
 	ReadTargets(ctx context.Context, cursor string) (TargetPage, error)
 	// WatchTargets waits for changes after a revision.
@@ -53,22 +53,22 @@
 	Next string
 }
 
-// Orders are all that operators have ordered.
-type Orders struct {
+// OperatorState are all that operators have ordered.
+type OperatorState struct {
 	// Plan is the newest configuration; nil while there is none.
 	Plan *plan.Plan
 	// Evacuations are those in force.
 	Evacuations []pool.Evacuation
 }
 
-// OrderChanges are what has changed of Orders.
-type OrderChanges struct {
+// OperatorStateChanges are what has changed of Orders.
+type OperatorStateChanges struct {
 	// Plan is nil where the configuration hasn't changed.
 	Plan        *plan.Plan
 	Evacuations []pool.EvacuationChange
 }
 
-func (c OrderChanges) empty() bool { return c.Plan == nil && len(c.Evacuations) == 0 }
+func (c OperatorStateChanges) empty() bool { return c.Plan == nil && len(c.Evacuations) == 0 }
 
 const (
 	// readTimeout bounds the reading of one page.
@@ -150,16 +150,16 @@
 	interrupt context.CancelFunc
 }
 
-// WatchAlone has this process follow the store itself whatever its peers do, for
+// AlwaysWatchStore has this process follow the store itself whatever its peers do, for
 // measurements. Call it after UsePeers.
-func (f *Follower) WatchAlone() {
+func (f *Follower) AlwaysWatchStore() {
 	f.alone = true
 	f.watcher = func() bool { return true }
 }
 
-// Seeds gives the peer addresses of the processes that others meet first. They read at once
+// SetSeeds gives the peer addresses of the processes that others meet first. They read at once
 // what they don't know; the others ask them first. Call before Run.
-func (f *Follower) Seeds(addresses func() []string) { f.seeds = addresses }
+func (f *Follower) SetSeeds(addresses func() []string) { f.seeds = addresses }
 
 // New makes a follower.
 func New(log *zap.Logger, source Source, plans *plan.Holder, table *pool.Table) *Follower {
@@ -170,7 +170,7 @@
 		lister: lister{readers: map[peer.Incarnation]time.Time{}},
 	}
 	f.served.Store(now.UnixNano())
-	f.SetBound(DefaultBound)
+	f.SetPropagationBound(DefaultPropagationBound)
 	f.lot = rand.Float64()
 	f.orderFeed = &feed{name: "orders", read: f.readOrders, watch: f.watchOrders, lacksSince: now}
 	f.targetFeed = &feed{
@@ -370,9 +370,9 @@
 	return heard.Sub(since) > f.within().servedLater() && !served.After(since)
 }
 
-// Failing tells for how long the store hasn't answered about operators' orders
+// FailingFor tells for how long the store hasn't answered about operators' orders
 // and about targets; 0 while it does.
-func (f *Follower) Failing() (orders, targets time.Duration) {
+func (f *Follower) FailingFor() (orders, targets time.Duration) {
 	return f.orderFeed.failing(), f.targetFeed.failing()
 }
 
@@ -388,7 +388,7 @@
 func (f *Follower) readOrders(ctx context.Context) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	orders, revision, err := f.source.ReadOrders(ctx)
+	orders, revision, err := f.source.ReadOperatorState(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -398,7 +398,7 @@
 }
 
 func (f *Follower) watchOrders(ctx context.Context, after uint64, hold time.Duration) (bool, uint64, error) {
-	changes, revision, err := f.source.WatchOrders(ctx, after, hold)
+	changes, revision, err := f.source.WatchOperatorState(ctx, after, hold)
 	if err != nil {
 		return false, after, err
 	}
--- a/internal/serve/follow/follow_test.go
+++ b/internal/serve/follow/follow_test.go
@@ -132,21 +132,21 @@
 	return nil
 }
 
-func (s *fakeStore) ReadOrders(ctx context.Context) (Orders, uint64, error) {
+func (s *fakeStore) ReadOperatorState(ctx context.Context) (OperatorState, uint64, error) {
 	if err := s.begin(ctx); err != nil {
-		return Orders{}, 0, err
+		return OperatorState{}, 0, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	orders := Orders{Plan: s.plan.copy()}
+	orders := OperatorState{Plan: s.plan.copy()}
 	for zone, revision := range s.evacuated {
 		orders.Evacuations = append(orders.Evacuations, pool.Evacuation{Zone: zone, Revision: revision})
 	}
 	return orders, s.revision, nil
 }
 
-func (s *fakeStore) WatchOrders(ctx context.Context, after uint64, hold time.Duration) (OrderChanges, uint64, error) {
-	var c OrderChanges
+func (s *fakeStore) WatchOperatorState(ctx context.Context, after uint64, hold time.Duration) (OperatorStateChanges, uint64, error) {
+	var c OperatorStateChanges
 	revision, err := s.hold(ctx, after, hold, func() bool {
 		if s.planAt > after {
 			c.Plan = s.plan.copy()
--- a/internal/serve/follow/list_test.go
+++ b/internal/serve/follow/list_test.go
@@ -17,7 +17,7 @@
 const slowLink = 10e6 / 8
 
 // linked makes processes that start together over slow links.
-func linked(ctx context.Context, n int, store *fakeStore, bound Bound) []*process {
+func linked(ctx context.Context, n int, store *fakeStore, bound PropagationBound) []*process {
 	network := &servetest.Cluster{Delay: time.Millisecond}
 	var all []*process
 	for i := range n {
@@ -25,7 +25,7 @@
 		node := network.Add(fmt.Sprintf("vm-%d", i), fmt.Sprintf("zone-%d", i%5))
 		node.Link(slowLink)
 		p.UsePeers(node)
-		p.SetBound(bound)
+		p.SetPropagationBound(bound)
 		all = append(all, p)
 	}
 	for _, p := range all {
@@ -59,7 +59,7 @@
 		const targets = 3000
 		store := longList(targets)
 		store.pageTime = 10 * time.Millisecond
-		bound := Bound(4 * time.Second)
+		bound := PropagationBound(4 * time.Second)
 		all := linked(ctx, 100, store, bound)
 		time.Sleep(bound.settling() + 500*time.Millisecond)
 		store.putPlan(2)
@@ -80,13 +80,13 @@
 		const targets, crashed = 3000, 900
 		store := longList(targets)
 		store.pageTime = 0
-		all := linked(ctx, 20, store, DefaultBound)
+		all := linked(ctx, 20, store, DefaultPropagationBound)
 		time.Sleep(5 * time.Second)
 		for i := range crashed {
 			store.dropTarget(fmt.Sprintf("t%04d", i))
 		}
 		before := store.read()
-		time.Sleep(time.Duration(DefaultBound))
+		time.Sleep(time.Duration(DefaultPropagationBound))
 		assert.Equal(t, knowing(all, 1, targets-crashed), len(all))
 		assert.Equal(t, store.read(), before)
 		for i, p := range all {
@@ -216,7 +216,7 @@
 		store := newFakeStore()
 		store.putPlan(1)
 		store.pageSize = 500
-		all := linked(ctx, 20, store, Bound(5*time.Second))
+		all := linked(ctx, 20, store, PropagationBound(5*time.Second))
 		time.Sleep(3 * time.Second)
 		for i := range targets {
 			store.putTarget(fmt.Sprintf("t%05d", i), pool.Ready)
--- a/internal/serve/follow/outage_cost_test.go
+++ b/internal/serve/follow/outage_cost_test.go
@@ -67,7 +67,7 @@
 	}
 	// On average one call in the time for which another watcher's word is trusted, and
 	// one of each feed to find out. Pauses are drawn, which averages out over the rounds.
-	each := float64(away)/float64(DefaultBound.trust()) + 2
+	each := float64(away)/float64(DefaultPropagationBound.trust()) + 2
 	assert.Assert(t, float64(calls) < 1.25*rounds*each, "%d calls in %d rounds", calls, rounds)
 }
 
@@ -91,7 +91,7 @@
 	sound.change(func() {})
 	calls := refusing.callsOf(func() { time.Sleep(away) })
 	both(func(s *fakeStore) { s.putPlan(2) })
-	time.Sleep(time.Duration(DefaultBound))
+	time.Sleep(time.Duration(DefaultPropagationBound))
 	for i, p := range all {
 		assert.Equal(t, p.plans.Version(), uint64(2), "process %d", i)
 	}
@@ -194,7 +194,7 @@
 		}
 		all := cluster(ctx, 12, stores...)
 		for _, p := range all {
-			p.SetBound(Bound(bound))
+			p.SetPropagationBound(PropagationBound(bound))
 		}
 		time.Sleep(10 * time.Second)
 		calls := cut.callsOf(func() { time.Sleep(time.Minute) })
@@ -220,7 +220,7 @@
 		store := longList(1000)
 		store.pageTime = 0
 		all := cluster(ctx, count, store)
-		time.Sleep(3 * DefaultBound.settling())
+		time.Sleep(3 * DefaultPropagationBound.settling())
 		for i, p := range all {
 			assert.Assert(t, p.informed(), "process %d", i)
 			assert.Equal(t, len(p.table.ReadySet("s").Targets), 1000, "process %d", i)
@@ -259,13 +259,13 @@
 		for i := range 9 {
 			p := newProcess(store)
 			p.UsePeers(network.Add(string(rune('a'+i)), "z"))
-			p.Seeds(func() []string { return []string{"a", "b", "c"} })
+			p.SetSeeds(func() []string { return []string{"a", "b", "c"} })
 			all = append(all, p)
 		}
 		for _, p := range all {
 			go p.Run(ctx)
 		}
-		time.Sleep(DefaultBound.settling() - 50*time.Millisecond)
+		time.Sleep(DefaultPropagationBound.settling() - 50*time.Millisecond)
 		for i, p := range all {
 			assert.Assert(t, p.informed(), "process %d", i)
 		}
@@ -282,9 +282,9 @@
 	inBubble(t, func(t *testing.T, ctx context.Context) {
 		store := newFakeStore()
 		all := cluster(ctx, 12, store)
-		time.Sleep(DefaultBound.settling())
+		time.Sleep(DefaultPropagationBound.settling())
 		store.putPlan(1)
-		time.Sleep(2 * DefaultBound.settling())
+		time.Sleep(2 * DefaultPropagationBound.settling())
 		for i, p := range all {
 			assert.Assert(t, p.informed(), "process %d", i)
 		}
--- a/internal/serve/follow/peers.go
+++ b/internal/serve/follow/peers.go
@@ -78,7 +78,7 @@
 
 // sound tells whether the store answers this process.
 func (f *Follower) sound() bool {
-	orders, targets := f.Failing()
+	orders, targets := f.FailingFor()
 	return orders == 0 && targets == 0 && f.informed()
 }
 
--- a/internal/serve/follow/silent_outage_test.go
+++ b/internal/serve/follow/silent_outage_test.go
@@ -30,7 +30,7 @@
 	store.putTarget("x", pool.Ready)
 	all := cluster(ctx, 12, store)
 	for _, p := range all {
-		p.SetBound(Bound(bound))
+		p.SetPropagationBound(PropagationBound(bound))
 	}
 	time.Sleep(10 * time.Second)
 	store.change(func() { store.silent = true })
--- a/internal/serve/gauges.go
+++ b/internal/serve/gauges.go
@@ -22,7 +22,7 @@
 	g.set("members", int64(1+len(s.network.View().Members)))
 	g.set("requests.in_flight", s.inFlight.Load())
 	g.set("targets.connections_opened", s.client.Dialed())
-	orders, targets := s.follower.Failing()
+	orders, targets := s.follower.FailingFor()
 	g.set("store.configuration_silent_ms", orders.Milliseconds())
 	g.set("store.targets_silent_ms", targets.Milliseconds())
 	stages := s.stages.Gatherer().Stats()
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -45,8 +45,8 @@
 	// Budget bounds the repeats of all processes together.
 	Budget quota.Rule
 	// ChangeBound is within what time changes in the store are in force; 0 is
-	// follow.DefaultBound.
-	ChangeBound follow.Bound
+	// follow.DefaultPropagationBound.
+	ChangeBound follow.PropagationBound
 	// Again means that another process may have run in this one's place.
 	Again bool
 	// LeaveOut switches mechanisms off, for measurements.
@@ -101,13 +101,13 @@
 	s.follower = follow.New(logging.Part(o.Log, "follow"), o.Source, s.plans, s.table)
 	s.follower.UsePeers(network)
 	if o.Peers.Seeds != nil {
-		s.follower.Seeds(func() []string { return s.seeds(o.Peers.Seeds) })
+		s.follower.SetSeeds(func() []string { return s.seeds(o.Peers.Seeds) })
 	}
 	if o.ChangeBound > 0 {
-		s.follower.SetBound(o.ChangeBound)
+		s.follower.SetPropagationBound(o.ChangeBound)
 	}
 	if o.LeaveOut.Has(leaveout.Watchers) {
-		s.follower.WatchAlone()
+		s.follower.AlwaysWatchStore()
 	}
 	if o.LeaveOut.Has(leaveout.LeavingAlone) {
 		s.table.KeepTrying()
@@ -197,7 +197,7 @@
 func (s *Server) BoundRetries(rule quota.Rule) { s.budget.SetRule(rule, time.Now()) }
 
 // BoundChanges puts another bound on the time until changes are in force.
-func (s *Server) BoundChanges(b follow.Bound) { s.follower.SetBound(b) }
+func (s *Server) BoundChanges(b follow.PropagationBound) { s.follower.SetPropagationBound(b) }
 
 // Run answers one request; see run.Executor.
 func (s *Server) Run(ctx context.Context, r *run.Request) *run.Reply { return s.executor.Run(ctx, r) }
