--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -20,10 +20,10 @@
 
 // Errors of a Node; test with errors.Is.
 var (
-	ErrUnknownMember = eris.New("peer: no such member, or it is dead")
-	ErrClosed        = eris.New("peer: this node is closed")
-	ErrOldVersion    = eris.New("peer: the version doesn't grow")
-	ErrTooBig        = eris.New("peer: the item is too big")
+	ErrUnknownMember   = eris.New("peer: no such member, or it is dead")
+	ErrClosed          = eris.New("peer: this node is closed")
+	ErrVersionNotNewer = eris.New("peer: the version doesn't grow")
+	ErrItemTooLarge    = eris.New("peer: the item is too big")
 )
 
 type handler = func(ctx context.Context, params json.RawMessage) (any, error)
@@ -90,7 +90,7 @@
 		inbox:    newInbox(),
 		handlers: map[string]handler{},
 		greeting: make(chan struct{}, maxGreetings),
-		store:    newStore(opts.Tombstone),
+		store:    newStore(opts.TombstoneTTL),
 		links:    map[string]*link{},
 		dialing:  map[string]bool{},
 		keys:     keyBytes(opts.Keys),
@@ -122,7 +122,7 @@
 		Caller: self.CallerAddress,
 		Zone:   self.Zone,
 		Region: self.Region,
-		Power:  self.Power,
+		Power:  self.CPUPercent,
 	}
 }
 
@@ -264,7 +264,7 @@
 		Zone:          r.Zone,
 		Region:        r.Region,
 		State:         memberStates[r.State],
-		Power:         r.Power,
+		CPUPercent:    r.Power,
 	}
 }
 
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -50,7 +50,7 @@
 	waitAgreed(t, nodes)
 	assert.NilError(t, nodes[1].Publish(TopicStop, "k", 1, time.Minute, "first"))
 	assert.NilError(t, nodes[1].Publish(TopicStop, "k", 2, time.Minute, "second"))
-	assert.ErrorIs(t, nodes[1].Publish(TopicStop, "k", 2, time.Minute, "third"), ErrOldVersion)
+	assert.ErrorIs(t, nodes[1].Publish(TopicStop, "k", 2, time.Minute, "third"), ErrVersionNotNewer)
 	late := c.start(opts)
 	for _, n := range append(nodes, late) {
 		wait(t, func() poll.Result {
--- a/internal/peer/pace.go
+++ b/internal/peer/pace.go
@@ -8,8 +8,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// DefaultPace is the bytes a second that paced topics may cost each process.
-const DefaultPace = 2000
+// DefaultPacedBytesPerSecond is the bytes a second that paced topics may cost each process.
+const DefaultPacedBytesPerSecond = 2000
 
 // pacedTopics are those that every process publishes all the time, so that
 // their cost for each process grows with the number of processes. They are
@@ -40,7 +40,7 @@
 		return eris.Wrap(err, "encode item")
 	}
 	if len(data) > MaxItemBytes {
-		return ErrTooBig
+		return ErrItemTooLarge
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -55,7 +55,7 @@
 func (n *Node) publish(item Item) error {
 	fresh := n.store.put(item, time.Now())
 	if fresh == nil {
-		return ErrOldVersion
+		return ErrVersionNotNewer
 	}
 	n.push(fresh, nil)
 	return nil
@@ -74,7 +74,7 @@
 		state.sent = now.Add(-time.Duration(rand.Float64() * float64(n.paceOf(item))))
 	}
 	if held, found := n.store.version(item.Topic, name.hash); found && held >= item.Version {
-		return ErrOldVersion
+		return ErrVersionNotNewer
 	}
 	interval := n.paceOf(item)
 	item.TTL = max(item.TTL, pacedLifetimes*interval)
@@ -89,7 +89,7 @@
 func (n *Node) paceOf(item Item) time.Duration {
 	processes := n.plan.members + 1
 	keys := max(1, len(n.pacing))
-	return paceInterval(processes, keys*toWire(item).size(), n.opts.Pace)
+	return paceInterval(processes, keys*toWire(item).size(), n.opts.PacedBytesPerSecond)
 }
 
 // publishPaced spreads the paced items that are due. The caller holds mu.
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -50,10 +50,10 @@
 	return alive
 }
 
-// First lists the n processes that are alive and rank highest, best first; fewer where
+// HighestRanked lists the n processes that are alive and rank highest, best first; fewer where
 // there are fewer. All processes that know the same members and rank alike choose the
 // same.
-func (v *View) First(n int, rank func(Incarnation) uint64) []Incarnation {
+func (v *View) HighestRanked(n int, rank func(Incarnation) uint64) []Incarnation {
 	type ranked struct {
 		id   Incarnation
 		rank uint64
--- a/internal/serve/engines/tracker.go
+++ b/internal/serve/engines/tracker.go
@@ -211,7 +211,7 @@
 // candidates are the processes that may be trackers.
 func candidates(v *peer.View) []candidate {
 	var list []candidate
-	for _, id := range peer.Strongest(v.Alive()) {
+	for _, id := range peer.SelectByCPU(v.Alive()) {
 		list = append(list, candidate{id: id, hash: member.Hash(string(id))})
 	}
 	return list
--- a/internal/serve/follow/watchers.go
+++ b/internal/serve/follow/watchers.go
@@ -48,7 +48,7 @@
 	alive := v.Alive()
 	wanted := max(leastWatchers, (len(alive)+perWatcher-1)/perWatcher)
 	strong := map[peer.Incarnation]bool{}
-	for _, id := range peer.Strongest(alive) {
+	for _, id := range peer.SelectByCPU(alive) {
 		strong[id] = true
 	}
 	rank := func(id peer.Incarnation) uint64 {
@@ -58,7 +58,7 @@
 		}
 		return hash
 	}
-	w := watchers{all: v.First(wanted, rank), rank: notChosen, strong: strong[v.Self.Incarnation]}
+	w := watchers{all: v.HighestRanked(wanted, rank), rank: notChosen, strong: strong[v.Self.Incarnation]}
 	zones := zonesOf(alive)
 	for i, id := range w.all {
 		if id == v.Self.Incarnation {
--- a/internal/serve/gather/owners.go
+++ b/internal/serve/gather/owners.go
@@ -119,7 +119,7 @@
 	if !l.leaving || len(able) == 0 {
 		able = append(able, l.view.Self)
 	}
-	list := peer.Strongest(able)
+	list := peer.SelectByCPU(able)
 	if r.leaveOut.Has(leaveout.StrongOnly) {
 		list = incarnations(able)
 	}
--- a/internal/serve/gather/queue_test.go
+++ b/internal/serve/gather/queue_test.go
@@ -350,11 +350,11 @@
 	of := func(powers ...int) []peer.Member {
 		var list []peer.Member
 		for i, power := range powers {
-			list = append(list, peer.Member{Incarnation: peer.Incarnation(rune('a' + i)), Power: power})
+			list = append(list, peer.Member{Incarnation: peer.Incarnation(rune('a' + i)), CPUPercent: power})
 		}
 		return list
 	}
-	assert.DeepEqual(t, peer.Strongest(of(80, 19, 40, 39)), []peer.Incarnation{"a", "c"})
-	assert.Equal(t, len(peer.Strongest(of(0, 0, 0))), 3, "where none tells, all do")
-	assert.Equal(t, len(peer.Strongest(of(19))), 1)
+	assert.DeepEqual(t, peer.SelectByCPU(of(80, 19, 40, 39)), []peer.Incarnation{"a", "c"})
+	assert.Equal(t, len(peer.SelectByCPU(of(0, 0, 0))), 3, "where none tells, all do")
+	assert.Equal(t, len(peer.SelectByCPU(of(19))), 1)
 }
