--- a/internal/serve/engines/curve.go
+++ b/internal/serve/engines/curve.go
@@ -14,14 +14,14 @@
 	Square float64 `json:"s"`
 }
 
-// Reading is how long reading alone takes, in seconds.
-func (c Curve) Reading(tokens int) float64 {
+// PrefillTime is how long reading alone takes, in seconds.
+func (c Curve) PrefillTime(tokens int) float64 {
 	x := float64(tokens) / thousand
 	return c.Linear*x + c.Square*x*x
 }
 
 // FirstEvent is how long an idle engine takes to the first event, in seconds.
-func (c Curve) FirstEvent(tokens int) float64 { return c.Base + c.Reading(tokens) }
+func (c Curve) FirstEvent(tokens int) float64 { return c.Base + c.PrefillTime(tokens) }
 
 // usual is reckoned with until answers have been seen.
 var usual = Curve{Base: 0.1, Linear: 0.01}
--- a/internal/serve/engines/play_test.go
+++ b/internal/serve/engines/play_test.go
@@ -35,7 +35,7 @@
 		}
 		now := time.Now()
 		wait := max(busy[engine].Sub(now), 0)
-		busy[engine] = now.Add(wait + time.Duration(truth.Reading(tokens)*float64(time.Second)))
+		busy[engine] = now.Add(wait + time.Duration(truth.PrefillTime(tokens)*float64(time.Second)))
 		list = append(list, wait)
 	}
 	return list
--- a/internal/serve/engines/tracker.go
+++ b/internal/serve/engines/tracker.go
@@ -63,10 +63,10 @@
 	Cold bool
 }
 
-// TrackedShare is the part of what a cold engine bears that its tracker hands out. The
+// TrackerRateShare is the part of what a cold engine bears that its tracker hands out. The
 // rest is for those whom the tracker doesn't answer, and for a second tracker while
 // members are seen differently.
-const TrackedShare = 0.6
+const TrackerRateShare = 0.6
 
 // claimCall is a Claim on the wire. Times are in ms.
 type claimCall struct {
@@ -122,9 +122,9 @@
 	return t
 }
 
-// Note keeps an answer of an engine that read no other prompt before, for the trackers
+// RecordSample keeps an answer of an engine that read no other prompt before, for the trackers
 // to learn from.
-func (t *Tracker) Note(service string, s Sample) {
+func (t *Tracker) RecordSample(service string, s Sample) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if list := t.samples[service]; len(list) < maxSamples {
@@ -230,10 +230,10 @@
 		f.add(s.Tokens, s.Seconds)
 	}
 	curve := f.curve()
-	if call.Cold > 0 && !t.account.spare(call.Engine, TrackedShare*call.Cold, now) {
+	if call.Cold > 0 && !t.account.spare(call.Engine, TrackerRateShare*call.Cold, now) {
 		return claimAnswer{Cold: true, Curve: curve}
 	}
-	reading := time.Duration(curve.Reading(call.Tokens) * float64(time.Second))
+	reading := time.Duration(curve.PrefillTime(call.Tokens) * float64(time.Second))
 	wait, taken := t.account.take(call.Engine, reading, time.Duration(call.Limit)*time.Millisecond, now)
 	if taken && call.Cold > 0 {
 		t.account.spend(call.Engine)
--- a/internal/serve/engines/tracker_test.go
+++ b/internal/serve/engines/tracker_test.go
@@ -88,7 +88,7 @@
 		truth := Curve{Base: 0.06, Linear: 0.008, Square: 0.00026}
 		for i := range 3000 {
 			tokens := 300 + i%50*1000
-			all[i%12].Note("s", Sample{Tokens: tokens, Seconds: truth.FirstEvent(tokens)})
+			all[i%12].RecordSample("s", Sample{Tokens: tokens, Seconds: truth.FirstEvent(tokens)})
 			all[i%12].Claim(context.Background(), Claim{Service: "s", Engine: fmt.Sprint("e", i%40), Limit: time.Hour})
 		}
 		for _, tracker := range all {
--- a/internal/serve/follow/fetch.go
+++ b/internal/serve/follow/fetch.go
@@ -59,7 +59,7 @@
 	}
 	age := time.Duration(a.AgeMS) * time.Millisecond
 	for i := range entries {
-		entries[i] = entries[i].Aged(age)
+		entries[i] = entries[i].WithElapsed(age)
 	}
 	if g.left == a.Of || a.AsOf < g.asOf {
 		g.asOf = a.AsOf
@@ -122,7 +122,7 @@
 	f.log.Info("List of targets came from peers.", zap.Int("parts", len(g.parts)), zap.Uint64("revision", g.asOf),
 		zap.Duration("took", now.Sub(g.begun)))
 	f.noteOutage(now)
-	f.table.Mirror(g.entries(), g.asOf, now)
+	f.table.ResetFromPeer(g.entries(), g.asOf, now)
 	f.targetFeed.learn(g.asOf)
 	*g = gathered{}
 	f.peers.drainHolders()
--- a/internal/serve/follow/follow.go
+++ b/internal/serve/follow/follow.go
@@ -174,7 +174,7 @@
 	f.lot = rand.Float64()
 	f.orderFeed = &feed{name: "orders", read: f.readOrders, watch: f.watchOrders, lacksSince: now}
 	f.targetFeed = &feed{
-		name: "targets", read: f.readTargets, watch: f.watchTargets, paused: true, back: table.ListBack, lacksSince: now,
+		name: "targets", read: f.readTargets, watch: f.watchTargets, paused: true, back: table.ListRecovered, lacksSince: now,
 	}
 	return f
 }
@@ -403,7 +403,7 @@
 		return false, after, err
 	}
 	f.apply(changes.Plan, "store")
-	f.table.ChangeEvacuations(changes.Evacuations, revision, time.Now())
+	f.table.ApplyEvacuations(changes.Evacuations, revision, time.Now())
 	return !changes.empty(), revision, nil
 }
 
--- a/internal/serve/follow/follow_test.go
+++ b/internal/serve/follow/follow_test.go
@@ -387,7 +387,7 @@
 			store.mu.Unlock()
 			time.Sleep(100 * time.Millisecond)
 			for _, p := range all {
-				n := all[0].newsSince(newsCall{Version: 1, Revision: p.table.Newest()})
+				n := all[0].newsSince(newsCall{Version: 1, Revision: p.table.LastChangeRevision()})
 				assert.Assert(t, n.Plan == nil && !n.Whole && n.Revision == 0, "%+v", n)
 			}
 		}
--- a/internal/serve/follow/list.go
+++ b/internal/serve/follow/list.go
@@ -64,7 +64,7 @@
 }
 
 func snapshotOf(entries []pool.Entry, asOf uint64, now time.Time) *snapshot {
-	count := pool.Divisions(len(entries), partEntries)
+	count := pool.PartitionCount(len(entries), partEntries)
 	s := &snapshot{asOf: asOf, at: now, parts: make([][]pool.Entry, count), packed: make([][]byte, count)}
 	for _, e := range entries {
 		part := member.Hash(e.ID) & uint64(count-1)
@@ -127,7 +127,7 @@
 
 // serve answers a question for a part.
 func (l *lister) serve(call partCall, table *pool.Table, now time.Time) (partAnswer, error) {
-	if !table.Known() {
+	if !table.Loaded() {
 		return partAnswer{Refused: true}, nil
 	}
 	l.mu.Lock()
@@ -135,7 +135,7 @@
 	if !l.admit(call.Reader, now) {
 		return partAnswer{Refused: true, Try: l.refer()}, nil
 	}
-	if l.snapshot == nil || now.Sub(l.snapshot.at) > snapshotAge && table.Newest() > l.snapshot.asOf {
+	if l.snapshot == nil || now.Sub(l.snapshot.at) > snapshotAge && table.LastChangeRevision() > l.snapshot.asOf {
 		entries, asOf := table.Entries(now)
 		l.snapshot = snapshotOf(entries, asOf, now)
 	}
--- a/internal/serve/follow/list_test.go
+++ b/internal/serve/follow/list_test.go
@@ -116,7 +116,7 @@
 		{Entry: pool.Entry{ID: "new", Service: "s", State: pool.Ready, Revision: 2002}},
 	}, 2002, now)
 	var g gathered
-	for number := range pool.Divisions(2000, partEntries) {
+	for number := range pool.PartitionCount(2000, partEntries) {
 		a, err := holders[number%2].lister.serve(partCall{Reader: "r", Part: number}, holders[number%2].table, now)
 		assert.NilError(t, err)
 		assert.NilError(t, g.add(number, a, now))
@@ -124,9 +124,9 @@
 	assert.Assert(t, g.whole())
 	assert.Equal(t, g.asOf, uint64(2000))
 	reader := newProcess(nil)
-	reader.table.Mirror(g.entries(), g.asOf, now)
-	assert.Equal(t, reader.table.Newest(), uint64(2000), "newer entries don't make the list newer")
-	changes, asOf, known := holders[1].table.Since(reader.table.Newest(), now)
+	reader.table.ResetFromPeer(g.entries(), g.asOf, now)
+	assert.Equal(t, reader.table.LastChangeRevision(), uint64(2000), "newer entries don't make the list newer")
+	changes, asOf, known := holders[1].table.ChangesSince(reader.table.LastChangeRevision(), now)
 	assert.Assert(t, known)
 	reader.table.Apply(changes, asOf, now)
 	assert.Assert(t, !reader.uses("t0"))
@@ -194,7 +194,7 @@
 			for b.Loop() {
 				bytes = 0
 				p.lister.snapshot = nil
-				for part := range pool.Divisions(targets, partEntries) {
+				for part := range pool.PartitionCount(targets, partEntries) {
 					a, err := p.lister.serve(partCall{Reader: "r", Part: part}, p.table, time.Now())
 					assert.NilError(b, err)
 					bytes += len(a.Entries)
--- a/internal/serve/follow/news.go
+++ b/internal/serve/follow/news.go
@@ -101,7 +101,7 @@
 		ServedMS:    now.Sub(time.Unix(0, f.served.Load())).Milliseconds(),
 		AgeMS:       age.Milliseconds(),
 		PlanUpTo:    f.orderFeed.revision.Load(),
-		TargetsUpTo: f.table.UpTo(),
+		TargetsUpTo: f.table.SyncedRevision(),
 	}
 	f.planNews(&n, call)
 	f.evacuationNews(&n, call)
@@ -132,7 +132,7 @@
 
 // targetNews adds what the caller lacks of the list of targets.
 func (f *Follower) targetNews(n *news, call newsCall, now time.Time) {
-	if !f.table.Known() {
+	if !f.table.Loaded() {
 		return
 	}
 	if call.NoList {
@@ -140,10 +140,10 @@
 		return
 	}
 	since := call.since()
-	if f.table.Newest() <= since {
+	if f.table.LastChangeRevision() <= since {
 		return
 	}
-	changes, asOf, known := f.table.Since(since, now)
+	changes, asOf, known := f.table.ChangesSince(since, now)
 	switch {
 	case !known || !call.Changes || len(changes) > mostChanges:
 		n.Whole, n.Many, n.TargetsUpTo = true, known, 0
--- a/internal/serve/follow/outage_cost_test.go
+++ b/internal/serve/follow/outage_cost_test.go
@@ -156,7 +156,7 @@
 		}
 		p := cluster(ctx, 1, store)[0]
 		time.Sleep(3 * time.Second)
-		before := p.table.Newest()
+		before := p.table.LastChangeRevision()
 		store.putTarget("y", pool.Draining)
 		store.dropTarget("z")
 		time.Sleep(time.Second)
@@ -174,7 +174,7 @@
 		}, before, time.Now())
 		behind.take(n)
 		assert.Assert(t, !behind.uses("y") && !behind.uses("z"))
-		assert.Equal(t, behind.table.Newest(), p.table.Newest())
+		assert.Equal(t, behind.table.LastChangeRevision(), p.table.LastChangeRevision())
 	})
 }
 
--- a/internal/serve/follow/peers.go
+++ b/internal/serve/follow/peers.go
@@ -133,7 +133,7 @@
 }
 
 // informed tells whether this process knows what it needs to serve.
-func (f *Follower) informed() bool { return f.table.Known() && f.plans.Current() != nil }
+func (f *Follower) informed() bool { return f.table.Loaded() && f.plans.Current() != nil }
 
 // askForNews asks the process that vouched for the store last, and a watcher at once where
 // that one no longer does. Where none does, any process may know more: all watchers may be
@@ -234,9 +234,9 @@
 func (f *Follower) newsWanted() newsCall {
 	_, evacuations, _ := f.table.Evacuations()
 	call := newsCall{
-		Version: f.plans.Version(), Revision: f.table.Newest(), Evacuations: evacuations, Changes: true, Packed: true,
+		Version: f.plans.Version(), Revision: f.table.LastChangeRevision(), Evacuations: evacuations, Changes: true, Packed: true,
 	}
-	if !f.table.Known() {
+	if !f.table.Loaded() {
 		call.NoList = true
 		return call
 	}
@@ -252,7 +252,7 @@
 		return true
 	}
 	f.peers.offered.Store(now.UnixNano())
-	if n.Many || !f.table.Known() || now.Sub(f.peers.complete) > 2*f.within().askPeriod() {
+	if n.Many || !f.table.Loaded() || now.Sub(f.peers.complete) > 2*f.within().askPeriod() {
 		f.peers.need(whom)
 	}
 	return false
@@ -264,7 +264,7 @@
 	served := now.Add(-time.Duration(n.ServedMS) * time.Millisecond)
 	if served.Sub(f.awaySince(f.targetFeed)) >= outage {
 		// Nobody heard of the store until it served that peer again.
-		f.table.ListBack(now)
+		f.table.ListRecovered(now)
 	}
 	f.peers.heard.Store(now.Add(-time.Duration(n.AgeMS) * time.Millisecond).UnixNano())
 	f.peers.servedSince.Store(served.UnixNano())
@@ -282,12 +282,12 @@
 		f.apply(n.Plan, "peer")
 		f.expect(f.orderFeed)
 	}
-	if n.Evacuated > 0 && f.table.MirrorEvacuations(n.Evacuations, n.Evacuated, n.EvacuationsUpTo, time.Now()) {
+	if n.Evacuated > 0 && f.table.ResetEvacuationsFromPeer(n.Evacuations, n.Evacuated, n.EvacuationsUpTo, time.Now()) {
 		f.expect(f.orderFeed)
 	}
 	// A peer without news of them has seen no change up to here either.
-	f.table.ChangeEvacuations(nil, n.EvacuationsUpTo, time.Now())
-	if len(n.Changes) > 0 && f.table.Known() {
+	f.table.ApplyEvacuations(nil, n.EvacuationsUpTo, time.Now())
+	if len(n.Changes) > 0 && f.table.Loaded() {
 		now := time.Now()
 		f.noteOutage(now)
 		f.table.Apply(n.Changes, n.TargetsUpTo, now)
@@ -296,7 +296,7 @@
 	if f.plans.Current() != nil {
 		f.orderFeed.learn(min(n.PlanUpTo, n.EvacuationsUpTo))
 	}
-	if f.table.Known() && !n.lacking() {
+	if f.table.Loaded() && !n.lacking() {
 		f.targetFeed.learn(n.TargetsUpTo)
 	}
 }
@@ -315,7 +315,7 @@
 // been away until now: what the peer's list lacks may have lapsed meanwhile.
 func (f *Follower) noteOutage(now time.Time) {
 	if f.outageUntilNow(now) {
-		f.table.ListBack(now)
+		f.table.ListRecovered(now)
 	}
 }
 
--- a/internal/serve/follow/reading_test.go
+++ b/internal/serve/follow/reading_test.go
@@ -31,7 +31,7 @@
 		p := cluster(ctx, 1, store)[0]
 		time.Sleep(6 * 800 * time.Millisecond)
 		time.Sleep(time.Second)
-		assert.Assert(t, p.table.Known())
+		assert.Assert(t, p.table.Loaded())
 		assert.Equal(t, len(p.table.ReadySet("s").Targets), 3000)
 		assert.Equal(t, store.entriesRead, 3000)
 	})
@@ -48,7 +48,7 @@
 		}
 		p := cluster(ctx, 1, store)[0]
 		time.Sleep(7*800*time.Millisecond + time.Second)
-		assert.Assert(t, p.table.Known())
+		assert.Assert(t, p.table.Loaded())
 		assert.Equal(t, store.entriesRead, 3000)
 	})
 }
--- a/internal/serve/gather/evacuation_test.go
+++ b/internal/serve/gather/evacuation_test.go
@@ -61,7 +61,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 		assert.Equal(t, pools.CallsOf("s"), 5, "five work, five wait")
-		table.ChangeEvacuations([]pool.EvacuationChange{{Evacuation: pool.Evacuation{Zone: "a", Revision: 2}}}, 2, time.Now())
+		table.ApplyEvacuations([]pool.EvacuationChange{{Evacuation: pool.Evacuation{Zone: "a", Revision: 2}}}, 2, time.Now())
 		for range cap(answers) {
 			assert.NilError(t, <-answers)
 		}
--- a/internal/serve/gather/gatherer.go
+++ b/internal/serve/gather/gatherer.go
@@ -204,7 +204,7 @@
 // batch is how a shard's targets work; nil where this process doesn't know them.
 func (g *Gatherer) batch(id Shard) *plan.Batch {
 	service := g.plans.Service(id.Service)
-	if service == nil || !g.table.Known() {
+	if service == nil || !g.table.Loaded() {
 		return nil
 	}
 	return service.Batch
--- a/internal/serve/gather/pace.go
+++ b/internal/serve/gather/pace.go
@@ -34,7 +34,7 @@
 
 // newcomer tells whether this process has only just begun to gather for a shard.
 func (c *shard) newcomer(batch *plan.Batch, callBegan time.Time) bool {
-	return callBegan.Sub(c.since) < newcomerCalls*batch.FullCall()
+	return callBegan.Sub(c.since) < newcomerCalls*batch.MaxCallTime()
 }
 
 func (p *pace) took(actual, expected time.Duration, now time.Time) {
--- a/internal/serve/gather/pacing.go
+++ b/internal/serve/gather/pacing.go
@@ -39,7 +39,7 @@
 	call := max(b.CallTime, leastCall)
 	return pacing{
 		rankStep:     call / 3,
-		zonePatience: min(mostPatience, b.FullCall()),
+		zonePatience: min(mostPatience, b.MaxCallTime()),
 		zoneSlack:    call,
 		lateWait:     call * 5 / 2,
 		idle:         call * 5 / 8,
--- a/internal/serve/gather/strength.go
+++ b/internal/serve/gather/strength.go
@@ -61,7 +61,7 @@
 		return 0
 	}
 	rounds := c.queue.len() / batch.Size
-	return soonest + time.Duration(rounds)*batch.FullCall()/time.Duration(targets)
+	return soonest + time.Duration(rounds)*batch.MaxCallTime()/time.Duration(targets)
 }
 
 // shardingOf gives the shards of a service.
--- a/internal/serve/gauges.go
+++ b/internal/serve/gauges.go
@@ -18,7 +18,7 @@
 func (s *Server) Observe(now time.Time) {
 	g := gauges{registry: s.metrics}
 	g.set("plan.version", int64(s.plans.Version()))
-	g.set("targets.revision", int64(s.table.Newest()))
+	g.set("targets.revision", int64(s.table.LastChangeRevision()))
 	g.set("members", int64(1+len(s.network.View().Members)))
 	g.set("requests.in_flight", s.inFlight.Load())
 	g.set("targets.connections_opened", s.client.Dialed())
@@ -66,5 +66,5 @@
 	g.set("vanillagate_service_targets_out"+label, int64(count.Out))
 	g.set("vanillagate_service_targets_cold"+label, int64(count.Cold))
 	g.set("vanillagate_service_calls"+label, int64(count.Calls))
-	g.set("vanillagate_service_repeats_left"+label, int64(s.budget.Left(service, now)))
+	g.set("vanillagate_service_repeats_left"+label, int64(s.budget.RetriesLeft(service, now)))
 }
--- a/internal/serve/place/place.go
+++ b/internal/serve/place/place.go
@@ -32,9 +32,9 @@
 	return tokens, last
 }
 
-// Affinity names what draws a prompt to the engine that has read its shared parts; empty
+// AffinityKey names what draws a prompt to the engine that has read its shared parts; empty
 // where it has none.
-func (p Prompt) Affinity() string {
+func (p Prompt) AffinityKey() string {
 	_, last := p.shared()
 	return last
 }
@@ -45,13 +45,13 @@
 	return tokens
 }
 
-// Unshared is the number of tokens that the engine of its affinity has not read yet.
-func (p Prompt) Unshared() int {
+// UnsharedTokens is the number of tokens that the engine of its affinity has not read yet.
+func (p Prompt) UnsharedTokens() int {
 	return max(p.Input-p.SharedTokens(), 0)
 }
 
-// Wish is what decides where a request goes.
-type Wish struct {
+// Criteria is what decides where a request goes.
+type Criteria struct {
 	Prompt Prompt
 	// Bytes of results that lie in each zone, to be fetched by the target.
 	Bytes map[string]int
@@ -86,12 +86,12 @@
 	rampTokens = 20_000
 )
 
-// Engine chooses a model engine: the one where the request costs least, in
+// ChooseEngine chooses a model engine: the one where the request costs least, in
 // tokens to read before its first, with those that the engine has read already
 // left out. Each shared prompt has one affine engine, the same in the eyes of all
 // processes, so that they agree without exchange; one that is busy gives
 // way. nil where no target is left.
-func Engine(views []pool.View, w Wish) *pool.Target {
+func ChooseEngine(views []pool.View, w Criteria) *pool.Target {
 	affine := ""
 	if !w.NoAffinity {
 		affine = affineEngine(views, w.Prompt)
@@ -118,11 +118,11 @@
 	return best
 }
 
-// ToRead is how many tokens of a prompt an engine has to read: the affine one has read
+// PrefillTokens is how many tokens of a prompt an engine has to read: the affine one has read
 // the shared parts.
-func ToRead(views []pool.View, p Prompt, engine string) int {
+func PrefillTokens(views []pool.View, p Prompt, engine string) int {
 	if affineEngine(views, p) == engine {
-		return p.Unshared()
+		return p.UnsharedTokens()
 	}
 	return p.Input
 }
@@ -157,7 +157,7 @@
 // affineEngine gives the ID of the engine that has read a prompt's shared parts, by rendezvous;
 // empty where it has none.
 func affineEngine(views []pool.View, p Prompt) string {
-	last := p.Affinity()
+	last := p.AffinityKey()
 	if last == "" {
 		return ""
 	}
@@ -179,10 +179,10 @@
 // coldRequest is what it counts that a plain service's target is cold, in requests.
 const coldRequest = 1
 
-// Plain chooses a target of a service whose requests are alike: the one with
+// ChooseTarget chooses a target of a service whose requests are alike: the one with
 // the least in hand for its slots. draw in [0, 1) decides between equals, so
 // that processes don't all take the same one.
-func Plain(views []pool.View, w Wish, draw float64) *pool.Target {
+func ChooseTarget(views []pool.View, w Criteria, draw float64) *pool.Target {
 	var best *pool.Target
 	bestCost := 0.0
 	start := int(draw * float64(len(views)))
@@ -211,7 +211,7 @@
 
 // lastResort takes a target that is out of use rather than none: the signs
 // against it may be this process's own link.
-func lastResort(views []pool.View, w Wish) *pool.Target {
+func lastResort(views []pool.View, w Criteria) *pool.Target {
 	for _, v := range views {
 		if !w.Avoid[v.ID] {
 			return v.Target
--- a/internal/serve/place/place_test.go
+++ b/internal/serve/place/place_test.go
@@ -35,10 +35,10 @@
 	views := engines(12)
 	affine := map[string]int{}
 	for i := range 200 {
-		w := Wish{Prompt: prompt(fmt.Sprintf("p%d", i))}
-		first := Engine(views, w)
+		w := Criteria{Prompt: prompt(fmt.Sprintf("p%d", i))}
+		first := ChooseEngine(views, w)
 		for range 3 {
-			assert.Equal(t, Engine(engines(12), w).ID, first.ID)
+			assert.Equal(t, ChooseEngine(engines(12), w).ID, first.ID)
 		}
 		affine[first.ID]++
 	}
@@ -52,50 +52,50 @@
 // others stand idle.
 func TestABusyHomeGivesWay(t *testing.T) {
 	views := engines(12)
-	w := Wish{Prompt: prompt("hot")}
-	affine := Engine(views, w)
+	w := Criteria{Prompt: prompt("hot")}
+	affine := ChooseEngine(views, w)
 	for i := range views {
 		if views[i].ID == affine.ID {
 			views[i].Tokens = 20000
 		}
 	}
-	assert.Assert(t, Engine(views, w).ID != affine.ID)
+	assert.Assert(t, ChooseEngine(views, w).ID != affine.ID)
 }
 
 func TestTheHomeStaysWhereItsZoneIsPoor(t *testing.T) {
 	views := engines(12)
-	w := Wish{Prompt: prompt("p")}
-	affine := Engine(views, w)
+	w := Criteria{Prompt: prompt("p")}
+	affine := ChooseEngine(views, w)
 	w.Bytes = map[string]int{"a": 1_600_000, "b": 1_600_000, "c": 1_600_000}
 	w.Bytes[affine.Zone] = 0
-	assert.Equal(t, Engine(views, w).ID, affine.ID)
+	assert.Equal(t, ChooseEngine(views, w).ID, affine.ID)
 	assert.Equal(t, AffinityZone(views, w.Prompt), affine.Zone)
 }
 
 func TestWithoutASharedPromptTheResultsZoneDecides(t *testing.T) {
 	views := engines(12)
-	w := Wish{Prompt: Prompt{Input: 600}, Bytes: map[string]int{"b": 800_000}}
-	assert.Equal(t, Engine(views, w).Zone, "b")
+	w := Criteria{Prompt: Prompt{Input: 600}, Bytes: map[string]int{"b": 800_000}}
+	assert.Equal(t, ChooseEngine(views, w).Zone, "b")
 }
 
 func TestAFullEngineIsAvoided(t *testing.T) {
 	views := engines(2)
 	views[0].Report = pool.Report{Running: 16}
-	assert.Equal(t, Engine(views, Wish{Prompt: Prompt{Input: 50000}}).ID, views[1].ID)
+	assert.Equal(t, ChooseEngine(views, Criteria{Prompt: Prompt{Input: 50000}}).ID, views[1].ID)
 }
 
 func TestWhatWasTriedIsNotTriedAgain(t *testing.T) {
 	views := engines(3)
-	w := Wish{Avoid: map[string]bool{}, Zone: "a"}
+	w := Criteria{Avoid: map[string]bool{}, Zone: "a"}
 	seen := map[string]bool{}
 	for range 3 {
-		target := Plain(views, w, 0.9)
+		target := ChooseTarget(views, w, 0.9)
 		assert.Assert(t, !seen[target.ID])
 		seen[target.ID] = true
 		w.Avoid[target.ID] = true
 	}
-	assert.Assert(t, Plain(views, w, 0) == nil)
-	assert.Assert(t, Engine(views, w) == nil)
+	assert.Assert(t, ChooseTarget(views, w, 0) == nil)
+	assert.Assert(t, ChooseEngine(views, w) == nil)
 }
 
 // All targets failed lately, as seen from here. Refusing everything would make
@@ -105,15 +105,15 @@
 	for i := range views {
 		views[i].Weight = 0
 	}
-	assert.Assert(t, Plain(views, Wish{}, 0.5) != nil)
-	assert.Assert(t, Engine(views, Wish{}) != nil)
+	assert.Assert(t, ChooseTarget(views, Criteria{}, 0.5) != nil)
+	assert.Assert(t, ChooseEngine(views, Criteria{}) != nil)
 	views[1].Weight = 1
-	assert.Equal(t, Plain(views, Wish{}, 0).ID, views[1].ID)
+	assert.Equal(t, ChooseTarget(views, Criteria{}, 0).ID, views[1].ID)
 }
 
 func TestPlainTakesTheLeastBusyAndPrefersItsZone(t *testing.T) {
 	views := engines(3)
-	assert.Equal(t, Plain(views, Wish{Zone: views[2].Zone}, 0).ID, views[2].ID)
+	assert.Equal(t, ChooseTarget(views, Criteria{Zone: views[2].Zone}, 0).ID, views[2].ID)
 	views[2].InFlight = 2
-	assert.Assert(t, Plain(views, Wish{Zone: views[2].Zone}, 0).ID != views[2].ID)
+	assert.Assert(t, ChooseTarget(views, Criteria{Zone: views[2].Zone}, 0).ID != views[2].ID)
 }
--- a/internal/serve/plan/plan.go
+++ b/internal/serve/plan/plan.go
@@ -114,8 +114,8 @@
 	Queue int
 }
 
-// FullCall is what a call takes that carries as much as it may.
-func (b *Batch) FullCall() time.Duration {
+// MaxCallTime is what a call takes that carries as much as it may.
+func (b *Batch) MaxCallTime() time.Duration {
 	return b.CallTime + time.Duration(b.Size)*b.ItemTime
 }
 
@@ -188,8 +188,8 @@
 // Service gives a service by name; nil where there is none.
 func (p *Plan) Service(name string) *Service { return p.byName[name] }
 
-// TeamOf gives the team that holds a key; nil where none does.
-func (p *Plan) TeamOf(key string) *Team { return p.teamByKey[key] }
+// TeamByKey gives the team that holds a key; nil where none does.
+func (p *Plan) TeamByKey(key string) *Team { return p.teamByKey[key] }
 
 // Pick chooses a route's service for a request; draw lies in [0, 1).
 func (r *Route) Pick(draw float64) string {
@@ -210,8 +210,8 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// Rank is a request's priority: the team's goes before the route's.
-func Rank(r *Route, t *Team) int {
+// EffectivePriority is a request's priority: the team's goes before the route's.
+func EffectivePriority(r *Route, t *Team) int {
 	if t != nil && t.Priority != nil {
 		return *t.Priority
 	}
--- a/internal/serve/pool/entry.go
+++ b/internal/serve/pool/entry.go
@@ -39,8 +39,8 @@
 	Revision uint64
 }
 
-// Aged is the entry some time after it was read.
-func (e Entry) Aged(by time.Duration) Entry {
+// WithElapsed is the entry some time after it was read.
+func (e Entry) WithElapsed(by time.Duration) Entry {
 	e.ColdLeft = max(e.ColdLeft-by, 0)
 	return e
 }
--- a/internal/serve/pool/evacuation.go
+++ b/internal/serve/pool/evacuation.go
@@ -32,9 +32,9 @@
 	revision uint64
 }
 
-// ChangeEvacuations takes in changes in their order and the revision up to which
+// ApplyEvacuations takes in changes in their order and the revision up to which
 // they go. Changes that are known already are passed over.
-func (t *Table) ChangeEvacuations(changes []EvacuationChange, upTo uint64, now time.Time) {
+func (t *Table) ApplyEvacuations(changes []EvacuationChange, upTo uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	next := maps.Clone(t.evacuations.byZone)
@@ -70,9 +70,9 @@
 	t.evacuations.revision = asOf
 }
 
-// MirrorEvacuations takes in a peer's orders, their newest change and the revision up
+// ResetEvacuationsFromPeer takes in a peer's orders, their newest change and the revision up
 // to which the peer knows all. It tells whether they are newer than what is known here.
-func (t *Table) MirrorEvacuations(list []Evacuation, newest, upTo uint64, now time.Time) bool {
+func (t *Table) ResetEvacuationsFromPeer(list []Evacuation, newest, upTo uint64, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if newest <= t.evacuations.newest {
@@ -121,13 +121,13 @@
 		}
 	}
 	if len(changed) > 0 {
-		t.applyEvacuations(changed, now)
+		t.updateEvacuated(changed, now)
 	}
 }
 
-// applyEvacuations has the targets of zones follow the orders in force. The caller
+// updateEvacuated has the targets of zones follow the orders in force. The caller
 // holds mu.
-func (t *Table) applyEvacuations(zones map[string]bool, now time.Time) {
+func (t *Table) updateEvacuated(zones map[string]bool, now time.Time) {
 	touched := touches{}
 	for _, targets := range []map[string]*Target{t.byID, t.lapsed} {
 		for _, target := range targets {
--- a/internal/serve/pool/evacuation_test.go
+++ b/internal/serve/pool/evacuation_test.go
@@ -35,18 +35,18 @@
 func TestTargetsOfAnEvacuatedZoneAreInNoView(t *testing.T) {
 	table := inZones("a", "b")
 	before := table.Generation()
-	table.ChangeEvacuations([]EvacuationChange{evacuate("a", 11)}, 11, start)
+	table.ApplyEvacuations([]EvacuationChange{evacuate("a", 11)}, 11, start)
 	assert.DeepEqual(t, usable(table, start), map[string]bool{"b": true})
 	assert.Equal(t, len(table.ReadySet("s").Targets), 1)
 	assert.Assert(t, table.Generation() > before)
-	table.ChangeEvacuations([]EvacuationChange{takeBack("a", 12)}, 12, start)
+	table.ApplyEvacuations([]EvacuationChange{takeBack("a", 12)}, 12, start)
 	assert.DeepEqual(t, usable(table, start), map[string]bool{"a": true, "b": true})
 }
 
 // A target that starts in an evacuated zone gets requests.
 func TestANewTargetInAnEvacuatedZoneGetsNothing(t *testing.T) {
 	table := inZones("a", "b")
-	table.ChangeEvacuations([]EvacuationChange{evacuate("c", 11)}, 11, start)
+	table.ApplyEvacuations([]EvacuationChange{evacuate("c", 11)}, 11, start)
 	e := entry("c", 12)
 	e.Zone = "c"
 	table.Apply([]Change{{Entry: e}}, 12, start)
@@ -56,10 +56,10 @@
 // A peer that is behind undoes a withdrawal, or an evacuation.
 func TestAPeerThatIsBehindChangesNoEvacuation(t *testing.T) {
 	table := inZones("a", "b")
-	table.ChangeEvacuations([]EvacuationChange{evacuate("a", 11), takeBack("a", 15)}, 20, start)
-	assert.Assert(t, !table.MirrorEvacuations([]Evacuation{{Zone: "a", Revision: 11}}, 11, 14, start))
+	table.ApplyEvacuations([]EvacuationChange{evacuate("a", 11), takeBack("a", 15)}, 20, start)
+	assert.Assert(t, !table.ResetEvacuationsFromPeer([]Evacuation{{Zone: "a", Revision: 11}}, 11, 14, start))
 	assert.Assert(t, usable(table, start)["a"])
-	assert.Assert(t, table.MirrorEvacuations([]Evacuation{{Zone: "a", Revision: 22}}, 22, 22, start))
+	assert.Assert(t, table.ResetEvacuationsFromPeer([]Evacuation{{Zone: "a", Revision: 22}}, 22, 22, start))
 	table.ResetEvacuations(nil, 19, start)
 	assert.Assert(t, !usable(table, start)["a"])
 }
@@ -68,7 +68,7 @@
 func TestALapsedTargetThatIsLeftAloneMayReturn(t *testing.T) {
 	table := tableOf("a")
 	target := table.ByAddress("s", "10.0.0.1:a")
-	table.ListBack(start)
+	table.ListRecovered(start)
 	table.Reset(nil, 11, start)
 	table.Begin(target, 0, start).End(Unreachable, start)
 	table.Sweep(start)
@@ -119,7 +119,7 @@
 						changes = append(changes, c)
 					}
 				}
-				table.ChangeEvacuations(changes, revision, start)
+				table.ApplyEvacuations(changes, revision, start)
 			case 3:
 				asOf := revision - min(revision, uint64(draw.IntN(4)))
 				var list []Evacuation
@@ -129,7 +129,7 @@
 				table.ResetEvacuations(list, asOf, start)
 			case 4:
 				list, newest, upTo := tables[draw.IntN(2)].Evacuations()
-				table.MirrorEvacuations(list, newest, upTo, start)
+				table.ResetEvacuationsFromPeer(list, newest, upTo, start)
 			}
 			for i, one := range tables {
 				list, _, known := one.Evacuations()
--- a/internal/serve/pool/recent.go
+++ b/internal/serve/pool/recent.go
@@ -26,7 +26,7 @@
 // told is the change as peers are told of it.
 func (n noted) told(now time.Time) Change {
 	c := n.Change
-	c.Entry = c.Aged(now.Sub(n.at))
+	c.Entry = c.WithElapsed(now.Sub(n.at))
 	return c
 }
 
--- a/internal/serve/pool/service.go
+++ b/internal/serve/pool/service.go
@@ -42,7 +42,7 @@
 			continue
 		}
 		fresh = append(fresh, target)
-		if !target.Gone() && !target.Evacuated() {
+		if !target.GoneOrDraining() && !target.Evacuated() {
 			ready = append(ready, target)
 		}
 	}
@@ -73,10 +73,10 @@
 	return append(spliced, list...)
 }
 
-// Divisions is into how many parts of about some entries at most a list is divided by its
+// PartitionCount is into how many parts of about some entries at most a list is divided by its
 // entries' hashes: a power of two, so that processes whose lists differ by a few divide them
 // alike, and few entries change their part when others come and go.
-func Divisions(entries, most int) int {
+func PartitionCount(entries, most int) int {
 	count := 1
 	for entries > most*count {
 		count *= 2
@@ -88,7 +88,7 @@
 // come or gone; fresh are those of them that are still there.
 func (s *service) regroup(targets []*Target, touched map[string]bool, fresh []*Target) [][]*Target {
 	groups := slices.Clone(s.groups)
-	if count := Divisions(len(targets), mostCandidates); len(groups) != count {
+	if count := PartitionCount(len(targets), mostCandidates); len(groups) != count {
 		groups = make([][]*Target, count)
 		touched, fresh = nil, targets
 	}
--- a/internal/serve/pool/table.go
+++ b/internal/serve/pool/table.go
@@ -44,11 +44,11 @@
 	onLeave []func(*Target)
 }
 
-// ReturnTime is how long entries that lapsed while the list was away may take
+// LapsedGracePeriod is how long entries that lapsed while the list was away may take
 // to come back. The users' bound is about two seconds; what is still missing
 // then is gone. One that has left after all must get nothing two seconds after
 // its end was seen, so that a call on its way and a late look need some of that.
-const ReturnTime = 1650 * time.Millisecond
+const LapsedGracePeriod = 1650 * time.Millisecond
 
 // New makes an empty table.
 func New(log *zap.Logger) *Table {
@@ -67,31 +67,31 @@
 	return e
 }
 
-// KeepTrying has targets that take no connection tried on, for measurements. Call
+// DisableConnectBackoff has targets that take no connection tried on, for measurements. Call
 // before the first Apply.
-func (t *Table) KeepTrying() { t.keepTrying = true }
+func (t *Table) DisableConnectBackoff() { t.keepTrying = true }
 
 // OnLeave has fn called with each target that leaves the list, starts anew or
 // begins to drain. fn must not call the Table. Call before the first Apply.
 func (t *Table) OnLeave(fn func(*Target)) { t.onLeave = append(t.onLeave, fn) }
 
-// Newest is the revision of the last change known.
-func (t *Table) Newest() uint64 {
+// LastChangeRevision is the revision of the last change known.
+func (t *Table) LastChangeRevision() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.newest
 }
 
-// Known tells whether a whole list was ever read.
-func (t *Table) Known() bool {
+// Loaded tells whether a whole list was ever read.
+func (t *Table) Loaded() bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.known
 }
 
-// ListBack notes that the list answers again after an outage, in which entries
+// ListRecovered notes that the list answers again after an outage, in which entries
 // of sound targets may have lapsed.
-func (t *Table) ListBack(now time.Time) {
+func (t *Table) ListRecovered(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.backAt = now
@@ -128,10 +128,10 @@
 	t.tell(left)
 }
 
-// Mirror takes in peers' whole list, which is the store's as of a revision; parts of it
+// ResetFromPeer takes in peers' whole list, which is the store's as of a revision; parts of it
 // may be newer. One that is no newer than what is known here is passed over: what has gone
 // must not come back by a peer that is behind.
-func (t *Table) Mirror(entries []Entry, asOf uint64, now time.Time) {
+func (t *Table) ResetFromPeer(entries []Entry, asOf uint64, now time.Time) {
 	t.mu.Lock()
 	if t.known && asOf <= t.newest {
 		t.mu.Unlock()
@@ -261,9 +261,9 @@
 func (t *Table) remove(old *Target, now time.Time) *Target {
 	delete(t.byID, old.ID)
 	old.mu.Lock()
-	lapses := old.entry.State == Ready && !t.backAt.IsZero() && now.Sub(t.backAt) < ReturnTime
+	lapses := old.entry.State == Ready && !t.backAt.IsZero() && now.Sub(t.backAt) < LapsedGracePeriod
 	if lapses {
-		old.lapsesAt = t.backAt.Add(ReturnTime)
+		old.lapsesAt = t.backAt.Add(LapsedGracePeriod)
 	}
 	old.mu.Unlock()
 	if lapses {
@@ -466,17 +466,17 @@
 	return list, t.newest
 }
 
-// Since lists the changes of the list after a revision, and the revision as of which
+// ChangesSince lists the changes of the list after a revision, and the revision as of which
 // it is then. known is false where not all of them are.
-func (t *Table) Since(revision uint64, now time.Time) (list []Change, asOf uint64, known bool) {
+func (t *Table) ChangesSince(revision uint64, now time.Time) (list []Change, asOf uint64, known bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	list, known = t.recent.since(revision, now)
 	return list, t.newest, known
 }
 
-// UpTo is the revision up to which all changes are known.
-func (t *Table) UpTo() uint64 {
+// SyncedRevision is the revision up to which all changes are known.
+func (t *Table) SyncedRevision() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.revision
--- a/internal/serve/pool/table_test.go
+++ b/internal/serve/pool/table_test.go
@@ -75,7 +75,7 @@
 	assert.Equal(t, len(views), 1)
 	assert.Equal(t, views[0].InFlight, 0)
 	assert.Equal(t, views[0].Born, int64(2))
-	assert.Assert(t, old.Gone())
+	assert.Assert(t, old.GoneOrDraining())
 	assert.Equal(t, left[0], old)
 }
 
@@ -100,12 +100,12 @@
 // every target has reported again.
 func TestEntriesThatLapsedWhileTheListWasAwayAreUsedOn(t *testing.T) {
 	table := tableOf("a", "b")
-	table.ListBack(start)
+	table.ListRecovered(start)
 	table.Reset(nil, 11, start.Add(100*time.Millisecond))
 	assert.Equal(t, len(usable(table, start.Add(time.Second))), 2)
 	table.Apply([]Change{{Entry: entry("a", 12)}}, 12, start.Add(time.Second))
-	table.Sweep(start.Add(ReturnTime))
-	assert.DeepEqual(t, usable(table, start.Add(ReturnTime)), map[string]bool{"a": true})
+	table.Sweep(start.Add(LapsedGracePeriod))
+	assert.DeepEqual(t, usable(table, start.Add(LapsedGracePeriod)), map[string]bool{"a": true})
 }
 
 // One that had said that it drains before the outage is not kept.
@@ -114,7 +114,7 @@
 	e := entry("a", 11)
 	e.State = Draining
 	table.Apply([]Change{{Entry: e}}, 11, start)
-	table.ListBack(start)
+	table.ListRecovered(start)
 	table.Reset(nil, 12, start)
 	assert.Equal(t, len(usable(table, start)), 0)
 }
@@ -181,7 +181,7 @@
 	call := table.Begin(target, 500, start)
 	other := table.Begin(target, 300, start)
 	assert.Equal(t, table.Views("s", start)[0].Tokens, 800)
-	call.Begun()
+	call.ResponseStarted()
 	assert.Equal(t, table.Views("s", start)[0].Tokens, 300)
 	assert.Equal(t, table.Views("s", start)[0].InFlight, 2)
 	call.End(Answered, start)
@@ -194,7 +194,7 @@
 
 func TestAnOldReportSaysNothing(t *testing.T) {
 	table := tableOf("a")
-	table.ByAddress("s", "10.0.0.1:a").Reported(Report{Running: 9, At: start})
+	table.ByAddress("s", "10.0.0.1:a").SetReport(Report{Running: 9, At: start})
 	assert.Equal(t, table.Views("s", start)[0].Report.Running, 9)
 	assert.Equal(t, table.Views("s", start.Add(2*time.Second))[0].Report.Running, 0)
 }
@@ -206,10 +206,10 @@
 	table := tableOf("a", "b")
 	gone := []Change{{Entry: Entry{ID: "a", Revision: 20}, Removed: true}}
 	table.Apply(gone, 25, start)
-	table.Mirror([]Entry{entry("a", 1), entry("b", 2)}, 12, start)
-	table.Mirror([]Entry{entry("a", 1), entry("b", 2)}, 20, start)
+	table.ResetFromPeer([]Entry{entry("a", 1), entry("b", 2)}, 12, start)
+	table.ResetFromPeer([]Entry{entry("a", 1), entry("b", 2)}, 20, start)
 	assert.DeepEqual(t, usable(table, start), map[string]bool{"b": true})
-	table.Mirror([]Entry{entry("b", 2), entry("c", 30)}, 30, start)
+	table.ResetFromPeer([]Entry{entry("b", 2), entry("c", 30)}, 30, start)
 	assert.DeepEqual(t, usable(table, start), map[string]bool{"b": true, "c": true})
 }
 
@@ -217,7 +217,7 @@
 // peers are told: for the store it is gone.
 func TestALapsedTargetIsNotToldToPeers(t *testing.T) {
 	table := tableOf("a", "b")
-	table.ListBack(start)
+	table.ListRecovered(start)
 	table.Apply([]Change{{Entry: Entry{ID: "a", Revision: 20}, Removed: true}}, 20, start)
 	assert.DeepEqual(t, usable(table, start), map[string]bool{"a": true, "b": true})
 	entries, asOf := table.Entries(start)
@@ -227,8 +227,8 @@
 	back := entry("a", 21)
 	call := table.Begin(table.ByAddress("s", "10.0.0.1:a"), 0, start)
 	table.Apply([]Change{{Entry: back}}, 21, start)
-	table.Sweep(start.Add(ReturnTime))
-	assert.DeepEqual(t, usable(table, start.Add(ReturnTime)), map[string]bool{"a": true, "b": true})
+	table.Sweep(start.Add(LapsedGracePeriod))
+	assert.DeepEqual(t, usable(table, start.Add(LapsedGracePeriod)), map[string]bool{"a": true, "b": true})
 	for _, v := range table.Views("s", start) {
 		if v.ID == "a" {
 			assert.Equal(t, v.InFlight, 1, "it is the same run")
@@ -242,6 +242,6 @@
 func TestAFreshListIsNotReplacedByAnOlderOne(t *testing.T) {
 	table := New(zap.NewNop())
 	table.Reset([]Entry{entry("b", 2)}, 40, start)
-	table.Mirror([]Entry{entry("a", 1), entry("b", 2)}, 37, start)
+	table.ResetFromPeer([]Entry{entry("a", 1), entry("b", 2)}, 37, start)
 	assert.DeepEqual(t, usable(table, start), map[string]bool{"b": true})
 }
--- a/internal/serve/pool/target.go
+++ b/internal/serve/pool/target.go
@@ -57,9 +57,9 @@
 	Report   Report
 	// Weight is 0 for a target out of use, 1 for a sound one.
 	Weight float64
-	// ColdUntil is until when the target is cold by its own word. Away is until when
+	// ColdUntil is until when the target is cold by its own word. UnobservedUntil is until when
 	// it was last out of sight: what it has become meanwhile isn't known.
-	ColdUntil, Away time.Time
+	ColdUntil, UnobservedUntil time.Time
 	// Cold is set by who decides on it.
 	Cold bool
 }
@@ -90,8 +90,8 @@
 	Abandoned Outcome = "abandoned"
 )
 
-// Begun notes that the target has begun to answer: the prompt is read.
-func (c *Call) Begun() {
+// ResponseStarted notes that the target has begun to answer: the prompt is read.
+func (c *Call) ResponseStarted() {
 	t := c.target
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,15 +108,15 @@
 	c.table.ended(c, outcome, now)
 }
 
-// Reported takes in what a target says of its load.
-func (t *Target) Reported(r Report) {
+// SetReport takes in what a target says of its load.
+func (t *Target) SetReport(r Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report = r
 }
 
-// Gone tells whether the target has left the list or is leaving.
-func (t *Target) Gone() bool {
+// GoneOrDraining tells whether the target has left the list or is leaving.
+func (t *Target) GoneOrDraining() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.gone || t.entry.State != Ready
@@ -135,7 +135,7 @@
 	}
 	return View{
 		Target: t, Slots: t.entry.Slots, InFlight: t.inFlight, Tokens: t.tokens,
-		Report: report, Weight: e.Weight(t.health, now), ColdUntil: t.coldUntil, Away: t.away,
+		Report: report, Weight: e.Weight(t.health, now), ColdUntil: t.coldUntil, UnobservedUntil: t.away,
 	}
 }
 
--- a/internal/serve/quota/quota.go
+++ b/internal/serve/quota/quota.go
@@ -55,11 +55,11 @@
 	return &Budget{rule: rule.countable(), byService: map[string]*window{}, members: 1, since: now}
 }
 
-// Again makes a budget for a process that takes the place of another. For a whole
+// NewAfterRestart makes a budget for a process that takes the place of another. For a whole
 // window it gets nothing of the reserve: the one before it may just have spent its
 // part. Were all killed in the middle of an outage of targets, the reserve would
 // be spent twice within one window otherwise.
-func Again(rule Rule, now time.Time) *Budget {
+func NewAfterRestart(rule Rule, now time.Time) *Budget {
 	b := New(rule, now)
 	b.alone = now.Add(b.rule.Window)
 	return b
@@ -79,10 +79,10 @@
 	b.rule = rule
 }
 
-// Members notes how many processes share the reserve. The number goes down
+// SetMemberCount notes how many processes share the reserve. The number goes down
 // only by a fifth each time: a process that is cut off from its peers must not
 // take the whole reserve, since they go on spending theirs.
-func (b *Budget) Members(n int, now time.Time) {
+func (b *Budget) SetMemberCount(n int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if n > b.members {
@@ -96,9 +96,9 @@
 	}
 }
 
-// Sharers is how many processes share what they have in common. It goes down
-// slowly, as Members says.
-func (b *Budget) Sharers() int {
+// MemberCount is how many processes share what they have in common. It goes down
+// slowly, as SetMemberCount says.
+func (b *Budget) MemberCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.members
@@ -108,15 +108,15 @@
 // partition of an ordinary length, several seconds, many times over.
 const memberMemory = 30 * time.Second
 
-// Request notes a first arrival at a service.
-func (b *Budget) Request(service string, now time.Time) {
+// AddRequest notes a first arrival at a service.
+func (b *Budget) AddRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.of(service, now).requests[0]++
 }
 
-// Repeat takes one repeat out of the budget, if there is one.
-func (b *Budget) Repeat(service string, now time.Time) bool {
+// TakeRetry takes one repeat out of the budget, if there is one.
+func (b *Budget) TakeRetry(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.of(service, now)
@@ -135,8 +135,8 @@
 	return b.rule.Reserve / float64(b.members)
 }
 
-// Left is how many repeats a service's budget still has.
-func (b *Budget) Left(service string, now time.Time) float64 {
+// RetriesLeft is how many repeats a service's budget still has.
+func (b *Budget) RetriesLeft(service string, now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.left(b.of(service, now), now)
--- a/internal/serve/quota/quota_test.go
+++ b/internal/serve/quota/quota_test.go
@@ -22,7 +22,7 @@
 		budgets := make([]*Budget, n)
 		for i := range budgets {
 			budgets[i] = New(rule, start)
-			budgets[i].Members(n, start)
+			budgets[i].SetMemberCount(n, start)
 		}
 		now := start.Add(settle)
 		var requests, repeats []time.Time
@@ -30,11 +30,11 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "gap")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, n-1).Draw(t, "process")]
 			if rapid.Bool().Draw(t, "request") {
-				b.Request("s", now)
+				b.AddRequest("s", now)
 				requests = append(requests, now)
 				continue
 			}
-			if b.Repeat("s", now) {
+			if b.TakeRetry("s", now) {
 				repeats = append(repeats, now)
 			}
 			sent := within(repeats, now)
@@ -58,7 +58,7 @@
 		now := start
 		meet := func() {
 			for _, b := range budgets {
-				b.Members(len(budgets), now)
+				b.SetMemberCount(len(budgets), now)
 			}
 		}
 		meet()
@@ -69,26 +69,26 @@
 			i := rapid.IntRange(0, len(budgets)-1).Draw(t, "process")
 			switch rapid.IntRange(0, 39).Draw(t, "what") {
 			case 0:
-				budgets[i] = Again(rule, now) // killed, and back at once
+				budgets[i] = NewAfterRestart(rule, now) // killed, and back at once
 			case 1:
 				for k := range budgets {
-					budgets[k] = Again(rule, now)
+					budgets[k] = NewAfterRestart(rule, now)
 				}
 			case 2:
-				budgets = append(budgets, Again(rule, now))
+				budgets = append(budgets, NewAfterRestart(rule, now))
 			case 3:
 				if len(budgets) > 1 {
 					budgets = append(budgets[:i], budgets[i+1:]...)
 				}
 			case 4:
-				budgets[i].Members(1, now) // cut off
+				budgets[i].SetMemberCount(1, now) // cut off
 			case 5, 6, 7, 8, 9, 10:
 				meet()
 			case 11, 12, 13, 14:
-				budgets[i].Request("s", now)
+				budgets[i].AddRequest("s", now)
 				requests = append(requests, now)
 			default:
-				for budgets[i].Repeat("s", now) {
+				for budgets[i].TakeRetry("s", now) {
 					repeats = append(repeats, now)
 				}
 			}
@@ -115,21 +115,21 @@
 // itself, a cluster that starts together would spend it many times over.
 func TestNothingOfTheReserveBeforeThePeersAreKnown(t *testing.T) {
 	b := New(rule, start)
-	assert.Assert(t, !b.Repeat("s", start))
-	b.Members(9, start.Add(time.Second))
-	assert.Assert(t, !b.Repeat("s", start.Add(2*time.Second)))
-	assert.Assert(t, b.Repeat("s", start.Add(3*time.Second)))
+	assert.Assert(t, !b.TakeRetry("s", start))
+	b.SetMemberCount(9, start.Add(time.Second))
+	assert.Assert(t, !b.TakeRetry("s", start.Add(2*time.Second)))
+	assert.Assert(t, b.TakeRetry("s", start.Add(3*time.Second)))
 }
 
 // A process that is cut off from its peers sees none, while they go on spending
 // their parts of the reserve.
 func TestOneThatIsCutOffKeepsToItsPart(t *testing.T) {
 	b := New(rule, start)
-	b.Members(9, start)
+	b.SetMemberCount(9, start)
 	now := start.Add(5 * time.Second)
-	b.Members(1, now)
+	b.SetMemberCount(1, now)
 	sent := 0
-	for b.Repeat("s", now) {
+	for b.TakeRetry("s", now) {
 		sent++
 	}
 	assert.Equal(t, sent, int(margin*rule.Reserve/9))
@@ -138,11 +138,11 @@
 func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
 	b := New(Rule{Ratio: 0.5, Window: 10 * time.Second}, start)
 	for range 10 {
-		b.Request("a", start)
+		b.AddRequest("a", start)
 	}
-	assert.Assert(t, b.Repeat("a", start))
-	assert.Assert(t, !b.Repeat("b", start))
-	assert.Assert(t, b.Left("a", start) > 3)
+	assert.Assert(t, b.TakeRetry("a", start))
+	assert.Assert(t, !b.TakeRetry("b", start))
+	assert.Assert(t, b.RetriesLeft("a", start) > 3)
 }
 
 // The operators lower the bound while repeats are being sent. What was counted
@@ -152,12 +152,12 @@
 	b := New(Rule{Ratio: 0.2, Reserve: 100, Window: 10 * time.Second}, now)
 	now = now.Add(settle)
 	for range 50 {
-		assert.Assert(t, b.Repeat("s", now))
+		assert.Assert(t, b.TakeRetry("s", now))
 	}
 	b.SetRule(Rule{Ratio: 0.2, Reserve: 40, Window: 10 * time.Second}, now)
-	assert.Assert(t, !b.Repeat("s", now))
+	assert.Assert(t, !b.TakeRetry("s", now))
 	b.SetRule(Rule{Ratio: 0.2, Reserve: 100, Window: 5 * time.Second}, now)
-	assert.Assert(t, !b.Repeat("s", now), "the reserve is held back after a change of the window")
+	assert.Assert(t, !b.TakeRetry("s", now), "the reserve is held back after a change of the window")
 }
 
 // The settings name a window too short to be divided for counting, at the start or
@@ -166,12 +166,12 @@
 	for _, window := range []time.Duration{1, slices - 1, -time.Second, 0} {
 		short := Rule{Ratio: 0.2, Reserve: 58, Window: window}
 		b := New(short, start)
-		b.Request("s", start)
-		b.Request("s", start.Add(time.Second))
+		b.AddRequest("s", start)
+		b.AddRequest("s", start.Add(time.Second))
 		changed := New(rule, start)
 		changed.SetRule(short, start)
-		changed.Request("s", start)
-		changed.Request("s", start.Add(time.Second))
-		assert.Assert(t, !b.Repeat("s", start.Add(time.Second)), "two requests pay for no repeat")
+		changed.AddRequest("s", start)
+		changed.AddRequest("s", start.Add(time.Second))
+		assert.Assert(t, !b.TakeRetry("s", start.Add(time.Second)), "two requests pay for no repeat")
 	}
 }
--- a/internal/serve/run/attempt.go
+++ b/internal/serve/run/attempt.go
@@ -79,7 +79,7 @@
 	views, _ := j.candidates(time.Now())
 	for _, v := range views {
 		if v.ID != target.ID && !j.tried[v.ID] && v.Weight > 0 {
-			return j.Budget.Left(j.service, time.Now()) >= 1
+			return j.Budget.RetriesLeft(j.service, time.Now()) >= 1
 		}
 	}
 	return false
@@ -98,7 +98,7 @@
 	j.arrivals++
 	said := j.Codec.Read(&answer.Header)
 	if said.Report != nil {
-		target.Reported(*said.Report)
+		target.SetReport(*said.Report)
 	}
 	if said.NotRun {
 		return nil, nil, j.refusedBy(target, call, answer)
@@ -112,7 +112,7 @@
 	if j.team != nil {
 		send.Team = j.team.Name
 	}
-	send.Rank = plan.Rank(j.route, j.team)
+	send.Rank = plan.EffectivePriority(j.route, j.team)
 	if j.inputs != nil {
 		send.Inputs = j.inputs.handles
 	}
@@ -142,7 +142,7 @@
 	if service == nil || service.MaxConnections <= 0 || j.LeaveOut.Has(leaveout.FewKept) {
 		return
 	}
-	r.MaxKept = service.MaxConnections / 2 / j.Budget.Sharers()
+	r.MaxKept = service.MaxConnections / 2 / j.Budget.MemberCount()
 	r.KeepNone = r.MaxKept == 0
 }
 
--- a/internal/serve/run/choose.go
+++ b/internal/serve/run/choose.go
@@ -29,7 +29,7 @@
 // a prompt look at the same ones, which the engine that has read it is among. all tells that
 // there are no others.
 func (j *job) candidates(now time.Time) (views []pool.View, all bool) {
-	name := j.req.Prompt.Affinity()
+	name := j.req.Prompt.AffinityKey()
 	if name == "" {
 		name = j.req.ID
 	}
@@ -87,7 +87,7 @@
 	kept := views[:0]
 	for _, v := range views {
 		v.Cold = c.rule.IsCold(v, c.now)
-		if !v.Cold || c.tracked || c.job.Warmup.Open(v.ID, c.rule, c.now) {
+		if !v.Cold || c.tracked || c.job.Warmup.Allowed(v.ID, c.rule, c.now) {
 			kept = append(kept, v)
 		}
 	}
@@ -106,7 +106,7 @@
 		if answer != unasked {
 			return answer
 		}
-		rule.PerSecond *= 1 - engines.TrackedShare
+		rule.PerSecond *= 1 - engines.TrackerRateShare
 	}
 	if !cold || c.job.Warmup.Take(target.ID, rule, c.now) {
 		return accepted
@@ -116,12 +116,12 @@
 
 func (c *choice) pick(views []pool.View) *pool.Target {
 	j := c.job
-	wish := place.Wish{Prompt: j.req.Prompt, Zone: j.Zone, Avoid: j.tried, NoAffinity: j.LeaveOut.Has(leaveout.Affinity)}
+	wish := place.Criteria{Prompt: j.req.Prompt, Zone: j.Zone, Avoid: j.tried, NoAffinity: j.LeaveOut.Has(leaveout.Affinity)}
 	if j.inputs != nil {
 		wish.Bytes = j.inputs.bytes
 	}
 	if c.engine {
-		return place.Engine(views, wish)
+		return place.ChooseEngine(views, wish)
 	}
-	return place.Plain(views, wish, rand.Float64())
+	return place.ChooseTarget(views, wish, rand.Float64())
 }
--- a/internal/serve/run/claim.go
+++ b/internal/serve/run/claim.go
@@ -50,7 +50,7 @@
 // claim enters the prompt in an engine's account. A busy engine's view counts what it
 // reads, for another choice.
 func (j *job) claim(views []pool.View, target *pool.Target, coldPerSecond float64) verdict {
-	toRead := place.ToRead(views, j.req.Prompt, target.ID)
+	toRead := place.PrefillTokens(views, j.req.Prompt, target.ID)
 	j.claims = claims{made: j.claims.made + 1, toRead: toRead}
 	answer, answered := j.Engines.Claim(j.ctx, engines.Claim{
 		Service: j.service, Engine: target.ID, Tokens: toRead, Limit: j.waitLimit(toRead),
@@ -100,13 +100,13 @@
 // perToken is what a token of a prompt of usual length takes to read, in seconds.
 func perToken(c engines.Curve) float64 {
 	const usualTokens = 5000
-	return max(c.Reading(usualTokens)/usualTokens, leastPerToken)
+	return max(c.PrefillTime(usualTokens)/usualTokens, leastPerToken)
 }
 
 // learn keeps how long the engine took, for all processes to learn from.
 func (j *job) learn(took time.Duration) {
 	if j.Engines != nil && j.claims.known && j.claims.wait < idleWait && j.arrivals == 1 {
-		j.Engines.Note(j.service, engines.Sample{Tokens: j.claims.toRead, Seconds: took.Seconds()})
+		j.Engines.RecordSample(j.service, engines.Sample{Tokens: j.claims.toRead, Seconds: took.Seconds()})
 	}
 }
 
@@ -114,7 +114,7 @@
 func (j *job) firstEvent() time.Duration {
 	if j.Engines != nil {
 		if curve, known := j.Engines.Curve(j.service, time.Now()); known {
-			return boundedFirstEvent(curve.FirstEvent(j.req.Prompt.Unshared()))
+			return boundedFirstEvent(curve.FirstEvent(j.req.Prompt.UnsharedTokens()))
 		}
 	}
 	return j.firstEvents.expect(j.service, j.req.Prompt)
--- a/internal/serve/run/evacuation_test.go
+++ b/internal/serve/run/evacuation_test.go
@@ -21,7 +21,7 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, e := range all {
 		time.AfterFunc(time.Duration(random.Float64()*float64(hearing)), func() {
-			e.Table.ChangeEvacuations([]pool.EvacuationChange{change}, change.Revision, time.Now())
+			e.Table.ApplyEvacuations([]pool.EvacuationChange{change}, change.Revision, time.Now())
 		})
 	}
 }
--- a/internal/serve/run/executor.go
+++ b/internal/serve/run/executor.go
@@ -51,7 +51,7 @@
 	// Engines keeps account of what engines read over all processes; nil for none.
 	Engines *engines.Tracker
 	// Warmup gives this process's turns at cold targets; nil bounds nothing.
-	Warmup *warmup.Gate
+	Warmup *warmup.Limiter
 	// LeaveOut switches mechanisms off, for measurements.
 	LeaveOut leaveout.Set
 	// Suspicion knows the requests that crash their targets; nil for none.
@@ -136,7 +136,7 @@
 		return refuse(fasthttp.StatusNotFound, NoRoute, 0)
 	}
 	if !j.route.Public && len(p.Teams) > 0 {
-		j.team = p.TeamOf(j.req.Key)
+		j.team = p.TeamByKey(j.req.Key)
 		if j.team == nil {
 			return refuse(fasthttp.StatusUnauthorized, NoKey, 0)
 		}
@@ -148,7 +148,7 @@
 	if j.Suspicion != nil && j.Suspicion.Convicted(j.content) {
 		return refuse(fasthttp.StatusServiceUnavailable, CrashesTargets, 0)
 	}
-	if !j.Table.Known() {
+	if !j.Table.Loaded() {
 		return refuse(fasthttp.StatusServiceUnavailable, NoTargetsYet, j.startingRetry())
 	}
 	j.service = j.route.Pick(rand.Float64())
@@ -157,7 +157,7 @@
 	}
 	j.deadline = j.req.Arrived.Add(j.patience())
 	j.ctx, j.cancel = context.WithDeadlineCause(ctx, j.deadline, ErrTimeout)
-	j.Budget.Request(j.service, j.req.Arrived)
+	j.Budget.AddRequest(j.service, j.req.Arrived)
 	return nil
 }
 
@@ -316,7 +316,7 @@
 	if j.arrivals >= maxArrivals {
 		return j.giveUp(TargetsFull, fasthttp.StatusBadGateway)
 	}
-	if failed.arrived && !j.Budget.Repeat(j.service, time.Now()) {
+	if failed.arrived && !j.Budget.TakeRetry(j.service, time.Now()) {
 		return j.giveUp(OverBudget, fasthttp.StatusBadGateway)
 	}
 	if failed.inputsGone {
--- a/internal/serve/run/first_events.go
+++ b/internal/serve/run/first_events.go
@@ -40,14 +40,14 @@
 func (f *firstEvents) note(service string, prompt place.Prompt, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.of(service).add(sample{float64(prompt.Unshared()), took.Seconds()})
+	f.of(service).add(sample{float64(prompt.UnsharedTokens()), took.Seconds()})
 }
 
 // expect gives what is to be reckoned with for a prompt.
 func (f *firstEvents) expect(service string, prompt place.Prompt) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return boundedFirstEvent(f.of(service).at(float64(prompt.Unshared())))
+	return boundedFirstEvent(f.of(service).at(float64(prompt.UnsharedTokens())))
 }
 
 func boundedFirstEvent(seconds float64) time.Duration {
--- a/internal/serve/run/metrics.go
+++ b/internal/serve/run/metrics.go
@@ -57,7 +57,7 @@
 		zap.Duration("after", took), zap.Duration("objective", j.route.Objective),
 		zap.Duration("target_took", time.Since(j.askedAt)), zap.Int("arrivals", j.arrivals),
 		zap.Duration("claimed_wait", j.claims.wait), zap.Int("claims", j.claims.made),
-		zap.Int("prompt_tokens", j.req.Prompt.Input), zap.Int("own_tokens", j.req.Prompt.Unshared()),
+		zap.Int("prompt_tokens", j.req.Prompt.Input), zap.Int("own_tokens", j.req.Prompt.UnsharedTokens()),
 	}
 	if !j.preparedAt.IsZero() {
 		fields = append(fields, zap.Duration("stages_took", j.preparedAt.Sub(j.req.Arrived)),
--- a/internal/serve/run/stream.go
+++ b/internal/serve/run/stream.go
@@ -88,7 +88,7 @@
 	s.heard = now
 	if !s.begun {
 		s.begun = true
-		s.call.Begun()
+		s.call.ResponseStarted()
 		if s.job.inputs != nil {
 			s.job.inputs.release()
 		}
@@ -165,7 +165,7 @@
 	j.broke(s.target.Address)
 	j.tried[s.target.ID] = true
 	for j.ctx.Err() == nil && j.route.Resumable && j.ran < j.route.Attempts && j.arrivals < maxArrivals {
-		if !j.Budget.Repeat(j.service, time.Now()) {
+		if !j.Budget.TakeRetry(j.service, time.Now()) {
 			break
 		}
 		if s.resume() {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -55,7 +55,7 @@
 
 func (o Options) budget(now time.Time) *quota.Budget {
 	if o.Again {
-		return quota.Again(o.Budget, now)
+		return quota.NewAfterRestart(o.Budget, now)
 	}
 	return quota.New(o.Budget, now)
 }
@@ -72,7 +72,7 @@
 	follower *follow.Follower
 	stages   *gather.Requester
 	budget   *quota.Budget
-	warmup   *warmup.Gate     // nil where it is left out
+	warmup   *warmup.Limiter  // nil where it is left out
 	engines  *engines.Tracker // nil where it is left out
 	executor *run.Executor
 
@@ -110,7 +110,7 @@
 		s.follower.WatchAlone()
 	}
 	if o.LeaveOut.Has(leaveout.LeavingAlone) {
-		s.table.KeepTrying()
+		s.table.DisableConnectBackoff()
 	}
 	s.stages = gather.New(gather.Options{
 		Log: logging.Part(o.Log, "stages"), Network: network, Table: s.table, LeaveOut: o.LeaveOut,
@@ -126,7 +126,7 @@
 		s.executor.Engines = s.engines
 	}
 	if !o.LeaveOut.Has(leaveout.Warmup) {
-		s.warmup = warmup.New(network, s.budget.Sharers, time.Now())
+		s.warmup = warmup.New(network, s.budget.MemberCount, time.Now())
 		s.executor.Warmup = s.warmup
 	}
 	if !o.LeaveOut.Has(leaveout.Containment) {
@@ -180,9 +180,9 @@
 	for wait.For(s.life, housekeepPeriod) {
 		now := time.Now()
 		s.client.Prune(now)
-		s.budget.Members(1+len(s.network.View().Members), now)
+		s.budget.SetMemberCount(1+len(s.network.View().Members), now)
 		if s.warmup != nil {
-			s.warmup.Forget(now)
+			s.warmup.Prune(now)
 		}
 		if s.engines != nil {
 			s.engines.Sweep(now)
@@ -220,7 +220,7 @@
 
 // Ready tells whether callers should come here.
 func (s *Server) Ready() bool {
-	return s.leavingSince.Load() == nil && s.plans.Current() != nil && s.table.Known()
+	return s.leavingSince.Load() == nil && s.plans.Current() != nil && s.table.Loaded()
 }
 
 // Entries lists the addresses that a caller in a zone should use, its zone's
--- a/internal/serve/warmup/warmup.go
+++ b/internal/serve/warmup/warmup.go
@@ -33,7 +33,7 @@
 	if r.PerSecond <= 0 {
 		return false
 	}
-	return now.Before(v.ColdUntil) || now.Before(v.Away.Add(r.Time))
+	return now.Before(v.ColdUntil) || now.Before(v.UnobservedUntil.Add(r.Time))
 }
 
 const (
@@ -48,8 +48,8 @@
 	apart = 0.7
 )
 
-// Gate gives this process's turns at cold targets. It is safe for concurrent use.
-type Gate struct {
+// Limiter gives this process's turns at cold targets. It is safe for concurrent use.
+type Limiter struct {
 	network peer.Network
 	// most tells the highest number of processes lately.
 	most    func() int
@@ -64,12 +64,12 @@
 }
 
 // New makes a gate. most tells the highest number of processes lately.
-func New(network peer.Network, most func() int, now time.Time) *Gate {
-	return &Gate{network: network, most: most, started: now, next: map[string]time.Time{}}
+func New(network peer.Network, most func() int, now time.Time) *Limiter {
+	return &Limiter{network: network, most: most, started: now, next: map[string]time.Time{}}
 }
 
-// Open tells whether this process has a turn at a target now.
-func (g *Gate) Open(target string, rule Rule, now time.Time) bool {
+// Allowed tells whether this process has a turn at a target now.
+func (g *Limiter) Allowed(target string, rule Rule, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	_, open := g.turn(target, rule, now)
@@ -77,7 +77,7 @@
 }
 
 // Take uses the turn at a target, if there is one now.
-func (g *Gate) Take(target string, rule Rule, now time.Time) bool {
+func (g *Limiter) Take(target string, rule Rule, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	pause, open := g.turn(target, rule, now)
@@ -89,7 +89,7 @@
 
 // turn gives the pause after the next turn, and whether that has come. The caller
 // holds mu.
-func (g *Gate) turn(target string, rule Rule, now time.Time) (time.Duration, bool) {
+func (g *Limiter) turn(target string, rule Rule, now time.Time) (time.Duration, bool) {
 	if now.Sub(g.started) < settling {
 		return 0, false
 	}
@@ -101,7 +101,7 @@
 }
 
 // rank is how many members precede this process at a target. The caller holds mu.
-func (g *Gate) rank(view *peer.View, target string) int {
+func (g *Limiter) rank(view *peer.View, target string) int {
 	if g.view != view {
 		g.view, g.ranks = view, map[string]int{}
 	}
@@ -113,8 +113,8 @@
 	return rank
 }
 
-// Forget drops what is kept of targets whose turn has long come.
-func (g *Gate) Forget(now time.Time) {
+// Prune drops what is kept of targets whose turn has long come.
+func (g *Limiter) Prune(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for target, next := range g.next {
