--- a/internal/serve/gather/ask.go
+++ b/internal/serve/gather/ask.go
@@ -9,8 +9,8 @@
 	"github.com/vanillagate/vanillagate/internal/wait"
 )
 
-// Want is what a request will want of one stage.
-type Want struct {
+// ReservationRequest is what a request will want of one stage.
+type ReservationRequest struct {
 	Service string
 	Stage   int
 	Items   int
@@ -21,11 +21,11 @@
 	Zone string
 }
 
-// Ask asks the gatherers of all stages whether they can make a request's items
-// in time; the error is *Refused where one can't. A gatherer that doesn't
+// ReserveStages asks the gatherers of all stages whether they can make a request's items
+// in time; the error is *RefusedError where one can't. A gatherer that doesn't
 // answer is no reason to refuse. What was reserved and isn't wanted any more is
 // to be withdrawn.
-func (r *Requester) Ask(ctx context.Context, request string, plans []Want) ([]Shard, error) {
+func (r *Requester) ReserveStages(ctx context.Context, request string, plans []ReservationRequest) ([]Shard, error) {
 	r.meetPeers(ctx)
 	if r.leaveOut.Has(leaveout.Reservations) {
 		return nil, nil
@@ -50,22 +50,22 @@
 		}
 	}
 	if refused != nil {
-		r.Withdraw(request, asked)
+		r.CancelReservations(request, asked)
 		return nil, refused
 	}
 	return asked, nil
 }
 
-// Withdraw releases what shards have reserved for a request.
+// CancelReservations releases what shards have reserved for a request.
 // Without it a request that was given up would keep others out until its due
 // time.
-func (r *Requester) Withdraw(request string, asked []Shard) {
+func (r *Requester) CancelReservations(request string, asked []Shard) {
 	for _, shard := range asked {
 		r.cancel(r.gatherers(shard)[0], shard, request)
 	}
 }
 
-func (r *Requester) askFor(ctx context.Context, request string, shard Shard, p Want, serial uint64) error {
+func (r *Requester) askFor(ctx context.Context, request string, shard Shard, p ReservationRequest, serial uint64) error {
 	now := time.Now()
 	gatherer := r.gatherers(shard)[0]
 	call := askCall{
--- a/internal/serve/gather/call.go
+++ b/internal/serve/gather/call.go
@@ -78,7 +78,7 @@
 		return pool.Failed
 	}
 	for _, r := range results {
-		if r.Reason != Broken {
+		if r.Reason != TargetFailed {
 			return pool.Answered
 		}
 	}
@@ -109,7 +109,7 @@
 		if notRun {
 			w.tries--
 		}
-		g.again(c, w, target, Broken)
+		g.again(c, w, target, TargetFailed)
 	}
 }
 
@@ -119,7 +119,7 @@
 func (g *Gatherer) again(c *shard, w *waiting, target *pool.Target, reason Reason) {
 	if c.feeding.released(w.Key) {
 		g.stats.Failed++
-		g.hand(c, w.owner, Result{Key: w.Key, Reason: Gone})
+		g.hand(c, w.owner, Result{Key: w.Key, Reason: InputGone})
 		return
 	}
 	if w.tries >= maxTries {
@@ -127,7 +127,7 @@
 		g.hand(c, w.owner, Result{Key: w.Key, Reason: reason})
 		return
 	}
-	g.stats.Repeated++
+	g.stats.Retried++
 	w.avoid = target.ID
 	w.since = time.Now()
 	c.queue.add(w)
@@ -161,8 +161,8 @@
 			w.tries-- // it wasn't tried
 			g.again(c, w, target, NoSpace)
 			continue
-		case Broken:
-			g.again(c, w, target, Broken)
+		case TargetFailed:
+			g.again(c, w, target, TargetFailed)
 			continue
 		case Made:
 			g.bufferOf(c, target.Address, now).put(r.Handle, w.Bytes, now.Add(batch.Keep))
--- a/internal/serve/gather/choose.go
+++ b/internal/serve/gather/choose.go
@@ -10,8 +10,8 @@
 	"github.com/vanillagate/vanillagate/internal/serve/leaveout"
 )
 
-// Targets is how many targets a shard of a service has, on average.
-func (r *Requester) Targets(service string) int {
+// MeanShardTargets is how many targets a shard of a service has, on average.
+func (r *Requester) MeanShardTargets(service string) int {
 	s := r.shardingOf(service)
 	if len(s.shards) == 0 {
 		return 0
@@ -29,7 +29,7 @@
 func (r *Requester) shardBeside(moved map[Shard]bool, service, zone, request string) (Shard, error) {
 	shard, found := r.shardingOf(service).choose(moved, zone, request)
 	if !found {
-		return Shard{}, &Refused{Reason: Idle, Service: service}
+		return Shard{}, &RefusedError{Reason: NoTarget, Service: service}
 	}
 	return shard, nil
 }
--- a/internal/serve/gather/evacuation_test.go
+++ b/internal/serve/gather/evacuation_test.go
@@ -52,7 +52,7 @@
 		answers := make(chan error, 10)
 		for i := range cap(answers) {
 			go func() {
-				_, err := requester.Make(life, gather.Work{
+				_, err := requester.RunStage(life, gather.StageWork{
 					Service: "s", Items: []gather.Item{{Key: gather.Key{Request: fmt.Sprint(i)}, Source: "k", Bytes: 1}},
 					Due: started.Add(time.Second), Expires: started.Add(5 * time.Second), Zone: "a",
 				})
--- a/internal/serve/gather/failover_test.go
+++ b/internal/serve/gather/failover_test.go
@@ -42,7 +42,7 @@
 
 // ask has one item made for a request.
 func (m member) ask(ctx context.Context, id string) error {
-	done, err := m.Make(ctx, gather.Work{
+	done, err := m.RunStage(ctx, gather.StageWork{
 		Service: "s", Items: []gather.Item{{Key: gather.Key{Request: id}, Source: "k", Bytes: 1}},
 		Due: time.Now().Add(time.Second), Expires: time.Now().Add(5 * time.Second),
 	})
--- a/internal/serve/gather/free_test.go
+++ b/internal/serve/gather/free_test.go
@@ -85,7 +85,7 @@
 
 // freedStager notes what is freed at targets.
 type freedStager struct {
-	Stager
+	StageClient
 	freed chan string
 }
 
--- a/internal/serve/gather/gatherer.go
+++ b/internal/serve/gather/gatherer.go
@@ -14,8 +14,8 @@
 	"github.com/vanillagate/vanillagate/internal/serve/pool"
 )
 
-// Stager makes the calls of stage targets.
-type Stager interface {
+// StageClient makes the calls of stage targets.
+type StageClient interface {
 	// Run makes one call. The results are in the order of the items. The error
 	// is ErrFull where the target certainly did nothing. sent is called when the
 	// call has been written.
@@ -59,7 +59,7 @@
 	log     *zap.Logger
 	table   *pool.Table
 	plans   *plan.Holder
-	stager  Stager
+	stager  StageClient
 	deliver func(owner string, shard Shard, results []Result)
 	// release gives back results of any allocator; final is false while their reader
 	// may still fail.
@@ -77,13 +77,13 @@
 
 // Stats counts what a gatherer did.
 type Stats struct {
-	Calls    int
-	Items    int
-	Failed   int
-	Late     int
-	Repeated int
-	// InVain counts results that nobody waited for any more.
-	InVain int
+	Calls   int
+	Items   int
+	Failed  int
+	Late    int
+	Retried int
+	// Discarded counts results that nobody waited for any more.
+	Discarded int
 }
 
 // shard is the state of one shard.
@@ -108,7 +108,7 @@
 type waitingCall struct{ ends time.Time }
 
 // NewGatherer makes a gatherer whose calls end with life.
-func NewGatherer(life context.Context, log *zap.Logger, table *pool.Table, plans *plan.Holder, stager Stager) *Gatherer {
+func NewGatherer(life context.Context, log *zap.Logger, table *pool.Table, plans *plan.Holder, stager StageClient) *Gatherer {
 	return &Gatherer{log: log, table: table, plans: plans, stager: stager, life: life, shards: map[Shard]*shard{}}
 }
 
@@ -214,7 +214,7 @@
 func (g *Gatherer) inVain(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.stats.InVain += n
+	g.stats.Discarded += n
 }
 
 // Cancel drops what waits for a request that was given up, as far as it was
--- a/internal/serve/gather/inputs.go
+++ b/internal/serve/gather/inputs.go
@@ -35,7 +35,7 @@
 
 // add notes an item that is to be fed.
 func (f *feeding) add(item Item) {
-	if !item.Last {
+	if !item.LastReader {
 		return
 	}
 	if f.groups == nil {
@@ -43,7 +43,7 @@
 	}
 	group := f.groups[item.group()]
 	if group == nil {
-		group = &feed{allocator: item.InputOf, inputs: item.Inputs, unfetched: map[Key]bool{}, unmade: map[Key]bool{}}
+		group = &feed{allocator: item.InputAllocator, inputs: item.Inputs, unfetched: map[Key]bool{}, unmade: map[Key]bool{}}
 		f.groups[item.group()] = group
 	}
 	group.serial = max(group.serial, item.Serial)
--- a/internal/serve/gather/item.go
+++ b/internal/serve/gather/item.go
@@ -41,15 +41,15 @@
 	Bytes int `json:"b,omitempty"`
 	// Zone is where the item is best made, Cross about how many bytes cross zones
 	// if it is made elsewhere; empty for anywhere.
-	Zone  string `json:"z,omitempty"`
-	Cross int    `json:"x,omitempty"`
+	Zone           string `json:"z,omitempty"`
+	CrossZoneBytes int    `json:"x,omitempty"`
 	// Serial grows with each handing over by one owner, so that a cancellation
 	// that is overtaken by a new try of the same request leaves that alone.
 	Serial uint64 `json:"n,omitempty"`
-	// Last means that no other stage needs the inputs: whoever gathers for this
+	// LastReader means that no other stage needs the inputs: whoever gathers for this
 	// one gives back their space, of which InputOf keeps account.
-	Last    bool      `json:"last,omitempty"`
-	InputOf Allocator `json:"io,omitzero"`
+	LastReader     bool      `json:"last,omitempty"`
+	InputAllocator Allocator `json:"io,omitzero"`
 }
 
 // groupKey names the items of one stage of one request, which share their
@@ -79,16 +79,16 @@
 	Made Reason = ""
 	// Late: it can't be made before its request's deadline.
 	Late Reason = "late"
-	// Gone: an input no longer exists.
-	Gone Reason = "gone"
+	// InputGone: an input no longer exists.
+	InputGone Reason = "gone"
 	// NoSpace: the target has no space for the result.
 	NoSpace Reason = "room"
-	// Broken: the target failed, as often as it was tried.
-	Broken Reason = "error"
+	// TargetFailed: the target failed, as often as it was tried.
+	TargetFailed Reason = "error"
 	// Moved: the shard has no targets any more, others of the service have.
 	Moved Reason = "moved"
-	// Idle: the service has no target that takes work.
-	Idle Reason = "no target"
+	// NoTarget: the service has no target that takes work.
+	NoTarget Reason = "no target"
 )
 
 // Result is what became of an item.
--- a/internal/serve/gather/newcomer_test.go
+++ b/internal/serve/gather/newcomer_test.go
@@ -14,7 +14,7 @@
 )
 
 // gathererOf is a gatherer for service s with a target at each address.
-func gathererOf(life context.Context, batch *plan.Batch, stager Stager, addresses ...string) *Gatherer {
+func gathererOf(life context.Context, batch *plan.Batch, stager StageClient, addresses ...string) *Gatherer {
 	var entries []pool.Entry
 	for _, address := range addresses {
 		entries = append(entries, pool.Entry{
--- a/internal/serve/gather/queue.go
+++ b/internal/serve/gather/queue.go
@@ -104,7 +104,7 @@
 	if w.Zone == "" || w.Zone == zone || now.Add(call+q.pacing.zoneSlack).After(w.due) {
 		return true
 	}
-	patience := time.Duration(float64(q.pacing.zonePatience) * min(1, float64(w.Cross)/crossFull))
+	patience := time.Duration(float64(q.pacing.zonePatience) * min(1, float64(w.CrossZoneBytes)/crossFull))
 	return now.Sub(w.since) >= patience
 }
 
--- a/internal/serve/gather/queue_test.go
+++ b/internal/serve/gather/queue_test.go
@@ -107,7 +107,7 @@
 func TestAnItemWaitsForItsZoneWhileItHasTime(t *testing.T) {
 	far := func(due time.Duration) *queue {
 		w := item("far", due)
-		w.Zone, w.Cross = "b", crossFull
+		w.Zone, w.CrossZoneBytes = "b", crossFull
 		return queueOf(w)
 	}
 	assert.Equal(t, len(far(2*time.Second).take(start, anyTarget(5))), 0, "it has time")
@@ -117,7 +117,7 @@
 	o.zone = "b"
 	assert.Equal(t, len(far(2*time.Second).take(start, o)), 1, "it is there")
 	small := far(2 * time.Second)
-	small.items[0].Cross = crossFull / 100
+	small.items[0].CrossZoneBytes = crossFull / 100
 	assert.Equal(t, len(small.take(start.Add(5*time.Millisecond), anyTarget(5))), 1, "it is small")
 }
 
@@ -235,8 +235,8 @@
 func TestInputsAreGivenBackWhenTheLastOfTheirReadersIsDone(t *testing.T) {
 	f := feeding{}
 	items := []Item{
-		{Key: Key{Request: "r", Stage: 1, Piece: 0}, Inputs: []string{"h"}, Last: true},
-		{Key: Key{Request: "r", Stage: 1, Piece: 1}, Inputs: []string{"h"}, Last: true},
+		{Key: Key{Request: "r", Stage: 1, Piece: 0}, Inputs: []string{"h"}, LastReader: true},
+		{Key: Key{Request: "r", Stage: 1, Piece: 1}, Inputs: []string{"h"}, LastReader: true},
 	}
 	for _, item := range items {
 		f.add(item)
@@ -254,7 +254,7 @@
 func TestInputsThatWereGivenBackAreKnown(t *testing.T) {
 	f := feeding{}
 	for _, request := range []string{"r", "q"} {
-		f.add(Item{Key: Key{Request: request, Stage: 1}, Inputs: []string{request + "-input"}, Last: true})
+		f.add(Item{Key: Key{Request: request, Stage: 1}, Inputs: []string{request + "-input"}, LastReader: true})
 	}
 	f.noteReleased(map[string]bool{"r-input": true, "another": true})
 	assert.Assert(t, f.released(Key{Request: "r", Stage: 1}))
@@ -326,7 +326,7 @@
 	l.drop("r", 4)
 	assert.Equal(t, l.standing(), 1)
 	f := feeding{}
-	f.add(Item{Key: second.Key, Serial: 5, Last: true})
+	f.add(Item{Key: second.Key, Serial: 5, LastReader: true})
 	f.drop("r", 4)
 	assert.Equal(t, len(f.groups), 1)
 	f.drop("r", 5)
--- a/internal/serve/gather/requester.go
+++ b/internal/serve/gather/requester.go
@@ -66,8 +66,8 @@
 	done     chan<- Result
 }
 
-// Refused means that the items can't be made in time.
-type Refused struct {
+// RefusedError means that the items can't be made in time.
+type RefusedError struct {
 	Reason Reason
 	// Service whose targets can't make it.
 	Service string
@@ -76,7 +76,7 @@
 }
 
 // Error describes the refusal.
-func (r *Refused) Error() string {
+func (r *RefusedError) Error() string {
 	return fmt.Sprintf("%s refused: %s (%v too late)", r.Service, r.Reason, r.Wait)
 }
 
@@ -134,8 +134,8 @@
 	r.leaving = true
 }
 
-// Work is what one request wants of one stage.
-type Work struct {
+// StageWork is what one request wants of one stage.
+type StageWork struct {
 	Service string
 	Items   []Item
 	Due     time.Time
@@ -144,15 +144,15 @@
 	Zone string
 }
 
-// Done is what became of the work.
-type Done struct {
+// StageResults is what became of the work.
+type StageResults struct {
 	Shard   Shard
 	Results []Result
 }
 
-// Make has the items made and waits for all of them. The error is *Refused or
+// RunStage has the items made and waits for all of them. The error is *RefusedError or
 // the context's.
-func (r *Requester) Make(ctx context.Context, w Work) (*Done, error) {
+func (r *Requester) RunStage(ctx context.Context, w StageWork) (*StageResults, error) {
 	moved := map[Shard]bool{}
 	for {
 		shard, err := r.shardBeside(moved, w.Service, w.Zone, w.Items[0].Request)
@@ -160,7 +160,7 @@
 			return nil, err
 		}
 		done, err := r.makeAt(ctx, shard, w)
-		var refused *Refused
+		var refused *RefusedError
 		if !errors.As(err, &refused) || refused.Reason != Moved {
 			return done, err
 		}
@@ -169,7 +169,7 @@
 }
 
 // makeAt has the items made by the targets of one shard.
-func (r *Requester) makeAt(ctx context.Context, shard Shard, w Work) (*Done, error) {
+func (r *Requester) makeAt(ctx context.Context, shard Shard, w StageWork) (*StageResults, error) {
 	results := make(chan Result, 2*len(w.Items))
 	wanted := r.register(w, shard, results)
 	defer r.forget(wanted)
@@ -179,7 +179,7 @@
 	return r.wait(ctx, shard, wanted, results)
 }
 
-func (r *Requester) register(w Work, shard Shard, results chan<- Result) []*pending {
+func (r *Requester) register(w StageWork, shard Shard, results chan<- Result) []*pending {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	wanted := make([]*pending, 0, len(w.Items))
@@ -227,13 +227,13 @@
 
 func refusal(shard Shard, ack Ack) error {
 	if ack.Unknown {
-		return &Refused{Reason: Idle, Service: shard.Service}
+		return &RefusedError{Reason: NoTarget, Service: shard.Service}
 	}
 	if ack.Moved {
-		return &Refused{Reason: Moved, Service: shard.Service}
+		return &RefusedError{Reason: Moved, Service: shard.Service}
 	}
 	if ack.Refused {
-		return &Refused{Reason: Late, Service: shard.Service, Wait: ack.Wait.Duration()}
+		return &RefusedError{Reason: Late, Service: shard.Service, Wait: ack.Wait.Duration()}
 	}
 	return nil
 }
@@ -272,8 +272,8 @@
 }
 
 // wait collects the results of all items, and looks after those that stay away.
-func (r *Requester) wait(ctx context.Context, shard Shard, wanted []*pending, results <-chan Result) (*Done, error) {
-	done := &Done{Shard: shard}
+func (r *Requester) wait(ctx context.Context, shard Shard, wanted []*pending, results <-chan Result) (*StageResults, error) {
+	done := &StageResults{Shard: shard}
 	timer := time.NewTimer(checkAfter)
 	defer timer.Stop()
 	seen := map[Key]bool{}
@@ -289,7 +289,7 @@
 			}
 			if result.Reason != Made {
 				r.abandon(shard, wanted, results, done)
-				return nil, &Refused{Reason: result.Reason, Service: shard.Service}
+				return nil, &RefusedError{Reason: result.Reason, Service: shard.Service}
 			}
 			seen[result.Key] = true
 			done.Results = append(done.Results, result)
@@ -306,7 +306,7 @@
 }
 
 // abandon drops what is no longer wanted and frees what was made.
-func (r *Requester) abandon(shard Shard, wanted []*pending, results <-chan Result, done *Done) {
+func (r *Requester) abandon(shard Shard, wanted []*pending, results <-chan Result, done *StageResults) {
 	byGatherer := map[peer.Incarnation]string{}
 	r.mu.Lock()
 	for _, p := range wanted {
--- a/internal/serve/gauges.go
+++ b/internal/serve/gauges.go
@@ -30,8 +30,8 @@
 	g.set("stages.items", int64(stages.Items))
 	g.set("stages.items_failed", int64(stages.Failed))
 	g.set("stages.items_late", int64(stages.Late))
-	g.set("stages.items_repeated", int64(stages.Repeated))
-	g.set("stages.results_in_vain", int64(stages.InVain))
+	g.set("stages.items_repeated", int64(stages.Retried))
+	g.set("stages.results_in_vain", int64(stages.Discarded))
 	s.observeZones(g)
 	p := s.plans.Current()
 	if p == nil {
--- a/internal/serve/run/executor.go
+++ b/internal/serve/run/executor.go
@@ -276,14 +276,14 @@
 	if cause := context.Cause(j.ctx); cause != nil {
 		return j.finish(fasthttp.StatusGatewayTimeout, ended(cause), 0)
 	}
-	var refused *gather.Refused
+	var refused *gather.RefusedError
 	if !errors.As(err, &refused) {
 		return j.finish(fasthttp.StatusBadGateway, StagesFailed, leastRetry)
 	}
 	switch refused.Reason {
 	case gather.Late:
 		return j.finish(fasthttp.StatusBadGateway, StagesLate, retryAfter(refused.Wait))
-	case gather.Idle:
+	case gather.NoTarget:
 		return j.finish(fasthttp.StatusBadGateway, NoTarget, retryAfter(0))
 	default:
 		return j.finish(fasthttp.StatusBadGateway, StagesFailed, retryAfter(0))
--- a/internal/serve/run/graph.go
+++ b/internal/serve/run/graph.go
@@ -17,7 +17,7 @@
 	// itself included; 0 for one that is left out.
 	height  []int
 	started []bool
-	done    []*gather.Done
+	done    []*gather.StageResults
 	freed   []bool
 }
 
@@ -35,7 +35,7 @@
 	n := len(j.route.Stages)
 	g := &graph{
 		job: j, stages: j.route.Stages, height: make([]int, n),
-		started: make([]bool, n), done: make([]*gather.Done, n), freed: make([]bool, n),
+		started: make([]bool, n), done: make([]*gather.StageResults, n), freed: make([]bool, n),
 	}
 	for i := range g.stages {
 		g.heightOf(i)
@@ -44,13 +44,13 @@
 }
 
 // plans lists what the request will want of each stage.
-func (g *graph) plans() []gather.Want {
-	var list []gather.Want
+func (g *graph) plans() []gather.ReservationRequest {
+	var list []gather.ReservationRequest
 	for i, s := range g.stages {
 		if g.pieces(i) == 0 {
 			continue
 		}
-		list = append(list, gather.Want{
+		list = append(list, gather.ReservationRequest{
 			Service: s.Service, Stage: i, Items: g.pieces(i), Due: g.due(i), Rank: plan.Rank(g.job.route, g.job.team),
 			Zone: g.zoneOf(i),
 		})
@@ -157,7 +157,7 @@
 	return true
 }
 
-func (g *graph) work(i int) gather.Work {
+func (g *graph) work(i int) gather.StageWork {
 	j := g.job
 	s := g.stages[i]
 	var from []string
@@ -172,15 +172,15 @@
 		item := gather.Item{
 			Key:  gather.Key{Request: j.req.ID, Stage: i, Piece: piece},
 			Rank: plan.Rank(j.route, j.team), Bytes: s.ResultBytes, Inputs: from,
-			Zone: zone, Cross: cross,
+			Zone: zone, CrossZoneBytes: cross,
 		}
 		if len(s.After) == 0 {
 			item.Source = j.req.PieceKey
 		}
-		item.InputOf, item.Last = g.lastUse(i)
+		item.InputAllocator, item.LastReader = g.lastUse(i)
 		items = append(items, item)
 	}
-	return gather.Work{Service: s.Service, Items: items, Due: g.due(i), Expires: j.deadline, Zone: g.zoneOf(i)}
+	return gather.StageWork{Service: s.Service, Items: items, Due: g.due(i), Expires: j.deadline, Zone: g.zoneOf(i)}
 }
 
 // bestZone is where a stage is best made, and about how many bytes an item saves
@@ -253,7 +253,7 @@
 		return 0
 	}
 	full := service.Batch.FullCall()
-	return full + turnTime(full, g.job.Stages.Targets(service.Name))
+	return full + turnTime(full, g.job.Stages.MeanShardTargets(service.Name))
 }
 
 // freeUsed gives back the results that all their followers have read. Those
--- a/internal/serve/run/refusal_test.go
+++ b/internal/serve/run/refusal_test.go
@@ -19,10 +19,10 @@
 // inputs are gone, and the stages can't be done again in time. A caller that is told
 // that nothing ran may book elsewhere, although the first target has worked for it.
 func TestARefusalOfStagesIsTrueAfterAnAttempt(t *testing.T) {
-	for _, reason := range []gather.Reason{gather.Late, gather.Idle, gather.Broken} {
+	for _, reason := range []gather.Reason{gather.Late, gather.NoTarget, gather.TargetFailed} {
 		for ran, status := range map[int]int{0: fasthttp.StatusServiceUnavailable, 1: fasthttp.StatusBadGateway} {
 			j := &job{ctx: context.Background(), ran: ran}
-			reply := j.stageRefusal(&gather.Refused{Reason: reason})
+			reply := j.stageRefusal(&gather.RefusedError{Reason: reason})
 			assert.Equal(t, reply.Status, status, "%s after %d that may have run", reason, ran)
 		}
 	}
--- a/internal/serve/run/stages.go
+++ b/internal/serve/run/stages.go
@@ -38,13 +38,13 @@
 		return nil, err
 	}
 	made, err := j.tryStages()
-	var refused *gather.Refused
-	if errors.As(err, &refused) && refused.Reason == gather.Gone {
+	var refused *gather.RefusedError
+	if errors.As(err, &refused) && refused.Reason == gather.InputGone {
 		j.restarted = err
 		made, err = j.tryStages()
 	}
 	if err != nil {
-		j.Stages.Withdraw(j.req.ID, asked)
+		j.Stages.CancelReservations(j.req.ID, asked)
 	}
 	return made, err
 }
@@ -58,12 +58,12 @@
 	g := newGraph(j)
 	zones := j.Stages.Zones(g.services(), j.req.ID)
 	if len(zones) == 0 {
-		return j.Stages.Ask(j.ctx, j.req.ID, g.plans())
+		return j.Stages.ReserveStages(j.ctx, j.req.ID, g.plans())
 	}
 	var refused error
 	for _, zone := range zones[:min(len(zones), zonesAsked)] {
 		j.zone = zone
-		asked, err := j.Stages.Ask(j.ctx, j.req.ID, g.plans())
+		asked, err := j.Stages.ReserveStages(j.ctx, j.req.ID, g.plans())
 		if err == nil {
 			return asked, nil
 		}
@@ -78,7 +78,7 @@
 	defer cancel()
 	type outcome struct {
 		stage int
-		done  *gather.Done
+		done  *gather.StageResults
 		err   error
 		took  time.Duration
 	}
@@ -93,7 +93,7 @@
 				work := g.work(i)
 				go func() {
 					begun := time.Now()
-					done, err := j.Stages.Make(ctx, work)
+					done, err := j.Stages.RunStage(ctx, work)
 					outcomes <- outcome{stage: i, done: done, err: err, took: time.Since(begun)}
 				}()
 			}
@@ -137,7 +137,7 @@
 	return in
 }
 
-func handles(done *gather.Done) []string {
+func handles(done *gather.StageResults) []string {
 	list := make([]string, 0, len(done.Results))
 	for _, r := range done.Results {
 		list = append(list, r.Handle)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -41,7 +41,7 @@
 	Source follow.Source
 	Codec  run.Codec
 	// Stager makes the calls of stage targets over the given client.
-	Stager func(*upstream.Client) gather.Stager
+	Stager func(*upstream.Client) gather.StageClient
 	// Budget bounds the repeats of all processes together.
 	Budget quota.Rule
 	// ChangeBound is within what time changes in the store are in force; 0 is
--- a/internal/serve/servetest/stages.go
+++ b/internal/serve/servetest/stages.go
@@ -14,7 +14,7 @@
 
 // Pools is a model of stage targets: one call at a time, a call time that
 // hardly depends on the batch, and little space for results. It implements
-// gather.Stager.
+// gather.StageClient.
 type Pools struct {
 	Services map[string]*plan.Batch
 	// Slow multiplies the time of a target's calls, by ID.
@@ -39,7 +39,7 @@
 	Gone map[string]int
 }
 
-var _ gather.Stager = (*Pools)(nil)
+var _ gather.StageClient = (*Pools)(nil)
 
 // target is the model of one.
 type target struct {
@@ -127,7 +127,7 @@
 		p.sweep(from)
 		input, found := from.results[handle]
 		if !found {
-			out.Reason = gather.Gone
+			out.Reason = gather.InputGone
 			if !p.made[item.Key] {
 				p.Gone[item.Request]++
 			}
@@ -142,7 +142,7 @@
 		return out
 	}
 	if p.Fail != nil && p.Fail(item) {
-		out.Reason = gather.Broken
+		out.Reason = gather.TargetFailed
 		return out
 	}
 	p.made[item.Key] = true
