--- a/internal/serve/run/attempt.go
+++ b/internal/serve/run/attempt.go
@@ -45,11 +45,11 @@
 	if target == nil {
 		return attempt{}
 	}
-	answer, call, failed := j.send(j.ctx, target, j.req.LastEvent)
+	answer, call, failed := j.send(j.ctx, target, j.req.LastEventID)
 	if failed != nil {
 		return *failed
 	}
-	said := j.Codec.Read(&answer.Header)
+	said := j.Codec.ReadAnswer(&answer.Header)
 	if answer.Status >= fasthttp.StatusInternalServerError && j.worthAnother(target) {
 		answer.Close()
 		call.End(pool.Failed, time.Now())
@@ -96,7 +96,7 @@
 		return nil, nil, j.unanswered(ctx, target, call, err)
 	}
 	j.arrivals++
-	said := j.Codec.Read(&answer.Header)
+	said := j.Codec.ReadAnswer(&answer.Header)
 	if said.Report != nil {
 		target.Reported(*said.Report)
 	}
@@ -108,7 +108,7 @@
 }
 
 func (j *job) request(target *pool.Target, lastEvent string, now time.Time) *upstream.Request {
-	send := Send{Target: target.ID, Remaining: j.deadline.Sub(now), LastEvent: lastEvent}
+	send := AttemptInfo{Target: target.ID, Remaining: j.deadline.Sub(now), LastEventID: lastEvent}
 	if j.team != nil {
 		send.Team = j.team.Name
 	}
@@ -118,9 +118,9 @@
 	}
 	r := &upstream.Request{
 		Address: target.Address, Method: j.req.Method, URI: j.req.URI, Host: j.req.Host,
-		Header: j.Codec.Head(j.req, send), Body: j.req.Body,
+		Header: j.Codec.RequestHeader(j.req, send), Body: j.req.Body,
 		IsOurs: func(h *fasthttp.ResponseHeader) bool {
-			id := j.Codec.Read(h).ID
+			id := j.Codec.ReadAnswer(h).ID
 			return id == "" || id == j.req.ID
 		},
 	}
--- a/internal/serve/run/departure.go
+++ b/internal/serve/run/departure.go
@@ -17,14 +17,14 @@
 	leavingRetry = 10 * time.Millisecond
 )
 
-// Departure is the planned end of this process.
-type Departure struct {
+// Shutdown is the planned end of this process.
+type Shutdown struct {
 	// AcceptUntil is when it stops accepting requests, End when it ends.
 	AcceptUntil, End time.Time
 }
 
-// Leave bounds the work on requests by the end of this process.
-func (e *Executor) Leave(d Departure) { e.departure.Store(&d) }
+// StartShutdown bounds the work on requests by the end of this process.
+func (e *Executor) StartShutdown(d Shutdown) { e.departure.Store(&d) }
 
 // AcceptFor is how long this process may go on accepting requests if it ends after a time, so
 // that it finishes all of them. It is all of that time while no answers are known.
@@ -43,7 +43,7 @@
 	if d == nil || time.Now().Before(d.AcceptUntil) {
 		return nil
 	}
-	return refuse(fasthttp.StatusServiceUnavailable, Leaving, leavingRetry)
+	return refuse(fasthttp.StatusServiceUnavailable, ShuttingDown, leavingRetry)
 }
 
 // refuseCut refuses a request that is about to be sent to a target, but would probably be cut
@@ -53,5 +53,5 @@
 	if d == nil || j.answers.longer(j.route.Name, time.Until(d.End)) <= mostCut {
 		return nil
 	}
-	return j.finish(fasthttp.StatusGatewayTimeout, Leaving, leavingRetry)
+	return j.finish(fasthttp.StatusGatewayTimeout, ShuttingDown, leavingRetry)
 }
--- a/internal/serve/run/executor.go
+++ b/internal/serve/run/executor.go
@@ -22,12 +22,12 @@
 )
 
 // ErrTimeout ends the work on a request whose time is up, ErrCallerLeft that of
-// one whose caller is gone, ErrLeaving that of those still on their way when this
+// one whose caller is gone, ErrShutdown that of those still on their way when this
 // process's grace period is over.
 var (
 	ErrTimeout    = errors.New("the request's time is up")
 	ErrCallerLeft = errors.New("the caller left")
-	ErrLeaving    = errors.New("this process ends")
+	ErrShutdown    = errors.New("this process ends")
 )
 
 // defaultPatience bounds requests whose route and caller set no time.
@@ -56,14 +56,14 @@
 	LeaveOut leaveout.Set
 	// Suspicion knows the requests that crash their targets; nil for none.
 	Suspicion Suspicion
-	// Starting tells in about what time a process that has just started knows the
+	// TimeToReady tells in about what time a process that has just started knows the
 	// configuration and the targets; nil is leastStarting.
-	Starting func(now time.Time) time.Duration
+	TimeToReady func(now time.Time) time.Duration
 
 	firstEvents firstEvents
 	answers     answers
 	// departure is nil while this process isn't shutting down.
-	departure atomic.Pointer[Departure]
+	departure atomic.Pointer[Shutdown]
 }
 
 // Suspicion knows the requests that crash their targets, whichever process they
@@ -72,9 +72,9 @@
 	// Convicted tells that a request has crashed so many targets that it gets
 	// no more.
 	Convicted(suspect.Fingerprint) bool
-	// Broke notes that a request's connection to a target broke. Whether the
+	// ConnectionBroke notes that a request's connection to a target broke. Whether the
 	// target died is found out meanwhile.
-	Broke(f suspect.Fingerprint, address string)
+	ConnectionBroke(f suspect.Fingerprint, address string)
 }
 
 // job is one request on its way.
@@ -190,7 +190,7 @@
 // broke notes that a connection to a target broke under the request.
 func (j *job) broke(address string) {
 	if j.Suspicion != nil && j.ctx.Err() == nil {
-		j.Suspicion.Broke(j.content, address)
+		j.Suspicion.ConnectionBroke(j.content, address)
 	}
 }
 
@@ -200,8 +200,8 @@
 	if j.route.Timeout > 0 {
 		limit = j.route.Timeout
 	}
-	if j.req.Patience > 0 {
-		limit = min(limit, j.req.Patience)
+	if j.req.Timeout > 0 {
+		limit = min(limit, j.req.Timeout)
 	}
 	return limit
 }
@@ -266,10 +266,10 @@
 
 // startingRetry is when a caller should come back to a process that has just started.
 func (j *job) startingRetry() time.Duration {
-	if j.Starting == nil {
+	if j.TimeToReady == nil {
 		return retryAfter(leastStarting)
 	}
-	return retryAfter(max(j.Starting(time.Now()), leastStarting))
+	return retryAfter(max(j.TimeToReady(time.Now()), leastStarting))
 }
 
 func (j *job) stageRefusal(err error) *Reply {
@@ -294,8 +294,8 @@
 	switch {
 	case errors.Is(cause, ErrCallerLeft):
 		return CallerLeft
-	case errors.Is(cause, ErrLeaving):
-		return Leaving
+	case errors.Is(cause, ErrShutdown):
+		return ShuttingDown
 	default:
 		return TimedOut
 	}
--- a/internal/serve/run/request.go
+++ b/internal/serve/run/request.go
@@ -29,20 +29,20 @@
 	// Key is the caller's key; empty for none.
 	Key     string
 	Arrived time.Time
-	// Patience is how long the caller waits from Arrived on; 0 where it didn't
+	// Timeout is how long the caller waits from Arrived on; 0 where it didn't
 	// say.
-	Patience time.Duration
+	Timeout time.Duration
 	// Pieces is how many pieces each stage has, 0 for a stage left out, and
 	// PieceKey names what they are made from.
 	Pieces   []int
 	PieceKey string
 	Prompt   place.Prompt
-	// LastEvent is the id of the last event that the caller has of this stream.
-	LastEvent string
+	// LastEventID is the id of the last event that the caller has of this stream.
+	LastEventID string
 }
 
-// Send is what an attempt at a target tells it besides the request itself.
-type Send struct {
+// AttemptInfo is what an attempt at a target tells it besides the request itself.
+type AttemptInfo struct {
 	// Target is the ID of the one that is meant.
 	Target string
 	// Team is the customer's name; empty on public routes.
@@ -51,15 +51,15 @@
 	Remaining time.Duration
 	// Inputs are the results of the stages.
 	Inputs []string
-	// LastEvent is the id of the last event that arrived, if this goes on with
+	// LastEventID is the id of the last event that arrived, if this goes on with
 	// a stream.
-	LastEvent string
+	LastEventID string
 	// Rank is the request's priority.
 	Rank int
 }
 
-// Said is what a target says of itself with an answer.
-type Said struct {
+// AnswerInfo is what a target says of itself with an answer.
+type AnswerInfo struct {
 	// ID of the request that the answer belongs to; empty where it isn't said.
 	ID string
 	// NotRun means that the target certainly didn't run the request.
@@ -72,10 +72,10 @@
 
 // Codec translates between this package and the wire of the targets.
 type Codec interface {
-	// Head gives the header lines of an attempt.
-	Head(r *Request, s Send) []upstream.Header
-	// Read tells what an answer's header says.
-	Read(h *fasthttp.ResponseHeader) Said
+	// RequestHeader gives the header lines of an attempt.
+	RequestHeader(r *Request, s AttemptInfo) []upstream.Header
+	// ReadAnswer tells what an answer's header says.
+	ReadAnswer(h *fasthttp.ResponseHeader) AnswerInfo
 }
 
 // Reason says why a request got an answer of our own.
@@ -97,7 +97,7 @@
 	CallerLeft      Reason = "caller left"
 	TooManyPieces   Reason = "too many pieces"
 	CrashesTargets  Reason = "it crashes its targets"
-	Leaving         Reason = "this VM is leaving"
+	ShuttingDown         Reason = "this VM is leaving"
 )
 
 // Reply is the answer to a caller.
--- a/internal/serve/run/stream.go
+++ b/internal/serve/run/stream.go
@@ -41,7 +41,7 @@
 }
 
 func (j *job) stream(target *pool.Target, answer *upstream.Answer, call *pool.Call) *Reply {
-	s := &stream{job: j, target: target, answer: answer, call: call, last: j.req.LastEvent}
+	s := &stream{job: j, target: target, answer: answer, call: call, last: j.req.LastEventID}
 	length := answer.Length
 	if j.route.Resumable {
 		length = -1 // the rest may come from another target
@@ -208,7 +208,7 @@
 	if failed != nil {
 		return false
 	}
-	if answer.Status != fasthttp.StatusOK || !j.Codec.Read(&answer.Header).Signed {
+	if answer.Status != fasthttp.StatusOK || !j.Codec.ReadAnswer(&answer.Header).Signed {
 		answer.Close()
 		call.End(pool.Failed, time.Now())
 		return false
--- a/internal/serve/suspicion.go
+++ b/internal/serve/suspicion.go
@@ -150,8 +150,8 @@
 	return s.table.Crashes(f, time.Now()) >= crashesToConvict
 }
 
-// Broke looks whether the target died, and reports it if it did.
-func (s *suspicion) Broke(f suspect.Fingerprint, address string) {
+// ConnectionBroke looks whether the target died, and reports it if it did.
+func (s *suspicion) ConnectionBroke(f suspect.Fingerprint, address string) {
 	time.AfterFunc(lookAfter, func() {
 		if s.life.Err() == nil && s.died(address) {
 			s.crashed(f, address)
