--- a/internal/serve/run/executor.go
+++ b/internal/serve/run/executor.go
@@ -27,7 +27,7 @@
 var (
 	ErrTimeout    = errors.New("the request's time is up")
 	ErrCallerLeft = errors.New("the caller left")
-	ErrShutdown    = errors.New("this process ends")
+	ErrShutdown   = errors.New("this process ends")
 )
 
 // defaultPatience bounds requests whose route and caller set no time.
--- a/internal/serve/run/request.go
+++ b/internal/serve/run/request.go
@@ -97,7 +97,7 @@
 	CallerLeft      Reason = "caller left"
 	TooManyPieces   Reason = "too many pieces"
 	CrashesTargets  Reason = "it crashes its targets"
-	ShuttingDown         Reason = "this VM is leaving"
+	ShuttingDown    Reason = "this VM is leaving"
 )
 
 // Reply is the answer to a caller.
