--- a/internal/serve/gather/buffers.go
+++ b/internal/serve/gather/buffers.go
@@ -2,78 +2,80 @@
 
 import "time"
 
-// buffer is what is known of the space for results at one target. A result takes
-// space from the turn of its call until it is freed or lapses.
+// buffer tracks the space that results take at one target. At the target a result takes space
+// from the start of the call that creates it until it is freed or expires.
 type buffer struct {
-	bytes   int // of all results below
-	results map[string]kept
-	// early are results that were given back before their reader was done.
-	early map[string]bool
+	bytes   int // total of results
+	results map[string]storedResult
+	// releasedEarly holds results that were released while their reader could still fail.
+	releasedEarly map[string]bool
 }
 
-// foreign stands for results that this process knows nothing of: made for one
-// that gathered before and died, or that gathers as well. Nobody gives them
-// back; they lapse.
+// foreign stands for results that this process doesn't know: they were created for
+// a gatherer that died, or for another process that gathers for the same shard. Nobody here
+// frees them; they expire.
 const foreign = "foreign"
 
-// full notes that a target had no space for more, though there should have been
-// some.
-func (r *buffer) full(size int, expires time.Time) {
-	r.put(foreign, max(size-r.bytes+r.foreign(), 0), expires)
+// markFull records that a target reported no space although by this account it should have had
+// some. The difference is attributed to foreign results.
+func (b *buffer) markFull(size int, expires time.Time) {
+	b.put(foreign, max(size-b.bytes+b.foreign(), 0), expires)
 }
 
-// foreign is how much space such results take.
-func (r *buffer) foreign() int { return r.results[foreign].bytes }
+// foreign returns the space attributed to foreign results.
+func (b *buffer) foreign() int { return b.results[foreign].bytes }
 
-type kept struct {
+// storedResult is the space of one result, and when the target drops it.
+type storedResult struct {
 	bytes   int
 	expires time.Time
 }
 
-func (r *buffer) put(handle string, bytes int, expires time.Time) {
-	if r.results == nil {
-		r.results = map[string]kept{}
+func (b *buffer) put(handle string, bytes int, expires time.Time) {
+	if b.results == nil {
+		b.results = map[string]storedResult{}
 	}
-	r.drop(handle)
-	r.results[handle] = kept{bytes: bytes, expires: expires}
-	r.bytes += bytes
+	b.drop(handle)
+	b.results[handle] = storedResult{bytes: bytes, expires: expires}
+	b.bytes += bytes
 }
 
-// release chooses which of some results to give back now. While their readers
-// may still fail, only those are whose space is needed.
-func (r *buffer) release(handles []string, final bool, size int) []string {
-	if !final && float64(r.bytes) < tightBuffer*float64(size) {
+// selectReleasable returns the results to free now, and remembers those that are freed early.
+// While their readers may still fail (final is false), it returns results only if the buffer,
+// which has size bytes, is filled beyond earlyReleaseThreshold.
+func (b *buffer) selectReleasable(handles []string, final bool, size int) []string {
+	if !final && float64(b.bytes) < earlyReleaseThreshold*float64(size) {
 		return nil
 	}
 	var now []string
 	for _, handle := range handles {
-		if final && r.early[handle] {
-			delete(r.early, handle)
+		if final && b.releasedEarly[handle] {
+			delete(b.releasedEarly, handle)
 			continue
 		}
 		if !final {
-			if r.early == nil {
-				r.early = map[string]bool{}
+			if b.releasedEarly == nil {
+				b.releasedEarly = map[string]bool{}
 			}
-			r.early[handle] = true
+			b.releasedEarly[handle] = true
 		}
 		now = append(now, handle)
 	}
 	return now
 }
 
-func (r *buffer) drop(handle string) {
-	if k, found := r.results[handle]; found {
-		r.bytes -= k.bytes
-		delete(r.results, handle)
+func (b *buffer) drop(handle string) {
+	if result, found := b.results[handle]; found {
+		b.bytes -= result.bytes
+		delete(b.results, handle)
 	}
 }
 
-// sweep forgets results that have lapsed.
-func (r *buffer) sweep(now time.Time) {
-	for handle, k := range r.results {
-		if now.After(k.expires) {
-			r.drop(handle)
+// dropExpired forgets results that have expired at the target.
+func (b *buffer) dropExpired(now time.Time) {
+	for handle, result := range b.results {
+		if now.After(result.expires) {
+			b.drop(handle)
 		}
 	}
 }
--- a/internal/serve/gather/call.go
+++ b/internal/serve/gather/call.go
@@ -13,61 +13,63 @@
 	"github.com/vanillagate/vanillagate/internal/serve/upstream"
 )
 
-func (g *Gatherer) call(c *shard, batch *plan.Batch, target *pool.Target, taken []*waiting, items []Item, expected time.Duration) {
-	ctx, cancel := context.WithTimeout(g.life, callPatience*expected+callSlack)
+// runCall makes one call, handles its outcome, and dispatches again.
+func (g *Gatherer) runCall(s *shard, batch *plan.Batch, target *pool.Target, taken []*queuedItem, items []Item, expected time.Duration) {
+	ctx, cancel := context.WithTimeout(g.life, callTimeoutFactor*expected+callTimeoutSlack)
 	defer cancel()
 	started := time.Now()
-	noted := g.table.Begin(target, 0, started)
+	tracked := g.table.Begin(target, 0, started)
 	ended := make(chan struct{})
-	results, err := g.stager.Run(ctx, target, items, func() { go g.watchFetch(c, items, ended) })
+	results, err := g.client.Run(ctx, target, items, func() { go g.releaseAfterFetch(s, items, ended) })
 	close(ended)
 	now := time.Now()
-	noted.End(outcomeOf(results, err), now)
+	tracked.End(outcomeOf(results, err), now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(c.working, target.ID)
-	for _, w := range taken {
-		delete(c.running, w.Key)
+	delete(s.activeCalls, target.ID)
+	for _, item := range taken {
+		delete(s.runningItems, item.Key)
 	}
 	if err != nil {
-		g.failed(c, target, taken, err, now)
+		g.callFailed(s, target, taken, err, now)
 	} else {
-		g.finished(c, batch, target, taken, results, now)
-		if !c.newcomer(batch, started) {
-			g.notePace(c, target, now.Sub(started), expected, now)
+		g.callFinished(s, batch, target, taken, results, now)
+		if !s.warmingUp(batch, started) {
+			g.recordPace(s, target, now.Sub(started), expected, now)
 		}
 	}
-	g.dispatch(c, batch, now)
+	g.dispatch(s, batch, now)
 }
 
-// watchFetch waits until a call that has been written must have fetched its
-// inputs, unless it ends before. The time counts from the writing: a small VM
-// may stand still for a tenth of a second between its decision and that, and
-// inputs given back too soon cost their request its whole chain.
-func (g *Gatherer) watchFetch(c *shard, items []Item, ended <-chan struct{}) {
-	timer := time.NewTimer(fetchTime)
+// releaseAfterFetch releases the inputs of a call's items once the target must have fetched
+// them, unless the call ends before. The time counts from the moment the call was written: a
+// small VM may be stalled for a tenth of a second between deciding on the call and writing it,
+// and if inputs are freed too soon, their request has to repeat all its stages.
+func (g *Gatherer) releaseAfterFetch(s *shard, items []Item, ended <-chan struct{}) {
+	timer := time.NewTimer(inputFetchTime)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		g.fetched(c, items)
+		g.inputsFetched(s, items)
 	case <-ended:
 	}
 }
 
-// fetched tells those who gathered the inputs of some items that they have been
-// fetched.
-func (g *Gatherer) fetched(c *shard, items []Item) {
+// inputsFetched records that the inputs of some items have been fetched, and has their
+// allocators release the inputs that no item of the group still has to fetch.
+func (g *Gatherer) inputsFetched(s *shard, items []Item) {
 	if g.leaveOut.Has(leaveout.EarlyRelease) {
 		return
 	}
 	g.mu.Lock()
-	groups := c.feeding.fetched(items)
+	groups := s.inputTracker.inputsFetched(items)
 	g.mu.Unlock()
 	for _, group := range groups {
 		g.release(group.allocator, group.inputs, false)
 	}
 }
 
+// outcomeOf classifies a call for the table of targets.
 func outcomeOf(results []Result, err error) pool.Outcome {
 	switch {
 	case errors.Is(err, ErrFull):
@@ -85,101 +87,103 @@
 	return pool.Failed
 }
 
-func (g *Gatherer) notePace(c *shard, target *pool.Target, actual, expected time.Duration, now time.Time) {
+// recordPace updates the pace of a target after a call. The caller holds mu.
+func (g *Gatherer) recordPace(s *shard, target *pool.Target, actual, expected time.Duration, now time.Time) {
 	if g.leaveOut.Has(leaveout.SlowTargets) {
 		return
 	}
-	p := c.paces[target.ID]
+	p := s.paces[target.ID]
 	if p == nil {
 		p = &pace{}
-		c.paces[target.ID] = p
+		s.paces[target.ID] = p
 	}
-	p.took(actual, expected, now)
+	p.record(actual, expected, now)
 }
 
-// failed puts the items of a call without an answer back. The caller holds mu.
-func (g *Gatherer) failed(c *shard, target *pool.Target, taken []*waiting, err error, now time.Time) {
+// callFailed handles a call that got no answer: its items are queued again or fail. The caller
+// holds mu.
+func (g *Gatherer) callFailed(s *shard, target *pool.Target, taken []*queuedItem, err error, now time.Time) {
 	notRun := errors.Is(err, ErrFull) || upstream.NotSent(err)
 	if notRun {
-		c.pauses[target.ID] = now.Add(fullPause)
+		s.pausedUntil[target.ID] = now.Add(fullPause)
 	}
-	g.log.Warn("Call of a stage target failed.", zap.String("target", target.ID), zap.String("service", c.Service),
+	g.log.Warn("Call of a stage target failed.", zap.String("target", target.ID), zap.String("service", s.Service),
 		zap.Int("items", len(taken)), zap.Error(err))
-	for _, w := range taken {
+	for _, item := range taken {
 		if notRun {
-			w.tries--
+			item.tries--
 		}
-		g.again(c, w, target, TargetFailed)
+		g.retry(s, item, target, TargetFailed)
 	}
 }
 
-// again puts an item back into the queue, or gives it up. One whose inputs were given
-// back already is given up at once: a second call would only find out that they are
-// gone, and its request needs that time to start its stages over. The caller holds mu.
-func (g *Gatherer) again(c *shard, w *waiting, target *pool.Target, reason Reason) {
-	if c.feeding.released(w.Key) {
+// retry puts an item back into the queue, or fails it. An item whose inputs were already freed
+// fails at once: a second call would only find them gone, and its request needs the time to
+// restart its stages. The caller holds mu.
+func (g *Gatherer) retry(s *shard, item *queuedItem, target *pool.Target, reason Reason) {
+	if s.inputTracker.released(item.Key) {
 		g.stats.Failed++
-		g.hand(c, w.owner, Result{Key: w.Key, Reason: InputGone})
+		g.sendResults(s, item.owner, Result{Key: item.Key, Reason: InputGone})
 		return
 	}
-	if w.tries >= maxTries {
+	if item.tries >= maxTries {
 		g.stats.Failed++
-		g.hand(c, w.owner, Result{Key: w.Key, Reason: reason})
+		g.sendResults(s, item.owner, Result{Key: item.Key, Reason: reason})
 		return
 	}
 	g.stats.Retried++
-	w.avoid = target.ID
-	w.since = time.Now()
-	c.queue.add(w)
+	item.avoidTarget = target.ID
+	item.since = time.Now()
+	s.queue.add(item)
 }
 
-// firstUnmade names the request of the first item that wasn't made.
-func firstUnmade(taken []*waiting, results []Result) string {
+// firstFailedRequest returns the request of the first item that has no result.
+func firstFailedRequest(taken []*queuedItem, results []Result) string {
 	for i, r := range results {
-		if r.Reason != Made {
+		if r.Reason != Completed {
 			return taken[i].Request
 		}
 	}
 	return ""
 }
 
-// finished hands out the results of a call. The caller holds mu.
-func (g *Gatherer) finished(c *shard, batch *plan.Batch, target *pool.Target, taken []*waiting, results []Result, now time.Time) {
+// callFinished distributes the results of a call. The caller holds mu.
+func (g *Gatherer) callFinished(s *shard, batch *plan.Batch, target *pool.Target, taken []*queuedItem, results []Result, now time.Time) {
 	byOwner := map[string][]Result{}
-	lacking := false
-	unmade := map[Reason]int{}
-	for i, w := range taken {
+	spaceShort := false
+	failures := map[Reason]int{}
+	for i, item := range taken {
 		r := results[i]
-		if r.Reason != Made {
-			unmade[r.Reason]++
+		if r.Reason != Completed {
+			failures[r.Reason]++
 		}
-		r.Key = w.Key
+		r.Key = item.Key
 		r.Zone = target.Zone
 		switch r.Reason {
 		case NoSpace:
-			lacking = true
-			w.tries-- // it wasn't tried
-			g.again(c, w, target, NoSpace)
+			spaceShort = true
+			item.tries-- // the call didn't run the item
+			g.retry(s, item, target, NoSpace)
 			continue
 		case TargetFailed:
-			g.again(c, w, target, TargetFailed)
+			g.retry(s, item, target, TargetFailed)
 			continue
-		case Made:
-			g.bufferOf(c, target.Address, now).put(r.Handle, w.Bytes, now.Add(batch.Keep))
-			if group := c.feeding.made(w.Key); group != nil {
+		case Completed:
+			g.bufferOf(s, target.Address, now).put(r.Handle, item.Bytes, now.Add(batch.Keep))
+			if group := s.inputTracker.completed(item.Key); group != nil {
 				go g.release(group.allocator, group.inputs, true)
 			}
 		}
-		byOwner[w.owner] = append(byOwner[w.owner], r)
+		byOwner[item.owner] = append(byOwner[item.owner], r)
 	}
-	if len(unmade) > 0 {
-		g.log.Info("Items of a call weren't made.", zap.String("target", target.ID), zap.String("service", c.Service),
-			zap.Int("items", len(taken)), zap.Any("reasons", unmade), zap.String("request", firstUnmade(taken, results)))
+	if len(failures) > 0 {
+		g.log.Info("Items of a call weren't made.", zap.String("target", target.ID), zap.String("service", s.Service),
+			zap.Int("items", len(taken)), zap.Any("reasons", failures), zap.String("request", firstFailedRequest(taken, results)))
 	}
-	if lacking {
-		g.bufferOf(c, target.Address, now).full(batch.BufferBytes, now.Add(foreignTime))
+	if spaceShort {
+		g.bufferOf(s, target.Address, now).markFull(batch.BufferBytes, now.Add(foreignTime))
 	}
 	for owner, list := range byOwner {
-		g.hand(c, owner, list...)
+		g.sendResults(s, owner, list...)
 	}
 }
--- a/internal/serve/gather/choose.go
+++ b/internal/serve/gather/choose.go
@@ -10,7 +10,7 @@
 	"github.com/vanillagate/vanillagate/internal/serve/leaveout"
 )
 
-// MeanShardTargets is how many targets a shard of a service has, on average.
+// MeanShardTargets returns the mean number of targets in a shard of a service.
 func (r *Requester) MeanShardTargets(service string) int {
 	s := r.shardingOf(service)
 	if len(s.shards) == 0 {
@@ -19,25 +19,26 @@
 	return len(s.ready.Targets) / len(s.shards)
 }
 
-// shardOf chooses the shard for some work: one of the wanted zone, else any, by
-// the request.
-func (r *Requester) shardOf(service, zone, request string) (Shard, error) {
-	return r.shardBeside(nil, service, zone, request)
+// chooseShard selects a shard by the hash of the request ID: one in the wanted zone if there is
+// any, else any shard of the service.
+func (r *Requester) chooseShard(service, zone, request string) (Shard, error) {
+	return r.chooseShardExcept(nil, service, zone, request)
 }
 
-// shardBeside is shardOf without the shards that turned out to have no targets.
-func (r *Requester) shardBeside(moved map[Shard]bool, service, zone, request string) (Shard, error) {
-	shard, found := r.shardingOf(service).choose(moved, zone, request)
+// chooseShardExcept is chooseShard without the excluded shards, which turned out to have no
+// targets.
+func (r *Requester) chooseShardExcept(excluded map[Shard]bool, service, zone, request string) (Shard, error) {
+	shard, found := r.shardingOf(service).choose(excluded, zone, request)
 	if !found {
 		return Shard{}, &RefusedError{Reason: NoTarget, Service: service}
 	}
 	return shard, nil
 }
 
-// Zones lists the zones in which a request's stages may be made, the one to try
-// first in front; nil where none of the services is divided by zone. All stages
-// of a chain are best made in one zone, since their results don't cross then.
-// The first is drawn by the request, each zone as often as it has targets.
+// Zones lists the zones in which a request's stages may run, in the order in which to try them.
+// It returns nil if none of the services is sharded by zone. Running all stages of a request in
+// one zone avoids transferring results between zones. The first zone is selected by a hash of
+// the request ID, with a probability proportional to the zone's targets.
 func (r *Requester) Zones(services []string, request string) []string {
 	if r.leaveOut.Has(leaveout.OneZone) {
 		return nil
@@ -58,20 +59,21 @@
 	for zone := range weight {
 		zones = append(zones, zone)
 	}
-	// The highest of u^(1/w), u drawn by request and zone, falls on each zone
-	// as often as its weight says.
-	draw := func(zone string) float64 {
+	// Weighted rendezvous hashing: the zone with the highest u^(1/w), where u is a hash of
+	// request and zone scaled to [0, 1), is each zone with a probability proportional to its
+	// weight w.
+	score := func(zone string) float64 {
 		u := float64(routing.Rendezvous(zone, request)>>11) / (1 << 53)
 		return math.Pow(u, 1/weight[zone])
 	}
-	slices.SortFunc(zones, func(a, b string) int { return cmp.Compare(draw(b), draw(a)) })
+	slices.SortFunc(zones, func(a, b string) int { return cmp.Compare(score(b), score(a)) })
 	return zones
 }
 
-// answering leaves out the gatherers that don't answer. Where none is left
-// the trouble is on this side or everywhere, and weaker ones or one after the
-// other would only multiply it: then all stay. The caller holds mu.
-func (r *Requester) answering(list []peer.Incarnation) []peer.Incarnation {
+// responsive filters out the gatherers that don't answer. If none is left, the fault is
+// probably on this side or everywhere, and failing over to weaker processes, or to one after
+// the other, would only make it worse, so the whole list is returned. The caller holds mu.
+func (r *Requester) responsive(list []peer.Incarnation) []peer.Incarnation {
 	if len(r.unresponsive) == 0 {
 		return list
 	}
--- a/internal/serve/gather/choose_test.go
+++ b/internal/serve/gather/choose_test.go
@@ -14,7 +14,7 @@
 	"github.com/vanillagate/vanillagate/internal/serve/pool"
 )
 
-// fixedNetwork knows some members and calls none.
+// fixedNetwork has fixed members and supports no calls.
 type fixedNetwork struct {
 	peer.Network
 	self    peer.Member
@@ -32,8 +32,8 @@
 	return n.view
 }
 
-// aRequester makes a requester that knows no targets and no configuration.
-func aRequester(network peer.Network) *Requester {
+// newTestRequester creates a requester that knows no targets and no configuration.
+func newTestRequester(network peer.Network) *Requester {
 	table, plans := pool.New(zap.NewNop()), &plan.Holder{}
 	return &Requester{
 		log: zap.NewNop(), network: network, table: table, unresponsive: map[peer.Incarnation]bool{},
@@ -41,14 +41,14 @@
 	}
 }
 
-// A process's own link is full, and no gatherer seems to answer. If it failed over
-// one after the other down to the weakest VM, and all processes did, every shard
+// When a process's own network link is saturated, no gatherer seems to answer. If every such
+// process failed over to one candidate after the other, down to the weakest VM, each shard
 // would have dozens of gatherers, whose calls find the targets full.
-func TestGatherersThatDoNotAnswerAreNotReplacedByWeakOnes(t *testing.T) {
-	member := func(name string, power int) peer.Member {
-		return peer.Member{Incarnation: peer.Incarnation(name), State: peer.Alive, CPUPercent: power}
+func TestUnresponsiveGatherersAreNotReplacedByWeakOnes(t *testing.T) {
+	member := func(name string, cpuPercent int) peer.Member {
+		return peer.Member{Incarnation: peer.Incarnation(name), State: peer.Alive, CPUPercent: cpuPercent}
 	}
-	r := aRequester(&fixedNetwork{self: member("self", 19), members: []peer.Member{member("a", 80), member("b", 80), member("weak", 19)}})
+	r := newTestRequester(&fixedNetwork{self: member("self", 19), members: []peer.Member{member("a", 80), member("b", 80), member("weak", 19)}})
 	shard := Shard{Service: "s"}
 	all := r.gatherers(shard)
 	assert.Equal(t, len(all), 2)
@@ -60,14 +60,14 @@
 	assert.Assert(t, !slices.Contains(got, "weak"))
 }
 
-// A VM's settings say that its power is negative or beyond all bounds, and each
-// peer hears of it. There must be somebody who gathers: the first of an empty list
-// would end every process at its next request with stages.
-func TestAnyPowerLeavesSomebodyToGather(t *testing.T) {
-	for _, power := range []int{math.MinInt, -100, 0, math.MaxInt/2 + 1, math.MaxInt} {
+// A VM announces a CPU percentage that is negative or close to the integer limits, and all peers learn
+// it. The list of gatherers must not be empty: each process takes its first element and would
+// panic at the next request with stages.
+func TestAnyCPUPercentLeavesAGatherer(t *testing.T) {
+	for _, cpuPercent := range []int{math.MinInt, -100, 0, math.MaxInt/2 + 1, math.MaxInt} {
 		for _, others := range [][]peer.Member{nil, {{Incarnation: "a", State: peer.Alive, CPUPercent: 80}}} {
-			r := aRequester(&fixedNetwork{self: peer.Member{Incarnation: "self", State: peer.Alive, CPUPercent: power}, members: others})
-			assert.Assert(t, len(r.gatherers(Shard{Service: "s"})) > 0, "power %d beside %d others", power, len(others))
+			r := newTestRequester(&fixedNetwork{self: peer.Member{Incarnation: "self", State: peer.Alive, CPUPercent: cpuPercent}, members: others})
+			assert.Assert(t, len(r.gatherers(Shard{Service: "s"})) > 0, "CPU percentage %d (power) beside %d others", cpuPercent, len(others))
 		}
 	}
 }
--- a/internal/serve/gather/dispatch.go
+++ b/internal/serve/gather/dispatch.go
@@ -10,118 +10,120 @@
 	"github.com/vanillagate/vanillagate/internal/serve/pool"
 )
 
-// dispatch starts a call at each free target while items wait. The caller
-// holds mu.
-func (g *Gatherer) dispatch(c *shard, batch *plan.Batch, now time.Time) {
-	c.queue.pacing = pacingOf(batch)
-	if g.shardingOf(c.Service).without(c.Shard) {
-		g.moveOn(c)
+// dispatch starts calls at free targets while items are queued. The caller holds mu.
+func (g *Gatherer) dispatch(s *shard, batch *plan.Batch, now time.Time) {
+	s.queue.timing = timingOf(batch)
+	if g.shardingOf(s.Service).isEmpty(s.Shard) {
+		g.returnQueued(s)
 		return
 	}
-	g.expire(c, batch, now, overdue)
-	passed := map[string]bool{}
-	for c.queue.len() > 0 {
-		target, free := g.pick(c, batch, passed, now)
-		if target == nil || g.keepsFree(c, batch, free, now) {
+	g.expire(s, batch, now, pastDeadline)
+	tried := map[string]bool{}
+	for s.queue.len() > 0 {
+		target, free := g.pickTarget(s, batch, tried, now)
+		if target == nil || g.keepsSpare(s, batch, free, now) {
 			break
 		}
-		passed[target.ID] = true
-		taken := c.queue.take(now, offer{
+		tried[target.ID] = true
+		taken := s.queue.take(now, callSlot{
 			target: target.ID, zone: target.Zone, items: batch.Size, call: batch.CallTime, item: batch.ItemTime,
-			space: int(bufferShare*float64(batch.BufferBytes)) - g.bufferOf(c, target.Address, now).bytes,
+			space: int(bufferShare*float64(batch.BufferBytes)) - g.bufferOf(s, target.Address, now).bytes,
 		})
 		if len(taken) > 0 {
-			g.start(c, batch, target, taken, now)
+			g.startCall(s, batch, target, taken, now)
 		}
 	}
-	// What is late is given up only after free targets have had their choice.
-	g.expire(c, batch, now, hopeless)
-	if c.queue.len() > 0 {
-		g.lookLater(c)
+	// Late items are dropped only after free targets had the chance to take them.
+	g.expire(s, batch, now, lateTooLong)
+	if s.queue.len() > 0 {
+		g.scheduleDispatch(s)
 	}
 }
 
-// moveOn gives all that waits back to its owners, because the shard's targets have
-// left or were evacuated. Their requests have it made by another shard while there is
-// time. The caller holds mu.
-func (g *Gatherer) moveOn(c *shard) {
+// returnQueued returns all queued items to their owners because the shard's targets were
+// removed or evacuated. The owners submit them to another shard if there is time. The caller
+// holds mu.
+func (g *Gatherer) returnQueued(s *shard) {
 	byOwner := map[string][]Result{}
-	for _, w := range c.queue.clear() {
-		c.reservations.begun(w.Key)
-		byOwner[w.owner] = append(byOwner[w.owner], Result{Key: w.Key, Reason: Moved})
+	for _, item := range s.queue.clear() {
+		s.reservations.itemStarted(item.Key)
+		byOwner[item.owner] = append(byOwner[item.owner], Result{Key: item.Key, Reason: NoTargetInShard})
 	}
 	for owner, results := range byOwner {
-		g.log.Info("Shard has no targets left; items are given back.", zap.String("service", c.Service),
-			zap.String("zone", c.Zone), zap.Int("part", c.Part), zap.String("owner", owner), zap.Int("items", len(results)))
-		g.hand(c, owner, results...)
+		g.log.Info("Shard has no targets left; items are given back.", zap.String("service", s.Service),
+			zap.String("zone", s.Zone), zap.Int("part", s.Part), zap.String("owner", owner), zap.Int("items", len(results)))
+		g.sendResults(s, owner, results...)
 	}
 }
 
-// lookLater looks at the shard again soon. The caller holds mu.
-func (g *Gatherer) lookLater(c *shard) {
-	if c.looking {
+// scheduleDispatch runs dispatch again after dispatchInterval. The caller holds mu.
+func (g *Gatherer) scheduleDispatch(s *shard) {
+	if s.dispatchScheduled {
 		return
 	}
-	c.looking = true
-	time.AfterFunc(lookPeriod, func() {
+	s.dispatchScheduled = true
+	time.AfterFunc(dispatchInterval, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		c.looking = false
-		if batch := g.batch(c.Shard); batch != nil {
-			g.dispatch(c, batch, time.Now())
+		s.dispatchScheduled = false
+		if batch := g.batch(s.Shard); batch != nil {
+			g.dispatch(s, batch, time.Now())
 		}
 	})
 }
 
-// expire gives up the items to which a condition applies. The caller holds mu.
-func (g *Gatherer) expire(c *shard, batch *plan.Batch, now time.Time, applies condition) {
-	for _, w := range c.queue.drop(now, batch.CallTime, applies) {
+// expire drops the queued items to which a condition applies and reports them as late. The
+// caller holds mu.
+func (g *Gatherer) expire(s *shard, batch *plan.Batch, now time.Time, applies condition) {
+	for _, item := range s.queue.removeIf(now, batch.CallTime, applies) {
 		g.stats.Late++
-		c.reservations.begun(w.Key)
-		g.hand(c, w.owner, Result{Key: w.Key, Reason: Late})
+		s.reservations.itemStarted(item.Key)
+		g.sendResults(s, item.owner, Result{Key: item.Key, Reason: Late})
 	}
 }
 
-// hand gives one result to its owner without blocking. The caller holds mu.
-func (g *Gatherer) hand(c *shard, owner string, results ...Result) {
-	go g.deliver(owner, c.Shard, results)
+// sendResults delivers results to their owner without blocking. The caller holds mu.
+func (g *Gatherer) sendResults(s *shard, owner string, results ...Result) {
+	go g.deliver(owner, s.Shard, results)
 }
 
-// leastForSpare is from how many targets on a shard keeps one free.
-const leastForSpare = 4
+// minTargetsForSpare is the number of targets from which on a shard keeps one free.
+const minTargetsForSpare = 4
 
-// sparePace is the part of its usual pace from which on a shard has something to spare.
-const sparePace = 0.9
+// minSparePace is the share of its configured pace that a shard must reach to keep a target
+// free.
+const minSparePace = 0.9
 
-// keepsFree tells whether the last free target of a shard waits for something urgent.
-// Targets that take whatever is there are all at work on small calls, so that an item
-// with little time waits for one of them first. The caller holds mu.
-func (g *Gatherer) keepsFree(c *shard, batch *plan.Batch, free int, now time.Time) bool {
-	if free > 1 || len(c.working)+free < leastForSpare || g.leaveOut.Has(leaveout.SpareTarget) {
+// keepsSpare reports whether the last free target of a shard is kept for urgent items. If every
+// target takes whatever is queued, all of them are busy with small calls, and an item with
+// little time has to wait for one of them to end. The caller holds mu.
+func (g *Gatherer) keepsSpare(s *shard, batch *plan.Batch, free int, now time.Time) bool {
+	if free > 1 || len(s.activeCalls)+free < minTargetsForSpare || g.leaveOut.Has(leaveout.SpareTarget) {
 		return false
 	}
-	if c.queue.len() >= batch.Size || c.queue.urgent(now, batch.CallTime) {
+	if s.queue.len() >= batch.Size || s.queue.hasUrgent(now, batch.CallTime) {
 		return false
 	}
-	// A shard that works more slowly than its settings say has nothing to spare.
-	worth, _ := g.strength(c, batch, now)
-	return worth >= sparePace*float64(len(c.working)+free)
+	// A shard that is slower than configured has no capacity to spare.
+	effective, _ := g.effectiveTargets(s, batch, now)
+	return effective >= minSparePace*float64(len(s.activeCalls)+free)
 }
 
-// pick chooses a free target that wasn't passed: sound ones before slow ones,
-// then one in the zone of what is most urgent, then the one with most space. free is
-// how many take calls now, slow ones and those without space included. The caller holds mu.
-func (g *Gatherer) pick(c *shard, batch *plan.Batch, passed map[string]bool, now time.Time) (best *pool.Target, free int) {
+// pickTarget selects a free target that hasn't been tried in this round: targets at normal pace
+// before slow ones, then targets in the zone of the most urgent item, then the target with the
+// most free buffer space. free counts the targets that could start a call now, including slow
+// ones and those without buffer space. The caller holds mu.
+func (g *Gatherer) pickTarget(s *shard, batch *plan.Batch, tried map[string]bool, now time.Time) (best *pool.Target, free int) {
 	bestScore := -1.0
-	zone := c.queue.firstZone()
-	views := g.sound(c, now)
-	allSlow := g.allSlow(c, views, now)
+	zone := s.queue.mostUrgentZone()
+	views := g.availableTargets(s, now)
+	allSlow := g.allSlow(s, views, now)
 	for _, v := range views {
-		if passed[v.ID] || c.working[v.ID] != nil || now.Before(c.pauses[v.ID]) {
+		if tried[v.ID] || s.activeCalls[v.ID] != nil || now.Before(s.pausedUntil[v.ID]) {
 			continue
 		}
 		free++
-		left := batch.BufferBytes - g.bufferOf(c, v.Address, now).bytes
+		left := batch.BufferBytes - g.bufferOf(s, v.Address, now).bytes
 		if left <= 0 {
 			continue
 		}
@@ -129,9 +131,9 @@
 		if v.Zone == zone {
 			score++
 		}
-		if p := c.paces[v.ID]; p != nil && p.slow(now) && !allSlow {
-			if len(c.working) > 0 {
-				continue // a sound one ends sooner than a slow one would
+		if p := s.paces[v.ID]; p != nil && p.slow(now) && !allSlow {
+			if len(s.activeCalls) > 0 {
+				continue // a busy target at normal pace is free sooner than a slow one would finish
 			}
 			score /= 10
 		}
@@ -142,34 +144,34 @@
 	return best, free
 }
 
-func (g *Gatherer) bufferOf(c *shard, address string, now time.Time) *buffer {
-	r := c.buffers[address]
-	if r == nil {
-		r = &buffer{}
-		c.buffers[address] = r
+func (g *Gatherer) bufferOf(s *shard, address string, now time.Time) *buffer {
+	b := s.buffers[address]
+	if b == nil {
+		b = &buffer{}
+		s.buffers[address] = b
 	}
-	r.sweep(now)
-	return r
+	b.dropExpired(now)
+	return b
 }
 
-// start makes one call. The caller holds mu.
-func (g *Gatherer) start(c *shard, batch *plan.Batch, target *pool.Target, taken []*waiting, now time.Time) {
+// startCall starts one call with the taken items. The caller holds mu.
+func (g *Gatherer) startCall(s *shard, batch *plan.Batch, target *pool.Target, taken []*queuedItem, now time.Time) {
 	expected := batch.CallTime + time.Duration(len(taken))*batch.ItemTime
-	c.working[target.ID] = &waitingCall{ends: now.Add(expected)}
+	s.activeCalls[target.ID] = &activeCall{ends: now.Add(expected)}
 	items := make([]Item, 0, len(taken))
-	for _, w := range taken {
-		w.tries++
-		c.reservations.begun(w.Key)
-		c.size.add(w.Bytes)
-		w.Expires = ToMillis(w.expires.Sub(now))
-		items = append(items, w.Item)
-		c.running[w.Key] = true
+	for _, item := range taken {
+		item.tries++
+		s.reservations.itemStarted(item.Key)
+		s.size.add(item.Bytes)
+		item.Expires = ToMillis(item.expires.Sub(now))
+		items = append(items, item.Item)
+		s.runningItems[item.Key] = true
 	}
-	g.log.Debug("Call starts.", zap.String("service", c.Service), zap.String("target", target.ID),
-		zap.Int("items", len(taken)), zap.Int("left", c.queue.len()), zap.Int("working", len(c.working)),
-		zap.Int("buffer_used", g.bufferOf(c, target.Address, now).bytes), zap.Int("buffer", batch.BufferBytes),
+	g.log.Debug("Starting a call of a stage target.", zap.String("service", s.Service), zap.String("target", target.ID),
+		zap.Int("items", len(taken)), zap.Int("left", s.queue.len()), zap.Int("working", len(s.activeCalls)),
+		zap.Int("buffer_used", g.bufferOf(s, target.Address, now).bytes), zap.Int("buffer", batch.BufferBytes),
 		zap.Duration("first_due", taken[0].due.Sub(now)))
 	g.stats.Calls++
 	g.stats.Items += len(taken)
-	go g.call(c, batch, target, taken, items, expected)
+	go g.runCall(s, batch, target, taken, items, expected)
 }
--- a/internal/serve/gather/evacuation_test.go
+++ b/internal/serve/gather/evacuation_test.go
@@ -16,9 +16,9 @@
 	"github.com/vanillagate/vanillagate/internal/serve/servetest"
 )
 
-// divided is a process with a service of three zones, five targets each, which are
-// three shards.
-func divided(life context.Context, pools *servetest.Pools) (*gather.Requester, *pool.Table) {
+// newShardedProcess creates a process and a service with five targets in each of three zones,
+// which make three shards.
+func newShardedProcess(life context.Context, pools *servetest.Pools) (*gather.Requester, *pool.Table) {
 	table := pool.New(zap.NewNop())
 	var entries []pool.Entry
 	for i := range 15 {
@@ -36,9 +36,9 @@
 	}), table
 }
 
-// A zone is evacuated while items wait for its targets. They wait there until their
-// request is late.
-func TestItemsThatWaitInAnEvacuatedZoneAreMadeElsewhere(t *testing.T) {
+// Items queued for the targets of a zone that is evacuated must run elsewhere. If they stayed
+// in the queue, they would wait there until their request is late.
+func TestQueuedItemsOfEvacuatedZoneRunElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		life, stop := context.WithCancel(context.Background())
 		defer synctest.Wait()
@@ -47,7 +47,7 @@
 		pools := &servetest.Pools{Services: map[string]*plan.Batch{
 			"s": {Size: 1, CallTime: call, BufferBytes: 1000, Keep: 4 * time.Second},
 		}}
-		requester, table := divided(life, pools)
+		requester, table := newShardedProcess(life, pools)
 		started := time.Now()
 		answers := make(chan error, 10)
 		for i := range cap(answers) {
@@ -60,7 +60,7 @@
 			}()
 		}
 		time.Sleep(10 * time.Millisecond)
-		assert.Equal(t, pools.CallsOf("s"), 5, "five work, five wait")
+		assert.Equal(t, pools.CallsOf("s"), 5, "five items run, five are queued")
 		table.ApplyEvacuations([]pool.EvacuationChange{{Evacuation: pool.Evacuation{Zone: "a", Revision: 2}}}, 2, time.Now())
 		for range cap(answers) {
 			assert.NilError(t, <-answers)
--- a/internal/serve/gather/failover.go
+++ b/internal/serve/gather/failover.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// firstProbe is how long after it failed to answer a gatherer is probed; the
-	// pause doubles with each probe that fails, up to lastProbe. A connection that
-	// was closed because both sides had opened one works again at once.
+	// firstProbe is the delay before a gatherer that failed to answer is probed. The delay
+	// doubles with each failed probe, up to lastProbe. The first is short because a connection
+	// that was closed since both sides had opened one works again at once.
 	firstProbe = 50 * time.Millisecond
 	lastProbe  = time.Second
 )
 
-// failOver has a gatherer get no items until it answers again. Two processes that
-// gather for one shard fill each other's targets unawares, so it is probed instead of
-// being left alone for a fixed time.
+// failOver marks a gatherer as unresponsive, so that it gets no items until it answers a probe.
+// It isn't excluded for a fixed time, because two processes that gather for one shard fill each
+// other's targets without knowing of each other.
 func (r *Requester) failOver(member peer.Incarnation, err error) {
 	if r.leaveOut.Has(leaveout.Failover) {
 		return
@@ -38,12 +38,13 @@
 	go r.probe(member)
 }
 
-// probe waits until a gatherer answers, or is no member any more.
+// probe calls an unresponsive gatherer until it answers or is no longer a member, and then
+// clears its mark.
 func (r *Requester) probe(member peer.Incarnation) {
 	life := r.own.life
 	since := time.Now()
 	for pause := firstProbe; wait.For(life, pause); pause = min(2*pause, lastProbe) {
-		if !r.isMember(member) || r.answers(life, member) {
+		if !r.isMember(member) || r.responds(life, member) {
 			break
 		}
 	}
@@ -57,8 +58,8 @@
 	return slices.ContainsFunc(r.network.View().Members, func(m peer.Member) bool { return m.Incarnation == id })
 }
 
-// answers asks a gatherer after no items.
-func (r *Requester) answers(life context.Context, member peer.Incarnation) bool {
+// responds reports whether a gatherer answers a check of an empty list of items.
+func (r *Requester) responds(life context.Context, member peer.Incarnation) bool {
 	ctx, cancel := context.WithTimeout(life, ackTimeout)
 	defer cancel()
 	var unknown []Key
--- a/internal/serve/gather/failover_test.go
+++ b/internal/serve/gather/failover_test.go
@@ -15,13 +15,13 @@
 	"github.com/vanillagate/vanillagate/internal/serve/servetest"
 )
 
-// member is one process that gathers and asks.
+// member is a process with a requester and a gatherer.
 type member struct {
 	*gather.Requester
 	node *servetest.Node
 }
 
-func members(life context.Context, pools *servetest.Pools, n int) []member {
+func newMembers(life context.Context, pools *servetest.Pools, n int) []member {
 	cluster := &servetest.Cluster{Delay: time.Millisecond}
 	var list []member
 	for i := range n {
@@ -40,8 +40,8 @@
 	return list
 }
 
-// ask has one item made for a request.
-func (m member) ask(ctx context.Context, id string) error {
+// runItem has one item processed for a request.
+func (m member) runItem(ctx context.Context, id string) error {
 	done, err := m.RunStage(ctx, gather.StageWork{
 		Service: "s", Items: []gather.Item{{Key: gather.Key{Request: id}, Source: "k", Bytes: 1}},
 		Due: time.Now().Add(time.Second), Expires: time.Now().Add(5 * time.Second),
@@ -54,35 +54,34 @@
 
 func (m member) calls() int { return m.Gatherer().Stats().Calls }
 
-// A gatherer misses one answer: its VM stood still for half a second, or both
-// sides had opened a connection and one of them was closed. If it's left alone for
-// seconds after that, another gathers for the same targets beside it all the
-// while; their calls find the targets and the buffers full, and callers are refused
-// though the pool has places.
-func TestAGathererThatAnswersAgainIsUsedAgain(t *testing.T) {
+// A gatherer fails to answer once, because its VM was stalled for half a second, or both sides
+// had opened a connection and one of them was closed. If it is then excluded for seconds,
+// another process gathers for the same targets beside it all the while. Their calls find
+// targets and buffers full, and requests are refused although there is capacity.
+func TestRecoveredGathererIsUsedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		life, stop := context.WithCancel(context.Background())
 		defer stop()
 		pools := &servetest.Pools{Services: map[string]*plan.Batch{
 			"s": {Size: 4, CallTime: 20 * time.Millisecond, BufferBytes: 1000, Keep: 4 * time.Second},
 		}}
-		list := members(life, pools, 2)
-		assert.NilError(t, list[0].ask(life, "first"))
-		usual, other := list[0], list[1]
-		if usual.calls() == 0 {
-			usual, other = other, usual
+		list := newMembers(life, pools, 2)
+		assert.NilError(t, list[0].runItem(life, "first"))
+		primary, other := list[0], list[1]
+		if primary.calls() == 0 {
+			primary, other = other, primary
 		}
 
-		usual.node.Freeze()
-		assert.NilError(t, other.ask(life, "second"))
-		assert.Equal(t, other.calls(), 1, "the other one gathers meanwhile")
-		usual.node.Thaw()
+		primary.node.Freeze()
+		assert.NilError(t, other.runItem(life, "second"))
+		assert.Equal(t, other.calls(), 1, "the other process gathers meanwhile")
+		primary.node.Thaw()
 		time.Sleep(500 * time.Millisecond)
 
-		before := usual.calls()
-		assert.NilError(t, other.ask(life, "third"))
-		assert.Equal(t, usual.calls(), before+1, "it isn't used again half a second after it answers")
+		before := primary.calls()
+		assert.NilError(t, other.runItem(life, "third"))
+		assert.Equal(t, primary.calls(), before+1, "the gatherer isn't used again half a second after it answers")
 		stop()
-		time.Sleep(time.Second) // messages on their way
+		time.Sleep(time.Second) // lets messages in transit arrive
 	})
 }
--- a/internal/serve/gather/free_test.go
+++ b/internal/serve/gather/free_test.go
@@ -15,7 +15,7 @@
 	"github.com/vanillagate/vanillagate/internal/serve/pool"
 )
 
-// calledNetwork notes who was called to free what.
+// calledNetwork records which process is called to free results.
 type calledNetwork struct {
 	fixedNetwork
 	freed chan peer.Incarnation
@@ -28,12 +28,12 @@
 	return nil
 }
 
-// After a start of all processes, or while one is frozen, two processes take
-// different ones for a shard's gatherer. Were results given back to whom the reader
-// takes for it, the one that had them made would go on counting them, take its
-// targets' buffers for full, and have callers refused for the four seconds until they
-// lapse, though the targets stand idle.
-func TestResultsAreGivenBackToWhoHadThemMade(t *testing.T) {
+// After all processes start together, or while one is frozen, two processes may rank the
+// gatherers of a shard differently. If results were freed through the gatherer as the reader
+// sees it, the one that had them created would go on counting them, treat its targets' buffers
+// as full, and refuse requests for the four seconds until they expire, although the targets are
+// idle.
+func TestResultsAreFreedThroughTheirAllocator(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		member := func(name string) peer.Member {
 			return peer.Member{Incarnation: peer.Incarnation(name), State: peer.Alive, CPUPercent: 1}
@@ -42,48 +42,48 @@
 			fixedNetwork: fixedNetwork{self: member("self"), members: []peer.Member{member("a"), member("b")}},
 			freed:        make(chan peer.Incarnation, 1),
 		}
-		r := aRequester(network)
-		r.freeing, r.pending = map[freeKey][]string{}, map[Key]*pending{}
+		r := newTestRequester(network)
+		r.pendingFrees, r.pending = map[freeKey][]string{}, map[Key]*pending{}
 		shard := Shard{Service: "s"}
 		list := r.gatherers(shard)
-		maker := list[len(list)-1] // the last that anybody here would choose
-		if maker == "self" {
-			maker = list[1]
+		allocator := list[len(list)-1] // the last in this process's ranking
+		if allocator == "self" {
+			allocator = list[1]
 		}
 		results := make(chan Result, 1)
 		key := Key{Request: "r"}
 		r.pending[key] = &pending{done: results}
-		r.take(maker, shard, []Result{{Key: key, Handle: "10.0.0.1:1/h"}})
+		r.receive(allocator, shard, []Result{{Key: key, Handle: "10.0.0.1:1/h"}})
 		r.Free(shard, []Result{<-results})
 		time.Sleep(time.Second)
-		assert.Equal(t, <-network.freed, maker)
-		assert.Assert(t, !slices.Contains(list[:1], maker))
+		assert.Equal(t, <-network.freed, allocator)
+		assert.Assert(t, !slices.Contains(list[:1], allocator))
 	})
 }
 
-// The process that had results made has died. Its targets' buffers would stay full of
-// them until they lapse if they were only given back to it, and a call to it that
-// hangs would hold up what is given back to others.
-func TestResultsOfADeadGathererAreFreedFromHere(t *testing.T) {
+// The process that had results created has died. If they were freed only through it, its
+// targets' buffers would stay full until they expire, and a call to it that hangs would delay
+// what is freed elsewhere.
+func TestResultsOfDeadGathererAreFreedLocally(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		life, stop := context.WithCancel(context.Background())
 		defer stop()
-		stager := &freedStager{freed: make(chan string, 1)}
+		client := &freedStager{freed: make(chan string, 1)}
 		network := &calledNetwork{
 			fixedNetwork: fixedNetwork{self: peer.Member{Incarnation: "self", State: peer.Alive}},
 			freed:        make(chan peer.Incarnation, 1),
 		}
 		r := &Requester{
-			log: zap.NewNop(), network: network, unresponsive: map[peer.Incarnation]bool{}, freeing: map[freeKey][]string{},
-			own: gathererOf(life, &plan.Batch{Size: 1, BufferBytes: 100}, stager, "10.0.0.1:1"),
+			log: zap.NewNop(), network: network, unresponsive: map[peer.Incarnation]bool{}, pendingFrees: map[freeKey][]string{},
+			own: newTestGatherer(life, &plan.Batch{Size: 1, BufferBytes: 100}, client, "10.0.0.1:1"),
 		}
 		r.Free(Shard{Service: "s"}, []Result{{Handle: "10.0.0.1:1/h", gatherer: "dead"}})
-		assert.Equal(t, <-stager.freed, "10.0.0.1:1/h")
-		assert.Equal(t, len(network.freed), 0, "the dead one was called")
+		assert.Equal(t, <-client.freed, "10.0.0.1:1/h")
+		assert.Equal(t, len(network.freed), 0, "the dead gatherer was called")
 	})
 }
 
-// freedStager notes what is freed at targets.
+// freedStager records what is freed at targets.
 type freedStager struct {
 	StageClient
 	freed chan string
--- a/internal/serve/gather/gatherer.go
+++ b/internal/serve/gather/gatherer.go
@@ -14,194 +14,199 @@
 	"github.com/vanillagate/vanillagate/internal/serve/pool"
 )
 
-// StageClient makes the calls of stage targets.
+// StageClient calls stage targets.
 type StageClient interface {
-	// Run makes one call. The results are in the order of the items. The error
-	// is ErrFull where the target certainly did nothing. sent is called when the
-	// call has been written.
+	// Run makes one call and returns the results in the order of the items. The error is
+	// ErrFull if the target certainly didn't run the call. sent is called when the call has
+	// been written.
 	Run(ctx context.Context, target *pool.Target, items []Item, sent func()) ([]Result, error)
-	// Free gives back the space of results.
+	// Free frees the space of results.
 	Free(ctx context.Context, target *pool.Target, handles []string) error
 }
 
-// ErrFull means that a target took a call but didn't run it.
+// ErrFull means that a target received a call but refused to run it.
 var ErrFull = errors.New("target is full")
 
 const (
-	// maxTries is how often an item is given to targets that fail it.
+	// maxTries is the number of failed tries after which an item is reported as failed.
 	maxTries = 3
-	// fullPause is how long a target that was full isn't tried: another process
-	// gathers for it as well, or a call that was given up still runs.
+	// fullPause is how long a target that was full or unreachable gets no calls. A full target
+	// is also used by another gatherer, or still runs a call that was given up here.
 	fullPause = 100 * time.Millisecond
-	// lookPeriod is how often a shard whose items wait is looked at for those
-	// that can no longer be in time, when no call ends meanwhile.
-	lookPeriod = 40 * time.Millisecond
-	// foreignTime is how long a buffer that was full of results unknown here is
-	// held for full. They lapse one by one.
+	// dispatchInterval is how often a shard with queued items is checked for items that can no
+	// longer be in time, if no call ends in between.
+	dispatchInterval = 40 * time.Millisecond
+	// foreignTime is how long a buffer full of foreign results counts as full. The results
+	// expire one by one.
 	foreignTime = 500 * time.Millisecond
-	// freePeriod is how long results to be freed are collected for one call. Buffers are
-	// the first thing that is short in a burst, so it is short too.
-	freePeriod = 25 * time.Millisecond
-	// bufferShare is the part of a target's buffer that is planned with. Results are
-	// larger or smaller than their stage says, and one without space costs its
-	// request a second call, or its whole chain where its inputs are gone.
+	// freeCallDelay is how long results to be freed are collected for one call to the target.
+	// It is short because buffers are the first resource to run out in a burst.
+	freeCallDelay = 25 * time.Millisecond
+	// bufferShare is the share of a target's buffer that calls are planned with. Results can be
+	// larger than configured for their stage, and an item whose result finds no space costs its
+	// request a second call, or all its stages if its inputs are gone.
 	bufferShare = 0.9
-	// freeTimeout bounds the call that frees results; what it misses lapses.
+	// freeTimeout bounds the call that frees results. Results that it doesn't free expire.
 	freeTimeout = time.Second
-	// callPatience is how much longer than expected a call may take before its
-	// items are given to another target: a call made twice is waste.
-	callPatience = 5
-	callSlack    = 300 * time.Millisecond
+	// callTimeoutFactor is how many times longer than expected a call may take before its items
+	// are given to another target. It is generous because running a call twice wastes a
+	// target's time.
+	callTimeoutFactor = 5
+	callTimeoutSlack  = 300 * time.Millisecond
 )
 
-// Gatherer gathers for the shards whose items are handed to this process.
+// Gatherer queues the items that are submitted to this process and sends them to stage targets
+// in batches, shard by shard.
 type Gatherer struct {
 	log     *zap.Logger
 	table   *pool.Table
 	plans   *plan.Holder
-	stager  StageClient
+	client  StageClient
 	deliver func(owner string, shard Shard, results []Result)
-	// release gives back results of any allocator; final is false while their reader
-	// may still fail.
+	// release frees results of any allocator. final is false while their reader may still fail.
 	release func(allocator Allocator, handles []string, final bool)
 	// leaveOut is Options.LeaveOut.
 	leaveOut  leaveout.Set
 	shardings shardings
-	// life ends the calls in progress when the process goes.
+	// life is cancelled at shutdown and ends the calls in progress.
 	life context.Context
 
-	mu     sync.Mutex // guards shards and all in them; taken before pool.Table's
+	mu     sync.Mutex // guards shards, everything in them and stats; acquired before pool.Table's
 	shards map[Shard]*shard
 	stats  Stats
 }
 
-// Stats counts what a gatherer did.
+// Stats counts calls and items of a gatherer.
 type Stats struct {
 	Calls   int
 	Items   int
 	Failed  int
 	Late    int
 	Retried int
-	// Discarded counts results that nobody waited for any more.
+	// Discarded counts results that arrived when no request waited for them any more.
 	Discarded int
 }
 
 // shard is the state of one shard.
 type shard struct {
 	Shard
-	// since is when this process began to gather for it.
-	since        time.Time
-	queue        *queue
-	feeding      feeding
-	reservations *reservations
-	size         meanSize
-	working      map[string]*waitingCall // by target ID
-	running      map[Key]bool
-	buffers      map[string]*buffer // by address
-	paces        map[string]*pace   // by target ID
-	pauses       map[string]time.Time
-	freeing      map[string][]string // handles by address
-	looking      bool
-	freer        bool
+	// since is when this process began to gather for the shard.
+	since             time.Time
+	queue             *queue
+	inputTracker      inputTracker
+	reservations      *reservations
+	size              meanSize
+	activeCalls       map[string]*activeCall // by target ID
+	runningItems      map[Key]bool
+	buffers           map[string]*buffer // by address
+	paces             map[string]*pace   // by target ID
+	pausedUntil       map[string]time.Time
+	pendingFrees      map[string][]string // handles by address
+	dispatchScheduled bool
+	flushScheduled    bool
 }
 
-type waitingCall struct{ ends time.Time }
+// activeCall is a call in progress; ends is when it is expected to end.
+type activeCall struct{ ends time.Time }
 
-// NewGatherer makes a gatherer whose calls end with life.
-func NewGatherer(life context.Context, log *zap.Logger, table *pool.Table, plans *plan.Holder, stager StageClient) *Gatherer {
-	return &Gatherer{log: log, table: table, plans: plans, stager: stager, life: life, shards: map[Shard]*shard{}}
+// NewGatherer creates a gatherer. Its calls end when life is cancelled.
+func NewGatherer(life context.Context, log *zap.Logger, table *pool.Table, plans *plan.Holder, client StageClient) *Gatherer {
+	return &Gatherer{log: log, table: table, plans: plans, client: client, life: life, shards: map[Shard]*shard{}}
 }
 
-// Stats gives the counts so far.
+// Stats returns the counts so far.
 func (g *Gatherer) Stats() Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.stats
 }
 
-func (g *Gatherer) of(id Shard) *shard {
-	c := g.shards[id]
-	if c == nil {
-		c = &shard{
+func (g *Gatherer) stateOf(id Shard) *shard {
+	s := g.shards[id]
+	if s == nil {
+		s = &shard{
 			Shard: id, since: time.Now(), queue: newQueue(g.leaveOut), reservations: newReservations(g.leaveOut),
-			working: map[string]*waitingCall{}, running: map[Key]bool{},
-			buffers: map[string]*buffer{}, paces: map[string]*pace{}, pauses: map[string]time.Time{},
-			freeing: map[string][]string{},
+			activeCalls: map[string]*activeCall{}, runningItems: map[Key]bool{},
+			buffers: map[string]*buffer{}, paces: map[string]*pace{}, pausedUntil: map[string]time.Time{},
+			pendingFrees: map[string][]string{},
 		}
-		g.shards[id] = c
+		g.shards[id] = s
 	}
-	return c
+	return s
 }
 
-// Ack answers a submission.
+// Ack is the answer to a submission or to a reservation.
 type Ack struct {
-	// Refused means that the items can't be made before their deadline.
+	// Refused means that the items can't be processed in time.
 	Refused bool `json:"refused,omitempty"`
-	// Unknown means that this process doesn't know the service, because its
-	// configuration is older or newer than the asker's, or no targets yet.
-	Unknown bool `json:"unknown,omitempty"`
-	// Moved means that the shard has no targets, while others of its service have.
-	Moved bool `json:"moved,omitempty"`
-	// Wait is about how long a new item waits.
+	// UnknownService means that this process doesn't know the service, because its
+	// configuration is older or newer than the caller's, or that it doesn't know any targets
+	// yet.
+	UnknownService bool `json:"unknown,omitempty"`
+	// NoTargetInShard means that the shard has no targets, while other shards of its service have.
+	NoTargetInShard bool `json:"moved,omitempty"`
+	// Wait is an estimate: of the time that a new item would be queued, or for a refused
+	// reservation of the time by which items would be late.
 	Wait Millis `json:"wait,omitempty"`
 }
 
-// Submit takes items for a shard. It answers at once; the results come through
-// deliver. Items that it has already are left as they are.
+// Submit queues items for a shard. It returns at once; the results are passed to deliver. Items
+// that are already queued or running are left unchanged.
 func (g *Gatherer) Submit(owner string, id Shard, items []Item, now time.Time) Ack {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	batch := g.batch(id)
 	if batch == nil {
-		return Ack{Unknown: true}
+		return Ack{UnknownService: true}
 	}
 	sharding := g.shardingOf(id.Service)
-	if sharding.without(id) {
-		return Ack{Moved: true}
+	if sharding.isEmpty(id) {
+		return Ack{NoTargetInShard: true}
 	}
-	c := g.of(id)
-	wait := g.wait(c, batch, now)
+	s := g.stateOf(id)
+	wait := g.wait(s, batch, now)
 	for _, item := range items {
 		if wait+batch.CallTime+batch.ItemTime > item.Expires.Duration() {
 			return Ack{Refused: true, Wait: ToMillis(wait)}
 		}
 	}
 	for _, item := range items {
-		if c.running[item.Key] {
+		if s.runningItems[item.Key] {
 			continue
 		}
 		if id.Zone != "" || len(sharding.byZone[item.Zone]) == 0 {
-			item.Zone = "" // no target is nearer than the others
+			item.Zone = "" // all targets of the shard are in one zone, or none is in the item's zone
 		}
-		c.feeding.add(item)
-		c.reservations.note(item.group(), now.Add(item.Due.Duration()), item.Serial)
-		c.queue.add(&waiting{
+		s.inputTracker.add(item)
+		s.reservations.addItem(item.group(), now.Add(item.Due.Duration()), item.Serial)
+		s.queue.add(&queuedItem{
 			Item: item, owner: owner, due: now.Add(item.Due.Duration()), expires: now.Add(item.Expires.Duration()), since: now,
 		})
 	}
-	g.dispatch(c, batch, now)
+	g.dispatch(s, batch, now)
 	return Ack{Wait: ToMillis(wait)}
 }
 
-// Ask decides whether a shard reserves the making of the items of one stage of a
-// request in time.
-func (g *Gatherer) Ask(call askCall, now time.Time) Ack {
+// ReserveStage decides whether a shard can process the items of one stage of a request in time,
+// and reserves the capacity if it can.
+func (g *Gatherer) ReserveStage(call reserveCall, now time.Time) Ack {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	batch := g.batch(call.Shard)
 	if batch == nil {
-		return Ack{Unknown: true}
+		return Ack{UnknownService: true}
 	}
-	c := g.of(call.Shard)
-	targets, space := g.strength(c, batch, now)
-	can := sustained(targets, batch, space, int(c.size.mean))
+	s := g.stateOf(call.Shard)
+	targets, space := g.effectiveTargets(s, batch, now)
+	available := sustainedCapacity(targets, batch, space, int(s.size.mean))
 	key := groupKey{Request: call.Request, Stage: call.Stage}
 	wanted := reservation{items: call.Items, due: now.Add(call.Due.Duration()), serial: call.Serial}
-	granted, excess := c.reservations.ask(now, key, call.Rank, wanted, can)
-	return Ack{Refused: !granted, Wait: ToMillis(excess)}
+	granted, lateness := s.reservations.reserve(now, key, call.Rank, wanted, available)
+	return Ack{Refused: !granted, Wait: ToMillis(lateness)}
 }
 
-// batch is how a shard's targets work; nil where this process doesn't know them.
+// batch returns the batch settings of a shard's service; nil if this process doesn't know the
+// service or has no list of targets yet.
 func (g *Gatherer) batch(id Shard) *plan.Batch {
 	service := g.plans.Service(id.Service)
 	if service == nil || !g.table.Loaded() {
@@ -210,44 +215,44 @@
 	return service.Batch
 }
 
-// inVain counts results that nobody waited for.
-func (g *Gatherer) inVain(n int) {
+// countDiscarded counts results that no request waited for.
+func (g *Gatherer) countDiscarded(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.stats.Discarded += n
 }
 
-// Cancel drops what waits for a request that was given up, as far as it was
-// handed over or asked for under a serial up to the given one.
+// Cancel drops the queued items and the reservations of a request that was given up, as far as
+// their serial is not above upTo.
 func (g *Gatherer) Cancel(id Shard, request string, upTo uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c := g.shards[id]
-	if c == nil {
+	s := g.shards[id]
+	if s == nil {
 		return
 	}
-	c.queue.remove(request, upTo)
-	c.feeding.drop(request, upTo)
-	c.reservations.drop(request, upTo)
+	s.queue.removeRequest(request, upTo)
+	s.inputTracker.drop(request, upTo)
+	s.reservations.drop(request, upTo)
 }
 
-// Unknown lists those of the items that neither wait nor run here.
-func (g *Gatherer) Unknown(id Shard, keys []Key) []Key {
+// MissingItems lists those of the items that are neither queued nor running here.
+func (g *Gatherer) MissingItems(id Shard, keys []Key) []Key {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c := g.shards[id]
+	s := g.shards[id]
 	var unknown []Key
 	for _, k := range keys {
-		if c == nil || (!c.running[k] && !c.queue.has(k)) {
+		if s == nil || (!s.runningItems[k] && !s.queue.has(k)) {
 			unknown = append(unknown, k)
 		}
 	}
 	return unknown
 }
 
-// Free gives back the space of results, and tells which. Several calls' results go to
-// their maker together. Where it isn't final their reader may still fail, and only
-// those are given back whose space is needed.
+// Free frees the space of results and returns those that it will free. The results of several
+// calls are sent to their target together. If final is false, their reader may still fail, and
+// only results in buffers that are running out of space are freed.
 func (g *Gatherer) Free(id Shard, handles []string, final bool) (released []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -255,26 +260,26 @@
 	if batch == nil {
 		return nil
 	}
-	c := g.of(id)
-	byMaker := map[string][]string{}
+	s := g.stateOf(id)
+	byAddress := map[string][]string{}
 	for _, handle := range handles {
 		address, _, _ := strings.Cut(handle, "/")
-		byMaker[address] = append(byMaker[address], handle)
+		byAddress[address] = append(byAddress[address], handle)
 	}
-	for address, list := range byMaker {
-		list = g.bufferOf(c, address, time.Now()).release(list, final, batch.BufferBytes)
-		c.freeing[address] = append(c.freeing[address], list...)
+	for address, list := range byAddress {
+		list = g.bufferOf(s, address, time.Now()).selectReleasable(list, final, batch.BufferBytes)
+		s.pendingFrees[address] = append(s.pendingFrees[address], list...)
 		released = append(released, list...)
 	}
-	if !c.freer {
-		c.freer = true
-		time.AfterFunc(freePeriod, func() { g.flush(c) })
+	if !s.flushScheduled {
+		s.flushScheduled = true
+		time.AfterFunc(freeCallDelay, func() { g.flush(s) })
 	}
 	return released
 }
 
-// noteReleased notes that inputs of items were given back before the items were made.
-func (g *Gatherer) noteReleased(handles []string) {
+// markReleased records that inputs were freed before the items that read them were complete.
+func (g *Gatherer) markReleased(handles []string) {
 	if len(handles) == 0 {
 		return
 	}
@@ -284,43 +289,44 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, c := range g.shards {
-		c.feeding.noteReleased(released)
+	for _, s := range g.shards {
+		s.inputTracker.markReleased(released)
 	}
 }
 
-func (g *Gatherer) flush(c *shard) {
+// flush sends the collected results to be freed to their targets.
+func (g *Gatherer) flush(s *shard) {
 	g.mu.Lock()
-	freeing := c.freeing
-	c.freeing = map[string][]string{}
-	c.freer = false
+	pendingFrees := s.pendingFrees
+	s.pendingFrees = map[string][]string{}
+	s.flushScheduled = false
 	g.mu.Unlock()
-	for address, handles := range freeing {
+	for address, handles := range pendingFrees {
 		if len(handles) == 0 {
 			continue
 		}
-		target := g.table.ByAddress(c.Service, address)
+		target := g.table.ByAddress(s.Service, address)
 		if target == nil {
-			continue // its results went with it
+			continue // the target is gone, and its results with it
 		}
 		if target.Evacuated() {
-			continue // nothing may be sent there; its results lapse
+			continue // an evacuated target gets no calls; its results expire
 		}
-		g.free(c, target, handles)
+		g.free(s, target, handles)
 	}
 }
 
-func (g *Gatherer) free(c *shard, target *pool.Target, handles []string) {
+func (g *Gatherer) free(s *shard, target *pool.Target, handles []string) {
 	ctx, cancel := context.WithTimeout(g.life, freeTimeout)
 	defer cancel()
-	if err := g.stager.Free(ctx, target, handles); err != nil {
-		g.log.Warn("Results not freed; they lapse by themselves.", zap.String("target", target.ID), zap.Error(err))
+	if err := g.client.Free(ctx, target, handles); err != nil {
+		g.log.Warn("Could not free results; they will expire.", zap.String("target", target.ID), zap.Error(err))
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := g.bufferOf(c, target.Address, time.Now())
+	b := g.bufferOf(s, target.Address, time.Now())
 	for _, handle := range handles {
-		r.drop(handle)
+		b.drop(handle)
 	}
 }
--- a/internal/serve/gather/lost.go
+++ b/internal/serve/gather/lost.go
@@ -10,13 +10,13 @@
 	"github.com/vanillagate/vanillagate/internal/peer"
 )
 
-// lookAfter asks the gatherers whether they still have the items, and hands
-// those to others that got lost: a gatherer may have died, or may be frozen.
-func (r *Requester) lookAfter(ctx context.Context, shard Shard, wanted []*pending, seen map[Key]bool) error {
+// resubmitLost asks the gatherers whether they still have the items and submits those again
+// that were lost: a gatherer may have died or be frozen.
+func (r *Requester) resubmitLost(ctx context.Context, shard Shard, wanted []*pending, seen map[Key]bool) error {
 	byGatherer := map[peer.Incarnation][]*pending{}
 	r.mu.Lock()
 	for _, p := range wanted {
-		if !seen[p.item.Key] && time.Since(p.asked) >= checkPeriod {
+		if !seen[p.item.Key] && time.Since(p.submittedAt) >= checkPeriod {
 			byGatherer[p.gatherer] = append(byGatherer[p.gatherer], p)
 		}
 	}
@@ -35,6 +35,7 @@
 	return nil
 }
 
+// lost returns those of the items that their gatherer no longer has.
 func (r *Requester) lost(ctx context.Context, gatherer peer.Incarnation, shard Shard, list []*pending) []*pending {
 	keys := make([]Key, 0, len(list))
 	for _, p := range list {
@@ -42,7 +43,7 @@
 	}
 	var unknown []Key
 	if gatherer == r.network.Self().Incarnation {
-		unknown = r.own.Unknown(shard, keys)
+		unknown = r.own.MissingItems(shard, keys)
 	} else {
 		ctx, cancel := context.WithTimeout(ctx, ackTimeout)
 		defer cancel()
@@ -54,15 +55,15 @@
 	return r.stillMissing(list, unknown)
 }
 
-// stillMissing are the unknown items whose results didn't come while the
-// gatherer was asked: it forgets an item just before its result arrives here.
+// stillMissing returns the unknown items whose results didn't arrive while the gatherer was
+// asked: it forgets an item just before the result arrives here.
 func (r *Requester) stillMissing(list []*pending, unknown []Key) []*pending {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var missing []*pending
 	for _, p := range list {
-		waits := r.pending[p.item.Key] == p
-		if waits && slices.Contains(unknown, p.item.Key) && time.Since(p.asked) > checkAfter {
+		stillPending := r.pending[p.item.Key] == p
+		if stillPending && slices.Contains(unknown, p.item.Key) && time.Since(p.submittedAt) > checkAfter {
 			missing = append(missing, p)
 		}
 	}
--- a/internal/serve/gather/messages.go
+++ b/internal/serve/gather/messages.go
@@ -4,14 +4,14 @@
 	"github.com/vanillagate/vanillagate/internal/peer"
 )
 
-// Methods of the calls between processes.
+// Methods of calls between processes.
 const (
-	methodSubmit = "gather.submit"
-	methodDone   = "gather.done"
-	methodCancel = "gather.cancel"
-	methodFree   = "gather.free"
-	methodCheck  = "gather.check"
-	methodAsk    = "gather.ask"
+	methodSubmit  = "gather.submit"
+	methodResults = "gather.done"
+	methodCancel  = "gather.cancel"
+	methodFree    = "gather.free"
+	methodCheck   = "gather.check"
+	methodReserve = "gather.ask"
 )
 
 type submitCall struct {
@@ -20,7 +20,7 @@
 	Items []Item           `json:"items"`
 }
 
-type askCall struct {
+type reserveCall struct {
 	Shard   Shard  `json:"cell"`
 	Request string `json:"request"`
 	Stage   int    `json:"stage"`
@@ -30,7 +30,7 @@
 	Serial  uint64 `json:"serial"`
 }
 
-type doneCall struct {
+type resultsCall struct {
 	Allocator
 	Results []Result `json:"results"`
 }
@@ -47,17 +47,17 @@
 	Handles []string `json:"handles"`
 }
 
-// freeAck tells which results were given back though a reader may still fail. The zero
-// value, which a process of an earlier version sends, tells of none.
+// freeAck says which results were freed while a reader may still fail. A process of an earlier
+// version sends the zero value, which lists none.
 type freeAck struct {
 	All      bool     `json:"all,omitempty"`
 	Released []string `json:"released,omitempty"`
 }
 
-func ackOf(call freeCall, released []string) freeAck {
+func newFreeAck(call freeCall, released []string) freeAck {
 	switch {
 	case call.Final:
-		return freeAck{} // nobody needs them any more
+		return freeAck{} // the readers are done and need no answer
 	case len(released) == len(call.Handles):
 		return freeAck{All: true}
 	default:
@@ -65,15 +65,15 @@
 	}
 }
 
-// of lists the results of a call that were given back.
-func (a freeAck) of(handles []string) []string {
+// releasedFrom returns the results that were freed of the handles sent in the call.
+func (a freeAck) releasedFrom(handles []string) []string {
 	if a.All {
 		return handles
 	}
 	return a.Released
 }
 
-// freeKey is what results to be freed are collected by.
+// freeKey groups the results that are freed with one message.
 type freeKey struct {
 	Allocator
 	// Final is false while a reader of the results may still fail.
--- a/internal/serve/gather/owners.go
+++ b/internal/serve/gather/owners.go
@@ -10,58 +10,59 @@
 	"github.com/vanillagate/vanillagate/internal/serve/plan"
 )
 
-// layout is what shards and their owners follow from.
-type layout struct {
+// assignmentInputs holds everything that the assignment of shards to owners depends on.
+type assignmentInputs struct {
 	view    *peer.View
 	plan    *plan.Plan
-	targets uint64 // generation of the table
+	targets uint64 // generation of the target table
 	leaving bool
 }
 
-// owners is who gathers for which shard. All processes that know the same members,
-// configuration and targets reckon it alike; nothing is agreed.
+// owners says which process gathers for which shard. All processes that know the same members,
+// configuration and targets compute the same owners, without any consensus.
 type owners struct {
-	able   []peer.Incarnation
-	hashes []uint64
-	first  map[Shard]int // index into able
-	// ranked keeps the ranking of a shard once it was asked for.
-	ranked map[Shard][]peer.Incarnation
+	eligible   []peer.Incarnation
+	hashes     []uint64
+	ownerIndex map[Shard]int // index into eligible
+	// rankings caches the ranking of each shard that was asked for.
+	rankings map[Shard][]peer.Incarnation
 }
 
-// assign gives each shard to the process that it ranks first of those that own
-// fewer than the most that one may own.
-func assign(shards []Shard, able []peer.Incarnation) *owners {
-	o := &owners{able: able, first: map[Shard]int{}, ranked: map[Shard][]peer.Incarnation{}}
-	for _, id := range able {
+// assign gives each shard to the process that ranks highest for it among those that haven't
+// reached the maximum number of shards per process.
+func assign(shards []Shard, eligible []peer.Incarnation) *owners {
+	o := &owners{eligible: eligible, ownerIndex: map[Shard]int{}, rankings: map[Shard][]peer.Incarnation{}}
+	for _, id := range eligible {
 		o.hashes = append(o.hashes, member.Hash(string(id)))
 	}
-	load := newLoads(len(able), len(shards))
+	load := newLoads(len(eligible), len(shards))
 	for _, shard := range shards {
-		o.first[shard] = load.take(shard.hash(), o.hashes)
+		o.ownerIndex[shard] = load.place(shard.hash(), o.hashes)
 	}
 	return o
 }
 
-// of ranks the processes that may gather for a shard, its owner first.
-func (o *owners) of(shard Shard) []peer.Incarnation {
-	if list := o.ranked[shard]; list != nil {
+// rankingOf returns the processes that may gather for a shard in order of preference, its owner
+// first.
+func (o *owners) rankingOf(shard Shard) []peer.Incarnation {
+	if list := o.rankings[shard]; list != nil {
 		return list
 	}
-	list := o.rank(shard)
-	o.ranked[shard] = list
+	list := o.computeRanking(shard)
+	o.rankings[shard] = list
 	return list
 }
 
-func (o *owners) rank(shard Shard) []peer.Incarnation {
+func (o *owners) computeRanking(shard Shard) []peer.Incarnation {
 	hash := shard.hash()
-	order := make([]int, len(o.able))
+	order := make([]int, len(o.eligible))
 	for i := range order {
 		order[i] = i
 	}
-	first, known := o.first[shard]
+	ownerIndex, known := o.ownerIndex[shard]
 	slices.SortFunc(order, func(a, b int) int {
-		if known && (a == first) != (b == first) {
-			if a == first {
+		if known && (a == ownerIndex) != (b == ownerIndex) {
+			if a == ownerIndex {
 				return -1
 			}
 			return 1
@@ -70,13 +71,13 @@
 	})
 	list := make([]peer.Incarnation, len(order))
 	for i, at := range order {
-		list[i] = o.able[at]
+		list[i] = o.eligible[at]
 	}
 	return list
 }
 
-// gatherers ranks the processes that may gather for a shard, best first; there is
-// always one. The list is shared and must not be changed.
+// gatherers returns the processes that may gather for a shard in order of preference; there is
+// always at least one. The list is shared and must not be changed.
 func (r *Requester) gatherers(shard Shard) []peer.Incarnation {
 	view := r.network.View()
 	if r.leaveOut.Has(leaveout.Sharing) {
@@ -84,13 +85,13 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := layout{view: view, plan: r.own.plans.Current(), targets: r.table.Generation(), leaving: r.leaving}
-	return r.answering(r.owners.Get(now, r.assign).of(shard))
+	current := assignmentInputs{view: view, plan: r.own.plans.Current(), targets: r.table.Generation(), leaving: r.leaving}
+	return r.responsive(r.owners.Get(current, r.assign).rankingOf(shard))
 }
 
-// assign works out who owns which shard. The caller holds mu.
-func (r *Requester) assign(l layout) *owners {
-	return assign(r.stageShards(l.plan), r.able(l))
+// assign computes the owners of all shards. The caller holds mu.
+func (r *Requester) assign(inputs assignmentInputs) *owners {
+	return assign(r.stageShards(inputs.plan), r.eligible(inputs))
 }
 
 // stageShards lists the shards of all services that stages use.
@@ -108,26 +109,26 @@
 	return list
 }
 
-// able lists the processes that may gather. There is always one.
-func (r *Requester) able(l layout) []peer.Incarnation {
-	able := make([]peer.Member, 0, 1+len(l.view.Members))
-	for _, m := range l.view.Members {
+// eligible lists the processes that may gather. There is always at least one.
+func (r *Requester) eligible(inputs assignmentInputs) []peer.Incarnation {
+	eligible := make([]peer.Member, 0, 1+len(inputs.view.Members))
+	for _, m := range inputs.view.Members {
 		if m.State == peer.Alive {
-			able = append(able, m)
+			eligible = append(eligible, m)
 		}
 	}
-	if !l.leaving || len(able) == 0 {
-		able = append(able, l.view.Self)
+	if !inputs.leaving || len(eligible) == 0 {
+		eligible = append(eligible, inputs.view.Self)
 	}
-	list := peer.SelectByCPU(able)
+	list := peer.SelectByCPU(eligible)
 	if r.leaveOut.Has(leaveout.StrongOnly) {
-		list = incarnations(able)
+		list = incarnations(eligible)
 	}
 	slices.Sort(list)
 	return list
 }
 
-// shardingOf gives the shards of a service.
+// shardingOf returns the shards of a service.
 func (r *Requester) shardingOf(service string) *sharding {
 	return r.own.shardingOf(service)
 }
--- a/internal/serve/gather/pace.go
+++ b/internal/serve/gather/pace.go
@@ -6,54 +6,55 @@
 	"github.com/vanillagate/vanillagate/internal/serve/plan"
 )
 
-// pace is how fast one target works, against what its service's settings say.
+// pace tracks how long the calls of one target take, compared to the service's settings.
 type pace struct {
-	// ratio of the time that calls took to what was expected; 0 is unknown.
-	ratio float64
-	until time.Time // when a slow target is tried again
+	// ratio is the moving average of actual to expected call time; 0 is unknown.
+	ratio     float64
+	slowUntil time.Time // a slow target is skipped until then
 }
 
 const (
-	// paceWeight is how much the last call counts: a target that turns slow is
-	// seen after one call, one that recovers after one or two.
+	// paceWeight is the weight of the last call in the moving average. With it a target that
+	// becomes slow is detected after one call, and one that recovers after one or two.
 	paceWeight = 0.6
-	// slowRatio is how many times slower than the settings say a call is before
-	// its target is passed over while others are there. Batches differ by a
-	// tenth; a straggler takes three to five times as long.
+	// slowRatio is the ratio from which on a target counts as slow and is skipped while others
+	// are available. Normal batches differ by a tenth; a straggler takes three to five times as
+	// long.
 	slowRatio = 1.8
-	// slowPause is how long a slow target is passed over. It costs one call of
-	// a slow target to find out that it still is.
+	// slowPause is how long a slow target is skipped. Finding out that it is still slow costs
+	// one slow call.
 	slowPause = 2 * time.Second
 )
 
-// newcomerCalls is for how many full calls after it began to gather a process
-// judges no target's pace. Calls of those that gathered before it, and at a start
-// of all for a moment beside it, stand before its own in the targets' queues, so that
-// sound targets would look slow.
-const newcomerCalls = 3
+// warmupCalls is for how long, in multiples of a full call, a new gatherer ignores the targets'
+// pace. During that time calls of other processes can be ahead of its own in the targets'
+// queues, so that targets at normal pace would look slow: calls of the previous gatherer or,
+// when all processes start together, of processes that gather for the same shard for a moment.
+const warmupCalls = 3
 
-// newcomer tells whether this process has only just begun to gather for a shard.
-func (c *shard) newcomer(batch *plan.Batch, callBegan time.Time) bool {
-	return callBegan.Sub(c.since) < newcomerCalls*batch.MaxCallTime()
+// warmingUp reports whether a call began shortly after this process became the gatherer of the
+// shard.
+func (s *shard) warmingUp(batch *plan.Batch, callStarted time.Time) bool {
+	return callStarted.Sub(s.since) < warmupCalls*batch.MaxCallTime()
 }
 
-func (p *pace) took(actual, expected time.Duration, now time.Time) {
+func (p *pace) record(actual, expected time.Duration, now time.Time) {
 	ratio := float64(actual) / float64(expected)
 	if p.ratio == 0 {
 		p.ratio = ratio
 	}
 	p.ratio += paceWeight * (ratio - p.ratio)
 	if p.ratio > slowRatio {
-		p.until = now.Add(slowPause)
+		p.slowUntil = now.Add(slowPause)
 	}
 }
 
-func (p *pace) slow(now time.Time) bool { return now.Before(p.until) }
+func (p *pace) slow(now time.Time) bool { return now.Before(p.slowUntil) }
 
-// factor is how many times longer than expected the calls of a slow target take,
-// 1 for others: on a small VM a call is seen to end up to a tenth of a second
-// late, which says nothing of the target.
-func (p *pace) factor() float64 {
+// slowdown returns how many times longer than expected the calls of a slow target take, and 1
+// for other targets: on a small VM the end of a call is noticed up to a tenth of a second late,
+// which says nothing about the target.
+func (p *pace) slowdown() float64 {
 	if p == nil || p.ratio < slowRatio {
 		return 1
 	}
--- a/internal/serve/gather/queue.go
+++ b/internal/serve/gather/queue.go
@@ -7,170 +7,172 @@
 	"github.com/vanillagate/vanillagate/internal/serve/leaveout"
 )
 
-// waiting is an item in a queue.
-type waiting struct {
+// queuedItem is an item in a queue.
+type queuedItem struct {
 	Item
-	owner   string
-	due     time.Time
-	expires time.Time
-	since   time.Time // when it came
-	tries   int
-	avoid   string // target that failed it last
+	owner       string
+	due         time.Time
+	expires     time.Time
+	since       time.Time // when it was queued
+	tries       int
+	avoidTarget string // the target that failed it last; it may not take it next
 }
 
-// queue holds what waits for a shard's targets. It does no I/O and reads no
-// clock. It is not safe for concurrent use.
+// queue holds the items that wait for a shard's targets. It does no I/O and reads no clock. It
+// is not safe for concurrent use.
 type queue struct {
 	leaveOut leaveout.Set
-	pacing   pacing
-	items    []*waiting
-	byKey    map[Key]*waiting
+	timing   timing
+	items    []*queuedItem
+	byKey    map[Key]*queuedItem
 }
 
 func newQueue(leaveOut leaveout.Set) *queue {
-	return &queue{leaveOut: leaveOut, byKey: map[Key]*waiting{}}
+	return &queue{leaveOut: leaveOut, byKey: map[Key]*queuedItem{}}
 }
 
 func (q *queue) has(k Key) bool { return q.byKey[k] != nil }
 
 func (q *queue) len() int { return len(q.items) }
 
-// add puts an item in its place; one that waits already is left as it is.
-func (q *queue) add(w *waiting) {
-	if q.has(w.Key) {
+// add appends an item; one that is already queued is left unchanged.
+func (q *queue) add(item *queuedItem) {
+	if q.has(item.Key) {
 		return
 	}
-	q.byKey[w.Key] = w
-	q.items = append(q.items, w)
+	q.byKey[item.Key] = item
+	q.items = append(q.items, item)
 }
 
-// remove takes out the items of a request with a serial up to the given one.
-func (q *queue) remove(request string, upTo uint64) {
-	q.items = slices.DeleteFunc(q.items, func(w *waiting) bool {
-		if w.Request != request || w.Serial > upTo {
+// removeRequest removes the items of a request with a serial not above upTo.
+func (q *queue) removeRequest(request string, upTo uint64) {
+	q.items = slices.DeleteFunc(q.items, func(item *queuedItem) bool {
+		if item.Request != request || item.Serial > upTo {
 			return false
 		}
-		delete(q.byKey, w.Key)
+		delete(q.byKey, item.Key)
 		return true
 	})
 }
 
-// clear takes out all items.
-func (q *queue) clear() []*waiting {
+// clear removes and returns all items.
+func (q *queue) clear() []*queuedItem {
 	items := q.items
 	q.items = nil
-	q.byKey = map[Key]*waiting{}
+	q.byKey = map[Key]*queuedItem{}
 	return items
 }
 
-// condition is something that may apply to an item; call is what a call takes at
-// least.
-type condition func(w *waiting, now time.Time, call time.Duration, t pacing) bool
+// condition is a predicate on queued items; call is the time of a call without any items.
+type condition func(item *queuedItem, now time.Time, call time.Duration, t timing) bool
 
-// overdue tells whether an item can't be made before its request's deadline.
-func overdue(w *waiting, now time.Time, call time.Duration, _ pacing) bool {
-	return !now.Add(call).Before(w.expires)
+// pastDeadline reports whether an item can't be complete before its request's deadline.
+func pastDeadline(item *queuedItem, now time.Time, call time.Duration, _ timing) bool {
+	return !now.Add(call).Before(item.expires)
 }
 
-// hopeless tells whether an item is late and there has been no place for it.
-func hopeless(w *waiting, now time.Time, call time.Duration, t pacing) bool {
-	return now.Add(call).After(w.due) && now.Sub(w.since) > t.lateWait
+// lateTooLong reports whether an item will be late and has been queued for longer than
+// lateWait.
+func lateTooLong(item *queuedItem, now time.Time, call time.Duration, t timing) bool {
+	return now.Add(call).After(item.due) && now.Sub(item.since) > t.lateWait
 }
 
-// drop takes out the items to which a condition applies.
-func (q *queue) drop(now time.Time, call time.Duration, applies condition) []*waiting {
-	var dropped []*waiting
-	q.items = slices.DeleteFunc(q.items, func(w *waiting) bool {
-		if !applies(w, now, call, q.pacing) {
+// removeIf removes and returns the items to which a condition applies.
+func (q *queue) removeIf(now time.Time, call time.Duration, applies condition) []*queuedItem {
+	var dropped []*queuedItem
+	q.items = slices.DeleteFunc(q.items, func(item *queuedItem) bool {
+		if !applies(item, now, call, q.timing) {
 			return false
 		}
-		delete(q.byKey, w.Key)
-		dropped = append(dropped, w)
+		delete(q.byKey, item.Key)
+		dropped = append(dropped, item)
 		return true
 	})
 	return dropped
 }
 
-// order is when an item counts as due among others.
-func (q *queue) order(w *waiting) time.Time {
-	return w.due.Add(time.Duration(w.Rank) * q.pacing.rankStep)
+// effectiveDue returns the due time by which items are ordered: the item's own, later for less
+// urgent ranks.
+func (q *queue) effectiveDue(item *queuedItem) time.Time {
+	return item.due.Add(time.Duration(item.Rank) * q.timing.rankStep)
 }
 
-// crossFull is the bytes for which an item waits the whole of zonePatience.
-const crossFull = 200_000
+// fullWaitBytes is the number of cross-zone bytes from which on an item waits for the whole of
+// zoneWait. Items with fewer bytes wait proportionally shorter.
+const fullWaitBytes = 200_000
 
-// welcome tells whether an item may go to a target in a zone now.
-func (q *queue) welcome(w *waiting, zone string, now time.Time, call time.Duration) bool {
-	if w.Zone == "" || w.Zone == zone || now.Add(call+q.pacing.zoneSlack).After(w.due) {
+// zoneAllowed reports whether an item may go to a target in a zone now.
+func (q *queue) zoneAllowed(item *queuedItem, zone string, now time.Time, call time.Duration) bool {
+	if item.Zone == "" || item.Zone == zone || now.Add(call+q.timing.zoneWaitSlack).After(item.due) {
 		return true
 	}
-	patience := time.Duration(float64(q.pacing.zonePatience) * min(1, float64(w.CrossZoneBytes)/crossFull))
-	return now.Sub(w.since) >= patience
+	maxWait := time.Duration(float64(q.timing.zoneWait) * min(1, float64(item.CrossZoneBytes)/fullWaitBytes))
+	return now.Sub(item.since) >= maxWait
 }
 
-// offer describes a target that is free for a call.
-type offer struct {
+// callSlot describes a target that can start a call, and the limits of that call.
+type callSlot struct {
 	target string
 	zone   string
-	// items and space (bytes) are how much it takes.
+	// items is how many items the call may carry, space how many bytes of results.
 	items int
 	space int
-	// call is what a call takes at least, item what each item adds.
+	// call is the time of a call without any items, item the time that each item adds.
 	call time.Duration
 	item time.Duration
 }
 
-// fitting is how many items a call may carry at most to be done in time for one of
-// them, which would be in time alone.
-func (o offer) fitting(w *waiting, now time.Time) int {
-	left := w.due.Sub(now) - o.call - handSlack
-	if o.item <= 0 || left < o.item {
-		return o.items
+// maxItems returns how many items a call may carry so that the given item is in time. If
+// that item would be late even alone, it imposes no limit.
+func (slot callSlot) maxItems(queued *queuedItem, now time.Time) int {
+	left := queued.due.Sub(now) - slot.call - deliverySlack
+	if slot.item <= 0 || left < slot.item {
+		return slot.items
 	}
-	return int(left / o.item)
+	return int(left / slot.item)
 }
 
-// handSlack is what the messages of a result take.
-const handSlack = 16 * time.Millisecond
+// deliverySlack is the time for sending a result to its owner.
+const deliverySlack = 16 * time.Millisecond
 
-// take gives the items for one call: those that can still be in time first,
-// each group in the order in which they are due. Of those that are late anyway
-// nothing is gained by haste, while each of them ahead of the others would make
-// one more late.
-func (q *queue) take(now time.Time, o offer) []*waiting {
+// take removes and returns the items for one call: first those that can still be in time, then
+// the late ones, each group in the order in which they are due. Items that will be late anyway
+// gain nothing by running sooner, while each of them ahead of the others would make one more
+// late.
+func (q *queue) take(now time.Time, slot callSlot) []*queuedItem {
 	if !q.leaveOut.Has(leaveout.DueOrder) {
-		q.sort(now, o.call)
+		q.sort(now, slot.call)
 	}
 	anyZone := q.leaveOut.Has(leaveout.OwnZone)
-	light := len(q.items) <= o.items && !q.leaveOut.Has(leaveout.ShortCalls)
-	var taken []*waiting
+	lightLoad := len(q.items) <= slot.items && !q.leaveOut.Has(leaveout.ShortCalls)
+	var taken []*queuedItem
 	rest := q.items[:0]
-	for _, w := range q.items {
-		if len(taken) >= o.items || w.Bytes > o.space || w.avoid == o.target || !(anyZone || q.welcome(w, o.zone, now, o.call)) {
-			rest = append(rest, w)
+	for _, item := range q.items {
+		if len(taken) >= slot.items || item.Bytes > slot.space || item.avoidTarget == slot.target || !(anyZone || q.zoneAllowed(item, slot.zone, now, slot.call)) {
+			rest = append(rest, item)
 			continue
 		}
-		if light {
-			fitting := o.fitting(w, now)
-			if len(taken) >= fitting {
-				rest = append(rest, w)
+		if lightLoad {
+			maxItems := slot.maxItems(item, now)
+			if len(taken) >= maxItems {
+				rest = append(rest, item)
 				continue
 			}
-			o.items = min(o.items, fitting)
+			slot.items = min(slot.items, maxItems)
 		}
-		o.space -= w.Bytes
-		taken = append(taken, w)
-		delete(q.byKey, w.Key)
+		slot.space -= item.Bytes
+		taken = append(taken, item)
+		delete(q.byKey, item.Key)
 	}
 	clear(q.items[len(rest):])
 	q.items = rest
 	return taken
 }
 
-// sort puts those that can still be in time first, each group in the order in
-// which they are due.
+// sort orders items that can still be in time before late ones, and each group by effective due
+// time.
 func (q *queue) sort(now time.Time, call time.Duration) {
-	slices.SortStableFunc(q.items, func(a, b *waiting) int {
+	slices.SortStableFunc(q.items, func(a, b *queuedItem) int {
 		lateA, lateB := now.Add(call).After(a.due), now.Add(call).After(b.due)
 		if lateA != lateB {
 			if lateA {
@@ -178,22 +180,21 @@
 			}
 			return -1
 		}
-		return q.order(a).Compare(q.order(b))
+		return q.effectiveDue(a).Compare(q.effectiveDue(b))
 	})
 }
 
-// urgent tells whether an item can't wait for the call after the next.
-func (q *queue) urgent(now time.Time, call time.Duration) bool {
-	return slices.ContainsFunc(q.items, func(w *waiting) bool { return w.due.Sub(now) < 2*call })
+// hasUrgent reports whether the queue holds an item with less than two calls' time left.
+func (q *queue) hasUrgent(now time.Time, call time.Duration) bool {
+	return slices.ContainsFunc(q.items, func(item *queuedItem) bool { return item.due.Sub(now) < 2*call })
 }
 
-// firstZone is the zone in which the most urgent item is best made; empty for
-// anywhere.
-func (q *queue) firstZone() string {
-	var first *waiting
-	for _, w := range q.items {
-		if first == nil || q.order(w).Before(q.order(first)) {
-			first = w
+// mostUrgentZone returns the preferred zone of the most urgent item; empty means any zone.
+func (q *queue) mostUrgentZone() string {
+	var first *queuedItem
+	for _, item := range q.items {
+		if first == nil || q.effectiveDue(item).Before(q.effectiveDue(first)) {
+			first = item
 		}
 	}
 	if first == nil {
--- a/internal/serve/gather/requester.go
+++ b/internal/serve/gather/requester.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	// ackTimeout is how long a gatherer may take to answer before another one is
-	// asked. The VMs are a millisecond or two apart, but the smallest have a fifth of
-	// a core and may use it up for the rest of a tenth of a second, and the next
-	// one as well. Failed over too soon, its items are made twice.
+	// ackTimeout is how long a gatherer may take to answer before the next one is tried. VMs
+	// are a millisecond or two apart, but the smallest have a fifth of a core, and once it is
+	// used up they are stalled for the rest of a tenth of a second, possibly twice in a row.
+	// After a failover that is too early, items are processed twice.
 	ackTimeout = 350 * time.Millisecond
-	// checkAfter is from when on a gatherer that owes results is asked whether
-	// it still has the items; a call takes 300 to 450 ms.
+	// checkAfter is the time after which a gatherer that hasn't returned all results is asked
+	// whether it still has the items; a call takes 300 to 450 ms.
 	checkAfter  = 600 * time.Millisecond
 	checkPeriod = 200 * time.Millisecond
-	// handPeriod is how long results to be freed are collected for one message
-	// to their gatherer: long enough for those of one request.
-	handPeriod = 5 * time.Millisecond
-	// doneTimeout bounds the handing over of results.
-	doneTimeout = 500 * time.Millisecond
+	// freeMessageDelay is how long results to be freed are collected for one message to their
+	// allocator: long enough for those of one request.
+	freeMessageDelay = 5 * time.Millisecond
+	// deliveryTimeout bounds the calls that deliver or free results or cancel a request.
+	deliveryTimeout = 500 * time.Millisecond
 )
 
-// Requester hands this process's items to the gatherers and gets the results.
+// Requester submits this process's items to the gatherers and receives the results.
 type Requester struct {
 	log     *zap.Logger
 	network peer.Network
@@ -43,59 +43,61 @@
 	// leaveOut is Options.LeaveOut.
 	leaveOut leaveout.Set
 	started  time.Time
-	// serial counts what was handed over or asked for.
+	// serial numbers submissions and reservations.
 	serial atomic.Uint64
 
-	mu           sync.Mutex // guards what follows; never held during a call
-	pending      map[Key]*pending
-	unresponsive map[peer.Incarnation]bool
-	freeing      map[freeKey][]string
-	freer        bool
-	leaving      bool
-	// owners is read and its rankings are added to with mu held.
-	owners derived.Value[layout, *owners]
+	mu             sync.Mutex // guards the fields below; never held during a call
+	pending        map[Key]*pending
+	unresponsive   map[peer.Incarnation]bool
+	pendingFrees   map[freeKey][]string
+	flushScheduled bool
+	leaving        bool
+	// owners and the rankings cached in it are accessed with mu held.
+	owners derived.Value[assignmentInputs, *owners]
 }
 
+// pending is a submitted item whose result has not arrived.
 type pending struct {
-	item     Item
-	due      time.Time
-	expires  time.Time
-	shard    Shard
-	gatherer peer.Incarnation
-	asked    time.Time
-	done     chan<- Result
+	item        Item
+	due         time.Time
+	expires     time.Time
+	shard       Shard
+	gatherer    peer.Incarnation
+	submittedAt time.Time
+	done        chan<- Result
 }
 
-// RefusedError means that the items can't be made in time.
+// RefusedError means that the items can't be processed, or not in time.
 type RefusedError struct {
 	Reason Reason
-	// Service whose targets can't make it.
+	// Service is the service whose targets can't process them.
 	Service string
-	// Wait is about how long the queue is.
+	// Wait is the gatherer's estimate in Ack.Wait.
 	Wait time.Duration
 }
 
 // Error describes the refusal.
 func (r *RefusedError) Error() string {
-	return fmt.Sprintf("%s refused: %s (%v too late)", r.Service, r.Reason, r.Wait)
+	return fmt.Sprintf("service %q refused the items: %s (%v too late)", r.Service, r.Reason, r.Wait)
 }
 
-// Options are what a Requester is made from.
+// Options configures a Requester.
 type Options struct {
 	Log     *zap.Logger
 	Network peer.Network
 	Table   *pool.Table
-	// Gatherer is this process's own.
+	// Gatherer is this process's own gatherer.
 	Gatherer *Gatherer
-	// LeaveOut switches mechanisms off, for measurements.
+	// LeaveOut disables mechanisms, for measurements.
 	LeaveOut leaveout.Set
 }
 
-// New wires a requester and its gatherer. Call before the network starts.
+// New creates a requester and registers the handlers for calls between processes. It must be
+// called before the network starts.
 func New(o Options) *Requester {
 	r := &Requester{
 		log: o.Log, network: o.Network, table: o.Table, leaveOut: o.LeaveOut, started: time.Now(),
-		pending: map[Key]*pending{}, unresponsive: map[peer.Incarnation]bool{}, freeing: map[freeKey][]string{},
+		pending: map[Key]*pending{}, unresponsive: map[peer.Incarnation]bool{}, pendingFrees: map[freeKey][]string{},
 	}
 	r.own = o.Gatherer
 	r.own.leaveOut = o.LeaveOut
@@ -104,8 +106,8 @@
 	peer.HandleCall(o.Network, methodSubmit, func(c submitCall) (any, error) {
 		return r.own.Submit(string(c.Owner), c.Shard, c.Items, time.Now()), nil
 	})
-	peer.HandleCall(o.Network, methodDone, func(c doneCall) (any, error) {
-		r.take(c.Gatherer, c.Shard, c.Results)
+	peer.HandleCall(o.Network, methodResults, func(c resultsCall) (any, error) {
+		r.receive(c.Gatherer, c.Shard, c.Results)
 		return struct{}{}, nil
 	})
 	peer.HandleCall(o.Network, methodCancel, func(c cancelCall) (any, error) {
@@ -113,78 +115,79 @@
 		return struct{}{}, nil
 	})
 	peer.HandleCall(o.Network, methodFree, func(c freeCall) (any, error) {
-		return ackOf(c, r.own.Free(c.Shard, c.Handles, c.Final)), nil
+		return newFreeAck(c, r.own.Free(c.Shard, c.Handles, c.Final)), nil
 	})
-	peer.HandleCall(o.Network, methodAsk, func(c askCall) (any, error) {
-		return r.own.Ask(c, time.Now()), nil
+	peer.HandleCall(o.Network, methodReserve, func(c reserveCall) (any, error) {
+		return r.own.ReserveStage(c, time.Now()), nil
 	})
 	peer.HandleCall(o.Network, methodCheck, func(c checkCall) (any, error) {
-		return r.own.Unknown(c.Shard, c.Keys), nil
+		return r.own.MissingItems(c.Shard, c.Keys), nil
 	})
 	return r
 }
 
-// Gatherer is this process's own.
+// Gatherer returns this process's own gatherer.
 func (r *Requester) Gatherer() *Gatherer { return r.own }
 
-// Leave makes this process hand its items to others from now on.
+// Leave makes this process stop gathering for its own items, which go to other processes from
+// now on if there are any.
 func (r *Requester) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
 }
 
-// StageWork is what one request wants of one stage.
+// StageWork is the work of one stage of a request.
 type StageWork struct {
 	Service string
 	Items   []Item
 	Due     time.Time
 	Expires time.Time
-	// Zone is where the results are wanted; empty for anywhere.
+	// Zone is the preferred zone; empty means any zone.
 	Zone string
 }
 
-// StageResults is what became of the work.
+// StageResults holds the results of one stage of a request.
 type StageResults struct {
 	Shard   Shard
 	Results []Result
 }
 
-// RunStage has the items made and waits for all of them. The error is *RefusedError or
-// the context's.
-func (r *Requester) RunStage(ctx context.Context, w StageWork) (*StageResults, error) {
-	moved := map[Shard]bool{}
+// RunStage has the items of a stage processed and waits for all results. The error is a
+// *RefusedError or the context's.
+func (r *Requester) RunStage(ctx context.Context, work StageWork) (*StageResults, error) {
+	excluded := map[Shard]bool{}
 	for {
-		shard, err := r.shardBeside(moved, w.Service, w.Zone, w.Items[0].Request)
+		shard, err := r.chooseShardExcept(excluded, work.Service, work.Zone, work.Items[0].Request)
 		if err != nil {
 			return nil, err
 		}
-		done, err := r.makeAt(ctx, shard, w)
+		done, err := r.runOnShard(ctx, shard, work)
 		var refused *RefusedError
-		if !errors.As(err, &refused) || refused.Reason != Moved {
+		if !errors.As(err, &refused) || refused.Reason != NoTargetInShard {
 			return done, err
 		}
-		moved[shard] = true
+		excluded[shard] = true
 	}
 }
 
-// makeAt has the items made by the targets of one shard.
-func (r *Requester) makeAt(ctx context.Context, shard Shard, w StageWork) (*StageResults, error) {
-	results := make(chan Result, 2*len(w.Items))
-	wanted := r.register(w, shard, results)
+// runOnShard has the items processed by the targets of one shard.
+func (r *Requester) runOnShard(ctx context.Context, shard Shard, work StageWork) (*StageResults, error) {
+	results := make(chan Result, 2*len(work.Items))
+	wanted := r.register(work, shard, results)
 	defer r.forget(wanted)
 	if err := r.submit(ctx, shard, wanted); err != nil {
 		return nil, err
 	}
-	return r.wait(ctx, shard, wanted, results)
+	return r.awaitResults(ctx, shard, wanted, results)
 }
 
-func (r *Requester) register(w StageWork, shard Shard, results chan<- Result) []*pending {
+func (r *Requester) register(work StageWork, shard Shard, results chan<- Result) []*pending {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	wanted := make([]*pending, 0, len(w.Items))
-	for _, item := range w.Items {
-		p := &pending{item: item, due: w.Due, expires: w.Expires, shard: shard, done: results}
+	wanted := make([]*pending, 0, len(work.Items))
+	for _, item := range work.Items {
+		p := &pending{item: item, due: work.Due, expires: work.Expires, shard: shard, done: results}
 		r.pending[item.Key] = p
 		wanted = append(wanted, p)
 	}
@@ -201,13 +204,13 @@
 	}
 }
 
-// submit hands items to the best gatherer that answers. The last resort is
-// this process itself.
+// submit sends items to the first gatherer in the ranking that answers and knows the service.
+// If there is none, this process gathers for them itself.
 func (r *Requester) submit(ctx context.Context, shard Shard, wanted []*pending) error {
 	self := r.network.Self().Incarnation
 	for _, candidate := range r.gatherers(shard) {
-		ack, err := r.offer(ctx, candidate, shard, wanted)
-		if err == nil && !ack.Unknown {
+		ack, err := r.submitTo(ctx, candidate, shard, wanted)
+		if err == nil && !ack.UnknownService {
 			return refusal(shard, ack)
 		}
 		if err == nil {
@@ -222,15 +225,16 @@
 	return refusal(shard, ack)
 }
 
-// errUnknownService means that a gatherer's configuration lacks the service.
-var errUnknownService = errors.New("the gatherer doesn't know the service")
+// errUnknownService means that a gatherer doesn't know the service or no targets yet.
+var errUnknownService = errors.New("gatherer doesn't know the service or has no targets yet")
 
+// refusal returns the error for an answer that refuses items, else nil.
 func refusal(shard Shard, ack Ack) error {
-	if ack.Unknown {
+	if ack.UnknownService {
 		return &RefusedError{Reason: NoTarget, Service: shard.Service}
 	}
-	if ack.Moved {
-		return &RefusedError{Reason: Moved, Service: shard.Service}
+	if ack.NoTargetInShard {
+		return &RefusedError{Reason: NoTargetInShard, Service: shard.Service}
 	}
 	if ack.Refused {
 		return &RefusedError{Reason: Late, Service: shard.Service, Wait: ack.Wait.Duration()}
@@ -238,7 +242,7 @@
 	return nil
 }
 
-func (r *Requester) offer(ctx context.Context, to peer.Incarnation, shard Shard, wanted []*pending) (Ack, error) {
+func (r *Requester) submitTo(ctx context.Context, to peer.Incarnation, shard Shard, wanted []*pending) (Ack, error) {
 	items := r.items(wanted, to)
 	self := r.network.Self().Incarnation
 	if to == self {
@@ -251,8 +255,8 @@
 	return ack, err
 }
 
-// items are the wanted items with their times as of now, noted as handed to a
-// gatherer.
+// items returns the wanted items with the times left from now on, and records them as
+// submitted to a gatherer.
 func (r *Requester) items(wanted []*pending, to peer.Incarnation) []Item {
 	now := time.Now()
 	serial := r.serial.Add(1)
@@ -261,7 +265,7 @@
 	items := make([]Item, 0, len(wanted))
 	for _, p := range wanted {
 		p.gatherer = to
-		p.asked = now
+		p.submittedAt = now
 		item := p.item
 		item.Serial = serial
 		item.Due = ToMillis(p.due.Sub(now))
@@ -271,8 +275,8 @@
 	return items
 }
 
-// wait collects the results of all items, and looks after those that stay away.
-func (r *Requester) wait(ctx context.Context, shard Shard, wanted []*pending, results <-chan Result) (*StageResults, error) {
+// awaitResults collects the results of all items and has lost items submitted again.
+func (r *Requester) awaitResults(ctx context.Context, shard Shard, wanted []*pending, results <-chan Result) (*StageResults, error) {
 	done := &StageResults{Shard: shard}
 	timer := time.NewTimer(checkAfter)
 	defer timer.Stop()
@@ -287,14 +291,14 @@
 				r.Free(shard, []Result{result})
 				continue
 			}
-			if result.Reason != Made {
+			if result.Reason != Completed {
 				r.abandon(shard, wanted, results, done)
 				return nil, &RefusedError{Reason: result.Reason, Service: shard.Service}
 			}
 			seen[result.Key] = true
 			done.Results = append(done.Results, result)
 		case <-timer.C:
-			if err := r.lookAfter(ctx, shard, wanted, seen); err != nil {
+			if err := r.resubmitLost(ctx, shard, wanted, seen); err != nil {
 				r.abandon(shard, wanted, results, done)
 				return nil, err
 			}
@@ -305,7 +309,7 @@
 	return done, nil
 }
 
-// abandon drops what is no longer wanted and frees what was made.
+// abandon cancels the items that have no result yet and frees the results that exist.
 func (r *Requester) abandon(shard Shard, wanted []*pending, results <-chan Result, done *StageResults) {
 	byGatherer := map[peer.Incarnation]string{}
 	r.mu.Lock()
@@ -319,14 +323,14 @@
 	for gatherer, request := range byGatherer {
 		r.cancel(gatherer, shard, request)
 	}
-	made := append(done.Results, unread(results)...)
-	r.own.inVain(len(handlesOf(made)))
-	r.Free(shard, made)
+	existing := append(done.Results, drain(results)...)
+	r.own.countDiscarded(len(handlesOf(existing)))
+	r.Free(shard, existing)
 }
 
-// unread are the results that have come and that nobody has taken in. No more
-// come: the items are forgotten.
-func unread(results <-chan Result) []Result {
+// drain returns the results left in the channel. No more can follow, since the items are no
+// longer pending.
+func drain(results <-chan Result) []Result {
 	var list []Result
 	for len(results) > 0 {
 		list = append(list, <-results)
@@ -341,11 +345,11 @@
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), doneTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), deliveryTimeout)
 		defer cancel()
 		err := r.network.Call(ctx, gatherer, methodCancel, cancelCall{Shard: shard, Request: request, UpTo: upTo}, nil)
 		if err != nil {
-			r.log.Debug("Cancel not delivered; the items expire.", zap.Error(err))
+			r.log.Debug("Could not deliver cancellation; the items will expire.", zap.Error(err))
 		}
 	}()
 }
--- a/internal/serve/gather/reservations.go
+++ b/internal/serve/gather/reservations.go
@@ -9,66 +9,65 @@
 	"github.com/vanillagate/vanillagate/internal/serve/plan"
 )
 
-// reservations holds the work that a shard has reserved, and decides what else it can
-// reserve. Working on more than it can make would make everything late; a request
-// whose work can't be reserved is refused before its first stage.
+// reservations holds the work for which a shard has reserved capacity, and decides on further
+// reservations. If a shard accepted more work than it can process, all of it would become late.
+// A request whose work can't be reserved is refused before its first stage.
 //
 // It does no I/O and reads no clock. It is not safe for concurrent use.
 type reservations struct {
 	leaveOut leaveout.Set
 	held     map[groupKey]*reservation
-	ranks    map[int]*demand
+	demands  map[int]*demand
 }
 
 // reservation is the outstanding work of one stage of one request.
 type reservation struct {
 	items int
 	due   time.Time
-	// unasked means that the items came without having been asked for.
-	unasked bool
-	serial  uint64
+	// unreserved means that the items were submitted without a reservation.
+	unreserved bool
+	serial     uint64
 }
 
-// capacity is what a shard can make.
+// capacity is the throughput of a shard.
 type capacity struct {
-	// rate in items a second.
+	// rate is in items per second.
 	rate float64
-	// call is what one call takes.
+	// call is the time of one call.
 	call time.Duration
-	// idle is pacing's.
-	idle time.Duration
+	// idleBacklog is timing.idleBacklog.
+	idleBacklog time.Duration
 }
 
 const (
-	// demandMemory is over what time a rank's demand is averaged: longer than a
-	// request takes, shorter than a burst, which lasts four to seven seconds.
-	demandMemory = 2 * time.Second
-	// leastShare of a rank's demand is admitted as if it were the most urgent,
-	// so that no kind of request starves; the users' bound is a quarter of what
-	// all requests get.
-	leastShare = 0.35
-	// usable is the part of the rate that is reserved. The rest covers items that
-	// fail, sizes that differ, and calls that aren't full because what waits is
-	// best made at another target.
-	usable = 0.7
-	// forget is how long after its due time a reservation counts that nobody has
-	// used.
-	forget = time.Second
+	// demandWindow is the time constant over which a rank's demand is averaged: longer than a
+	// request takes, and shorter than a burst, which lasts four to seven seconds.
+	demandWindow = 2 * time.Second
+	// minShare of a rank's demand is admitted as if it were the most urgent, so that no class
+	// of requests starves. The users' requirement is at least a quarter of the admission rate
+	// of all requests.
+	minShare = 0.35
+	// reservableShare is the share of a shard's rate that can be reserved. The rest covers
+	// items that fail, differences in size, and calls that aren't full because queued items
+	// wait for a target in their own zone.
+	reservableShare = 0.7
+	// reservationGrace is how long after its due time an unused reservation still counts.
+	reservationGrace = time.Second
 )
 
-// demand is what requests of one rank asked for lately.
+// demand is the recent demand of requests of one rank.
 type demand struct {
-	asked    float64 // items a second
-	admitted float64
-	lead     time.Duration // how long before its due time such work is asked for
-	at       time.Time
+	requested float64 // items per second
+	admitted  float64
+	lead      time.Duration // mean time from the reservation of such work to its due time
+	updated   time.Time
 }
 
-// leadWeight is how much one request counts in the mean lead.
+// leadWeight is the weight of one request in the moving average of the lead.
 const leadWeight = 0.1
 
-func (d *demand) note(items int, lead time.Duration) {
-	d.asked += float64(items) / demandMemory.Seconds()
+func (d *demand) record(items int, lead time.Duration) {
+	d.requested += float64(items) / demandWindow.Seconds()
 	if d.lead == 0 {
 		d.lead = lead
 	}
@@ -76,76 +75,78 @@
 }
 
 func (d *demand) decay(now time.Time) {
-	keep := math.Exp(-float64(now.Sub(d.at)) / float64(demandMemory))
-	d.asked *= keep
+	keep := math.Exp(-float64(now.Sub(d.updated)) / float64(demandWindow))
+	d.requested *= keep
 	d.admitted *= keep
-	d.at = now
+	d.updated = now
 }
 
-func (d *demand) starved() bool { return d.admitted < leastShare*d.asked }
+func (d *demand) starved() bool { return d.admitted < minShare*d.requested }
 
 func newReservations(leaveOut leaveout.Set) *reservations {
-	return &reservations{leaveOut: leaveOut, held: map[groupKey]*reservation{}, ranks: map[int]*demand{}}
+	return &reservations{leaveOut: leaveOut, held: map[groupKey]*reservation{}, demands: map[int]*demand{}}
 }
 
 func (r *reservations) demandOf(rank int, now time.Time) *demand {
-	d := r.ranks[rank]
+	d := r.demands[rank]
 	if d == nil {
-		d = &demand{at: now}
-		r.ranks[rank] = d
+		d = &demand{updated: now}
+		r.demands[rank] = d
 	}
 	d.decay(now)
 	return d
 }
 
-// ask decides whether the shard reserves some work. Where it doesn't, excess is
-// about how much sooner the work should have come, or how much later it could.
-func (r *reservations) ask(now time.Time, key groupKey, rank int, p reservation, c capacity) (granted bool, excess time.Duration) {
+// reserve decides whether the shard reserves capacity for some work. If it doesn't, lateness is
+// about how much earlier the work should have been requested, or how much later it would have
+// to be due.
+func (r *reservations) reserve(now time.Time, key groupKey, rank int, p reservation, c capacity) (granted bool, lateness time.Duration) {
 	d := r.demandOf(rank, now)
-	d.note(p.items, p.due.Sub(now))
+	d.record(p.items, p.due.Sub(now))
 	reserved := 0.0
 	starved := d.starved() && !r.leaveOut.Has(leaveout.LeastShare)
 	if !starved && !r.leaveOut.Has(leaveout.Reserve) {
-		reserved = r.moreUrgent(rank, now, p.due)
+		reserved = r.expectedMoreUrgent(rank, now, p.due)
 	}
-	excess = r.excess(now, p, reserved, c)
-	if excess > 0 {
-		return false, excess
+	lateness = r.lateness(now, p, reserved, c)
+	if lateness > 0 {
+		return false, lateness
 	}
-	d.admitted += float64(p.items) / demandMemory.Seconds()
+	d.admitted += float64(p.items) / demandWindow.Seconds()
 	r.held[key] = &p
 	return true, 0
 }
 
-// moreUrgent is how many items of the ranks before this one are still to come
-// that will be due by a time.
-func (r *reservations) moreUrgent(rank int, now, due time.Time) float64 {
+// expectedMoreUrgent estimates how many items of more urgent ranks will still be requested that
+// are due by the given time.
+func (r *reservations) expectedMoreUrgent(rank int, now, due time.Time) float64 {
 	total := 0.0
-	for other := range r.ranks {
+	for other := range r.demands {
 		if other >= rank {
 			continue
 		}
 		d := r.demandOf(other, now)
-		total += d.asked * max(due.Sub(now)-d.lead, 0).Seconds()
+		total += d.requested * max(due.Sub(now)-d.lead, 0).Seconds()
 	}
 	return total
 }
 
-// excess is how much later than due something would be made if the work were
-// added; 0 or less where all is in time.
-func (r *reservations) excess(now time.Time, p reservation, reserved float64, c capacity) time.Duration {
-	r.sweep(now)
-	rate := usable * c.rate
+// lateness returns by how much the latest item would miss its due time if the work were
+// added; 0 or less means that all items are in time.
+func (r *reservations) lateness(now time.Time, p reservation, reserved float64, c capacity) time.Duration {
+	r.dropExpired(now)
+	rate := reservableShare * c.rate
 	if rate <= 0 {
 		return c.call
 	}
-	if float64(r.standing())/rate <= c.idle.Seconds() {
+	if float64(r.outstanding())/rate <= c.idleBacklog.Seconds() {
 		return 0
 	}
 	late := func(work float64, due time.Time) time.Duration {
 		return seconds(work/rate) - (due.Sub(now) - c.call)
 	}
-	// work is what is due by the reservation at hand, in the order of due times.
+	// work counts the items that are due up to the reservation at hand, in the order of due
+	// times.
 	work, worst, seen := 0.0, time.Duration(math.MinInt64), false
 	for _, other := range r.byDue() {
 		if !seen && other.due.After(p.due) {
@@ -164,7 +165,7 @@
 	return worst
 }
 
-// byDue lists the reservations, the one that is due first in front.
+// byDue lists the reservations in the order of their due times.
 func (r *reservations) byDue() []*reservation {
 	list := make([]*reservation, 0, len(r.held))
 	for _, p := range r.held {
@@ -176,8 +177,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// standing counts all items reserved and not yet begun.
-func (r *reservations) standing() int {
+// outstanding counts the items that are reserved and not yet started.
+func (r *reservations) outstanding() int {
 	total := 0
 	for _, p := range r.held {
 		total += p.items
@@ -185,8 +186,9 @@
 	return total
 }
 
-// begun notes that an item is being made.
-func (r *reservations) begun(k Key) {
+// itemStarted records that a reserved item has started, or that it left the queue without
+// running.
+func (r *reservations) itemStarted(k Key) {
 	p := r.held[k.group()]
 	if p == nil {
 		return
@@ -197,19 +199,19 @@
 	}
 }
 
-// note adds an item that came without having been asked for.
-func (r *reservations) note(key groupKey, due time.Time, serial uint64) {
+// addItem counts a submitted item unless it belongs to a reservation.
+func (r *reservations) addItem(key groupKey, due time.Time, serial uint64) {
 	p := r.held[key]
 	if p == nil {
-		p = &reservation{due: due, unasked: true, serial: serial}
+		p = &reservation{due: due, unreserved: true, serial: serial}
 		r.held[key] = p
 	}
-	if p.unasked {
+	if p.unreserved {
 		p.items++
 	}
 }
 
-// drop forgets what a request wanted under a serial up to the given one.
+// drop removes the reservations of a request with a serial not above upTo.
 func (r *reservations) drop(request string, upTo uint64) {
 	for key, p := range r.held {
 		if key.Request == request && p.serial <= upTo {
@@ -218,30 +220,30 @@
 	}
 }
 
-func (r *reservations) sweep(now time.Time) {
+func (r *reservations) dropExpired(now time.Time) {
 	for key, p := range r.held {
-		if now.After(p.due.Add(forget)) {
+		if now.After(p.due.Add(reservationGrace)) {
 			delete(r.held, key)
 		}
 	}
 }
 
-// sustained is what a shard can make in the long run: as many items a call as
-// fit into a batch and into half of the buffer, since the results of one call
-// still lie there when the next begins.
-func sustained(targets float64, b *plan.Batch, space, itemBytes int) capacity {
+// sustainedCapacity returns the long-run throughput of a shard: each call carries as many items
+// as fit into a batch and whose results fit into half of the buffer, since the results of one
+// call are still there when the next begins.
+func sustainedCapacity(targets float64, b *plan.Batch, space, itemBytes int) capacity {
 	n := float64(b.Size)
 	if itemBytes > 0 {
 		n = min(n, max(bufferShare*float64(space)/float64(itemBytes)/2, 1))
 	}
 	took := b.CallTime + time.Duration(n*float64(b.ItemTime))
-	return capacity{rate: targets * n / took.Seconds(), call: took, idle: pacingOf(b).idle}
+	return capacity{rate: targets * n / took.Seconds(), call: took, idleBacklog: timingOf(b).idleBacklog}
 }
 
-// meanSize keeps a moving mean of the size of results, in bytes.
+// meanSize is a moving average of the size of results, in bytes.
 type meanSize struct{ mean float64 }
 
-// sizeWeight is how much one item counts: about the last fifty decide.
+// sizeWeight is the weight of one item: about the last fifty determine the mean.
 const sizeWeight = 0.02
 
 func (m *meanSize) add(bytes int) {
--- /dev/null
+++ b/internal/serve/gather/reserve.go
@@ -0,0 +1,114 @@
+package gather
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/vanillagate/vanillagate/internal/serve/leaveout"
+	"github.com/vanillagate/vanillagate/internal/wait"
+)
+
+// ReservationRequest is the work of one stage for which a request wants to reserve capacity.
+type ReservationRequest struct {
+	Service string
+	Stage   int
+	Items   int
+	Due     time.Time
+	Rank    int
+	// Zone is the zone in which the stage will run if the service is sharded by zone; empty
+	// means any zone.
+	Zone string
+}
+
+// ReserveStages asks the gatherers of all stages to reserve capacity for a request's items. The
+// error is a *RefusedError if one of them can't process its items in time; the other
+// reservations are cancelled then. A gatherer that doesn't answer doesn't cause a refusal. The
+// caller cancels reservations that it no longer needs with CancelReservations.
+func (r *Requester) ReserveStages(ctx context.Context, request string, wants []ReservationRequest) ([]Shard, error) {
+	r.awaitPeers(ctx)
+	if r.leaveOut.Has(leaveout.Reservations) {
+		return nil, nil
+	}
+	answers := make(chan error, len(wants))
+	shards := make([]Shard, len(wants))
+	for i, want := range wants {
+		shard, err := r.chooseShard(want.Service, want.Zone, request)
+		if err != nil {
+			return nil, err
+		}
+		shards[i] = shard
+	}
+	serial := r.serial.Add(1)
+	for i, want := range wants {
+		go func() { answers <- r.reserveStage(ctx, request, shards[i], want, serial) }()
+	}
+	var refused error
+	for range wants {
+		if err := <-answers; err != nil {
+			refused = err
+		}
+	}
+	if refused != nil {
+		r.CancelReservations(request, shards)
+		return nil, refused
+	}
+	return shards, nil
+}
+
+// CancelReservations releases the capacity that the shards have reserved for a request. Without
+// it a request that was given up would keep others out until its due time.
+func (r *Requester) CancelReservations(request string, shards []Shard) {
+	for _, shard := range shards {
+		r.cancel(r.gatherers(shard)[0], shard, request)
+	}
+}
+
+func (r *Requester) reserveStage(ctx context.Context, request string, shard Shard, want ReservationRequest, serial uint64) error {
+	now := time.Now()
+	gatherer := r.gatherers(shard)[0]
+	call := reserveCall{
+		Shard: shard, Request: request, Stage: want.Stage, Rank: want.Rank, Items: want.Items, Due: ToMillis(want.Due.Sub(now)), Serial: serial,
+	}
+	if gatherer == r.network.Self().Incarnation {
+		return reservationError(shard, r.own.ReserveStage(call, now))
+	}
+	ctx, cancel := context.WithTimeout(ctx, ackTimeout)
+	defer cancel()
+	var ack Ack
+	if err := r.network.Call(ctx, gatherer, methodReserve, call, &ack); err != nil {
+		if ctx.Err() == nil || errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
+			r.failOver(gatherer, err)
+		}
+		return nil
+	}
+	return reservationError(shard, ack)
+}
+
+// reservationError returns the refusal in a shard's answer, if it is one. A process that
+// doesn't know the service can neither grant nor refuse.
+func reservationError(shard Shard, ack Ack) error {
+	if ack.UnknownService {
+		return nil
+	}
+	return refusal(shard, ack)
+}
+
+const (
+	// peerDiscoveryTime is how long after its start a process that knows no peers waits for
+	// them before it gathers on its own. If processes that start together didn't wait, each
+	// would call every target with only its own items, and most calls would find the target
+	// full.
+	peerDiscoveryTime = 600 * time.Millisecond
+	peerPollInterval  = 20 * time.Millisecond
+)
+
+// awaitPeers waits until a peer is known, but only during the first peerDiscoveryTime after the
+// start.
+func (r *Requester) awaitPeers(ctx context.Context) {
+	for time.Since(r.started) < peerDiscoveryTime && len(r.network.View().Members) == 0 {
+		if !wait.For(ctx, peerPollInterval) {
+			return
+		}
+	}
+}
--- a/internal/serve/gather/results.go
+++ b/internal/serve/gather/results.go
@@ -8,27 +8,26 @@
 	"github.com/vanillagate/vanillagate/internal/peer"
 )
 
-// deliver gives results to their owner; what reaches nobody is freed.
+// deliver sends results to their owner and frees those that can't be delivered.
 func (r *Requester) deliver(owner string, shard Shard, results []Result) {
 	if owner == string(r.network.Self().Incarnation) {
-		r.take(r.network.Self().Incarnation, shard, results)
+		r.receive(r.network.Self().Incarnation, shard, results)
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), doneTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), deliveryTimeout)
 	defer cancel()
-	err := r.network.Call(ctx, peer.Incarnation(owner), methodDone, doneCall{
+	err := r.network.Call(ctx, peer.Incarnation(owner), methodResults, resultsCall{
 		Allocator: Allocator{Shard: shard, Gatherer: r.network.Self().Incarnation}, Results: results,
 	}, nil)
 	if err == nil {
 		return
 	}
-	r.log.Warn("Results not delivered; freed.", zap.String("member", owner), zap.Int("results", len(results)), zap.Error(err))
+	r.log.Warn("Could not deliver results; freeing them.", zap.String("member", owner), zap.Int("results", len(results)), zap.Error(err))
 	r.own.Free(shard, handlesOf(results), true)
 }
 
-// take hands a gatherer's results to the requests that wait; what nobody waits
-// for is freed.
-func (r *Requester) take(gatherer peer.Incarnation, shard Shard, results []Result) {
+// receive passes a gatherer's results to the requests that wait for them and frees the others.
+func (r *Requester) receive(gatherer peer.Incarnation, shard Shard, results []Result) {
 	var unwanted []Result
 	r.mu.Lock()
 	for _, result := range results {
@@ -42,6 +41,6 @@
 		p.done <- result
 	}
 	r.mu.Unlock()
-	r.own.inVain(len(unwanted))
+	r.own.countDiscarded(len(unwanted))
 	r.Free(shard, unwanted)
 }
--- a/internal/serve/gather/shards.go
+++ b/internal/serve/gather/shards.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// maxUndivided is the most targets of a service that is one shard. A larger
+	// maxUndivided is the most targets that a service may have as a single shard. A larger
 	// service is divided by availability zone, so that results stay in their zone.
 	maxUndivided = 8
-	// meanShard is about how many targets a shard of a large zone has. Calls of so
-	// many targets end every few tens of ms; more would shorten no wait that
-	// matters, and take more of their owner's processor time.
-	meanShard = 10
-	// shardSlack is how much larger than the mean the largest shard of a zone, and
-	// the load of the busiest owner, may be. The more slack, the fewer targets and
-	// shards move when others come and go.
-	shardSlack = 1.25
+	// meanShardTargets is about how many targets each shard of a large zone has. With so many,
+	// a call ends every few tens of milliseconds; more would not shorten waits noticeably, and
+	// would take more CPU time of the shard's gatherer.
+	meanShardTargets = 10
+	// loadSlack is how many times the mean the largest shard of a zone, and the number of
+	// shards of the busiest owner, may be. The more slack, the fewer targets and shards move
+	// when others are added or removed.
+	loadSlack = 1.25
 )
 
-// sharding is how a service's targets are divided. It depends on the store's list
-// alone, so that all processes divide alike. It is never changed.
+// sharding is the division of a service's targets into shards. It depends only on the list of
+// targets in the store, so that all processes compute the same one. It is immutable.
 type sharding struct {
-	// shards in the order of their zones and parts.
+	// shards are in the order of their zones and parts.
 	shards  []Shard
 	targets map[Shard][]*pool.Target
-	// of is the shard of each target, by ID.
-	of     map[string]Shard
-	byZone map[string][]*pool.Target
-	ready  *pool.ReadySet
+	// shardOfTarget maps target IDs to shards.
+	shardOfTarget map[string]Shard
+	byZone        map[string][]*pool.Target
+	ready         *pool.ReadySet
 }
 
-// shardings keeps each service's sharding until its ready set changes.
+// shardings caches each service's sharding until its ready set changes.
 type shardings struct {
-	mu        sync.Mutex // guards byService; a leaf
+	mu        sync.Mutex // guards byService; no other lock is acquired while it is held
 	byService map[string]*sharding
 }
 
-func (c *shardings) of(service string, ready *pool.ReadySet) *sharding {
+func (c *shardings) get(service string, ready *pool.ReadySet) *sharding {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s := c.byService[service]; s != nil && s.ready == ready {
@@ -57,10 +57,10 @@
 	return s
 }
 
-// divide makes the shards of a service.
+// divide computes the shards of a service.
 func divide(service string, ready *pool.ReadySet) *sharding {
 	s := &sharding{
-		targets: map[Shard][]*pool.Target{}, of: map[string]Shard{}, byZone: map[string][]*pool.Target{}, ready: ready,
+		targets: map[Shard][]*pool.Target{}, shardOfTarget: map[string]Shard{}, byZone: map[string][]*pool.Target{}, ready: ready,
 	}
 	for _, t := range ready.Targets {
 		s.byZone[t.Zone] = append(s.byZone[t.Zone], t)
@@ -76,10 +76,10 @@
 	return s
 }
 
-// divideZone gives each target of a zone to the shard that it ranks first and
-// that has room. first is the zone's first shard.
+// divideZone assigns each target of a zone to the shard that ranks highest for it among those
+// that aren't full. first is the zone's first shard.
 func (s *sharding) divideZone(first Shard, targets []*pool.Target) {
-	parts := max(1, (len(targets)+meanShard/2)/meanShard)
+	parts := max(1, (len(targets)+meanShardTargets/2)/meanShardTargets)
 	if parts == 1 {
 		s.put(first, targets...)
 		return
@@ -93,7 +93,7 @@
 	}
 	load := newLoads(parts, len(targets))
 	for _, t := range targets {
-		chosen := load.take(member.Hash(t.ID), hashes)
+		chosen := load.place(member.Hash(t.ID), hashes)
 		s.put(shards[chosen], t)
 	}
 }
@@ -107,43 +107,43 @@
 	}
 	s.targets[shard] = append(s.targets[shard], targets...)
 	for _, t := range targets {
-		s.of[t.ID] = shard
+		s.shardOfTarget[t.ID] = shard
 	}
 }
 
-// choose gives the shard for some work of a request: one of a zone, if the zone
-// has any, each as often as it has targets. Some shards are left out; false where no
-// other is left.
-func (s *sharding) choose(without map[Shard]bool, zone, request string) (Shard, bool) {
-	for _, among := range [][]*pool.Target{s.byZone[zone], s.ready.Targets} {
-		among = s.outside(without, among)
-		if len(among) > 0 {
-			return s.of[among[member.Hash(request)%uint64(len(among))].ID], true
+// choose returns the shard for some work of a request: one in the given zone if there is any,
+// else any, each with a probability proportional to its targets. Excluded shards are skipped;
+// the result is false if no other is left.
+func (s *sharding) choose(excluded map[Shard]bool, zone, request string) (Shard, bool) {
+	for _, candidates := range [][]*pool.Target{s.byZone[zone], s.ready.Targets} {
+		candidates = s.withoutShards(excluded, candidates)
+		if len(candidates) > 0 {
+			return s.shardOfTarget[candidates[member.Hash(request)%uint64(len(candidates))].ID], true
 		}
 	}
 	return Shard{}, false
 }
 
-// outside leaves out the targets of some shards.
-func (s *sharding) outside(without map[Shard]bool, targets []*pool.Target) []*pool.Target {
-	if len(without) == 0 {
+// withoutShards returns the targets that don't belong to the excluded shards.
+func (s *sharding) withoutShards(excluded map[Shard]bool, targets []*pool.Target) []*pool.Target {
+	if len(excluded) == 0 {
 		return targets
 	}
 	var kept []*pool.Target
 	for _, t := range targets {
-		if !without[s.of[t.ID]] {
+		if !excluded[s.shardOfTarget[t.ID]] {
 			kept = append(kept, t)
 		}
 	}
 	return kept
 }
 
-// without tells whether a shard has no targets while others have.
-func (s *sharding) without(shard Shard) bool {
+// isEmpty reports whether a shard has no targets while other shards of the service have.
+func (s *sharding) isEmpty(shard Shard) bool {
 	return len(s.ready.Targets) > 0 && len(s.targets[shard]) == 0
 }
 
-// divided tells whether there is more than one shard.
+// divided reports whether there is more than one shard.
 func (s *sharding) divided() bool { return len(s.shards) > 1 }
 
 func compareShards(a, b Shard) int {
@@ -154,27 +154,27 @@
 	return member.Hash(s.Service + "\x00" + s.Zone + "\x00" + strconv.Itoa(s.Part))
 }
 
-// loads counts what each of some holders was given, for rendezvous with bounded
-// loads.
+// loads counts how many items each holder has, for rendezvous hashing with bounded loads.
 type loads struct {
-	held []int
-	most int
+	counts []int
+	limit  int
 }
 
-// newLoads shares out items among holders, each at most shardSlack times the mean.
+// newLoads prepares the distribution of items among holders, each of which gets at most
+// loadSlack times the mean.
 func newLoads(holders, items int) *loads {
-	return &loads{held: make([]int, holders), most: int(math.Ceil(shardSlack * float64(items) / float64(holders)))}
+	return &loads{counts: make([]int, holders), limit: int(math.Ceil(loadSlack * float64(items) / float64(holders)))}
 }
 
-// take gives an item to the holder that it ranks first of those with room. hashes
-// are the holders'.
-func (l *loads) take(item uint64, hashes []uint64) int {
+// place assigns an item to the holder that ranks highest for it among those below the limit,
+// and returns the holder's index. hashes are those of the holders.
+func (l *loads) place(item uint64, hashes []uint64) int {
 	best, bestRank := -1, uint64(0)
 	for i, hash := range hashes {
-		if rank := member.Rank(item, hash); l.held[i] < l.most && (best < 0 || rank > bestRank) {
+		if rank := member.Rank(item, hash); l.counts[i] < l.limit && (best < 0 || rank > bestRank) {
 			best, bestRank = i, rank
 		}
 	}
-	l.held[best]++
+	l.counts[best]++
 	return best
 }
--- a/internal/serve/gather/shards_test.go
+++ b/internal/serve/gather/shards_test.go
@@ -11,7 +11,8 @@
 	"github.com/vanillagate/vanillagate/internal/serve/pool"
 )
 
-// readySetOf makes a service's targets, the same number in each zone.
+// readySetOf creates the ready set of a service with the same number of targets in each zone,
+// except for the target named by without.
 func readySetOf(t *testing.T, zones, each int, without string) *pool.ReadySet {
 	t.Helper()
 	var entries []pool.Entry
@@ -42,8 +43,8 @@
 			continue
 		}
 		moved := 0
-		for id, shard := range fewer.of {
-			if all.of[id] != shard {
+		for id, shard := range fewer.shardOfTarget {
+			if all.shardOfTarget[id] != shard {
 				moved++
 			}
 		}
@@ -51,9 +52,9 @@
 	}
 }
 
-// Work goes to the shards of the zone in which it is wanted, to each as often as it
-// has targets, and to any where the zone has none.
-func TestWorkIsSharedOutByTargets(t *testing.T) {
+// Work goes to shards in its preferred zone, to each in proportion to its targets, and to any
+// shard if the zone has none.
+func TestWorkIsDistributedByTargets(t *testing.T) {
 	s := divide("s", readySetOf(t, 3, 20, ""))
 	counts := map[Shard]int{}
 	for i := range 4000 {
@@ -65,7 +66,7 @@
 		wanted := 4000 * len(s.targets[shard]) / 20
 		assert.Assert(t, n > wanted*9/10 && n < wanted*11/10, "%v: %d of %d", shard, n, wanted)
 	}
-	assert.Equal(t, s.of[s.ready.Targets[0].ID].Service, "s")
+	assert.Equal(t, s.shardOfTarget[s.ready.Targets[0].ID].Service, "s")
 	elsewhere, _ := s.choose(nil, "elsewhere", "r")
 	assert.Assert(t, elsewhere.Zone != "")
 }
--- a/internal/serve/gather/newcomer_test.go
+++ b/internal/serve/gather/warmup_test.go
@@ -13,8 +13,8 @@
 	"github.com/vanillagate/vanillagate/internal/serve/pool"
 )
 
-// gathererOf is a gatherer for service s with a target at each address.
-func gathererOf(life context.Context, batch *plan.Batch, stager StageClient, addresses ...string) *Gatherer {
+// newTestGatherer creates a gatherer for service s with a target at each address.
+func newTestGatherer(life context.Context, batch *plan.Batch, client StageClient, addresses ...string) *Gatherer {
 	var entries []pool.Entry
 	for _, address := range addresses {
 		entries = append(entries, pool.Entry{
@@ -25,32 +25,32 @@
 	table.Reset(entries, 1, time.Now())
 	plans := &plan.Holder{}
 	plans.Apply(&plan.Plan{Version: 1, Services: []plan.Service{{Name: "s", Batch: batch}}})
-	return NewGatherer(life, zap.NewNop(), table, plans, stager)
+	return NewGatherer(life, zap.NewNop(), table, plans, client)
 }
 
-// queuedStager is a target at which the first calls wait behind those of a process
-// that gathered before.
-type queuedStager struct{ behind time.Time }
+// queuedStager is a client of targets at which calls wait until the given time, behind
+// calls of the previous gatherer.
+type queuedStager struct{ busyUntil time.Time }
 
 func (s *queuedStager) Run(_ context.Context, _ *pool.Target, items []Item, sent func()) ([]Result, error) {
 	sent()
-	time.Sleep(time.Until(s.behind))
+	time.Sleep(time.Until(s.busyUntil))
 	time.Sleep(callTime)
 	return make([]Result, len(items)), nil
 }
 
 func (s *queuedStager) Free(context.Context, *pool.Target, []string) error { return nil }
 
-// A process begins to gather for a pool because the one before has died. Calls that
-// the dead one had made still stand in the targets' queues, and the first calls of
-// the new one wait behind them. If it took the targets for slow, it would reserve a
-// fraction of what they can make and refuse callers for two seconds.
-func TestWaitingBehindAnothersCallsIsNoSlowness(t *testing.T) {
+// A process becomes the gatherer because the previous one has died. Calls of the previous
+// gatherer are still queued at the targets, and the first calls of the new one wait behind
+// them. If it considered the targets slow, it would reserve only a fraction of their capacity
+// and refuse requests for two seconds.
+func TestCallsOfPreviousGathererDoNotMarkTargetsSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		life, stop := context.WithCancel(context.Background())
 		defer stop()
 		batch := &plan.Batch{Size: 10, CallTime: callTime, BufferBytes: 1000, Keep: time.Second}
-		g := gathererOf(life, batch, &queuedStager{behind: time.Now().Add(2 * callTime)}, "10.0.0.1:1", "10.0.0.2:1")
+		g := newTestGatherer(life, batch, &queuedStager{busyUntil: time.Now().Add(2 * callTime)}, "10.0.0.1:1", "10.0.0.2:1")
 		g.deliver = func(string, Shard, []Result) {}
 		g.release = func(Allocator, []string, bool) {}
 		shard := Shard{Service: "s"}
@@ -60,25 +60,25 @@
 		}
 		time.Sleep(4 * callTime)
 		g.mu.Lock()
-		targets, _ := g.strength(g.of(shard), batch, time.Now())
+		targets, _ := g.effectiveTargets(g.stateOf(shard), batch, time.Now())
 		g.mu.Unlock()
 		assert.Equal(t, targets, 2.0)
 
-		// A target that works slowly later on is found out all the same.
-		late := newLateCalls(g, shard, batch)
-		assert.Assert(t, late < 2, "%v targets' worth are reckoned with", late)
+		// A target that becomes slow after the warm-up is still detected.
+		effective := targetsAfterSlowCall(g, shard, batch)
+		assert.Assert(t, effective < 2, "%v effective targets", effective)
 	})
 }
 
-// newLateCalls has calls made that take three times as long as they should, and
-// gives the strength after them.
-func newLateCalls(g *Gatherer, shard Shard, batch *plan.Batch) float64 {
-	g.stager = &queuedStager{behind: time.Now().Add(2 * callTime)}
+// targetsAfterSlowCall has a call run that takes three times as long as expected, and returns
+// the number of effective targets after it.
+func targetsAfterSlowCall(g *Gatherer, shard Shard, batch *plan.Batch) float64 {
+	g.client = &queuedStager{busyUntil: time.Now().Add(2 * callTime)}
 	item := Item{Key: Key{Request: "c"}, Due: 2000, Expires: 5000, Bytes: 1}
 	g.Submit("owner", shard, []Item{item}, time.Now())
 	time.Sleep(4 * callTime)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	targets, _ := g.strength(g.of(shard), batch, time.Now())
+	targets, _ := g.effectiveTargets(g.stateOf(shard), batch, time.Now())
 	return targets
 }
