--- a/internal/peer/failure_test.go
+++ b/internal/peer/failure_test.go
@@ -84,7 +84,7 @@
 	var nodes []*Node
 	for range 4 {
 		opts := c.options("r1", "a")
-		opts.TombstoneTTL = time.Hour
+		opts.Tombstone = time.Hour
 		nodes = append(nodes, c.start(opts))
 	}
 	waitAgreed(t, nodes)
@@ -165,7 +165,7 @@
 		var nodes []*Node
 		for i := range 6 {
 			opts := c.options(region, zoneName(i%2))
-			opts.TombstoneTTL = 20 * testPeriod
+			opts.Tombstone = 20 * testPeriod
 			nodes = append(nodes, c.start(opts))
 		}
 		return nodes
@@ -283,7 +283,7 @@
 	var nodes []*Node
 	for range 4 {
 		opts := c.options("r1", "a")
-		opts.TombstoneTTL = 30 * testPeriod
+		opts.Tombstone = 30 * testPeriod
 		nodes = append(nodes, steady(c.start(opts)))
 	}
 	waitAgreed(t, nodes)
--- a/internal/peer/live.go
+++ b/internal/peer/live.go
@@ -157,7 +157,7 @@
 // beat, and so would those to it. The caller holds mu.
 func (n *Node) planLinks(now time.Time) {
 	count := n.table.Count()
-	crowd := count > n.opts.LinkBounds.All && count < 2*n.plan.members && n.plan.members < 2*count
+	crowd := count > n.opts.Bounds.All && count < 2*n.plan.members && n.plan.members < 2*count
 	switch {
 	case n.table.Population() == n.plan.population:
 		return
@@ -165,7 +165,7 @@
 		return
 	}
 	n.plan = plan{
-		links:      member.Links(n.table.Self(), n.table.Living(), n.opts.LinkBounds),
+		links:      member.Links(n.table.Self(), n.table.Living(), n.opts.Bounds),
 		population: n.table.Population(), members: count, at: now,
 	}
 }
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -90,7 +90,7 @@
 		inbox:    newInbox(),
 		handlers: map[string]handler{},
 		greeting: make(chan struct{}, maxGreetings),
-		store:    newStore(opts.TombstoneTTL),
+		store:    newStore(opts.Tombstone),
 		links:    map[string]*link{},
 		dialing:  map[string]bool{},
 		keys:     keyBytes(opts.Keys),
@@ -122,7 +122,7 @@
 		Caller: self.CallerAddress,
 		Zone:   self.Zone,
 		Region: self.Region,
-		Power:  self.CPUPercent,
+		Power:  self.Power,
 	}
 }
 
@@ -264,7 +264,7 @@
 		Zone:          r.Zone,
 		Region:        r.Region,
 		State:         memberStates[r.State],
-		CPUPercent:    r.Power,
+		Power:         r.Power,
 	}
 }
 
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -40,13 +40,13 @@
 	Metrics metrics.Registry
 	// Period paces all that is done regularly; 0 is a second.
 	Period time.Duration
-	// TombstoneTTL is how long the dead are remembered; 0 is 900 periods.
-	TombstoneTTL time.Duration
-	// LinkBounds of the links; the zero value is member.DefaultBounds.
-	LinkBounds member.Bounds
-	// PacedBytesPerSecond is what soft state of the whole system may cost a process, in
-	// bytes received a second; 0 is DefaultPacedBytesPerSecond. See pace.go.
-	PacedBytesPerSecond float64
+	// Tombstone is how long the dead are remembered; 0 is 900 periods.
+	Tombstone time.Duration
+	// Bounds of the links; the zero value is member.DefaultBounds.
+	Bounds member.Bounds
+	// Pace is what soft state of the whole system may cost a process, in
+	// bytes received a second; 0 is DefaultPace. See pace.go.
+	Pace float64
 }
 
 // NewIncarnation names the run of a process that starts now.
@@ -65,14 +65,14 @@
 	if o.Period <= 0 {
 		o.Period = time.Second
 	}
-	if o.TombstoneTTL <= 0 {
-		o.TombstoneTTL = tombstonePeriods * o.Period
+	if o.Tombstone <= 0 {
+		o.Tombstone = tombstonePeriods * o.Period
 	}
-	if o.LinkBounds == (member.Bounds{}) {
-		o.LinkBounds = member.DefaultBounds
+	if o.Bounds == (member.Bounds{}) {
+		o.Bounds = member.DefaultBounds
 	}
-	if o.PacedBytesPerSecond <= 0 {
-		o.PacedBytesPerSecond = DefaultPacedBytesPerSecond
+	if o.Pace <= 0 {
+		o.Pace = DefaultPace
 	}
 	if o.Dial == nil {
 		o.Dial = dialTCP
@@ -103,7 +103,7 @@
 	return member.Limits{
 		SuspectFor:   suspectPeriods * o.Period,
 		LeavingFor:   leavingPeriods * o.Period,
-		TombstoneFor: o.TombstoneTTL,
+		TombstoneFor: o.Tombstone,
 	}
 }
 
--- a/internal/peer/pace.go
+++ b/internal/peer/pace.go
@@ -8,8 +8,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// DefaultPacedBytesPerSecond is the bytes a second that paced topics may cost each process.
-const DefaultPacedBytesPerSecond = 2000
+// DefaultPace is the bytes a second that paced topics may cost each process.
+const DefaultPace = 2000
 
 // pacedTopics are those that every process publishes all the time, so that
 // their cost for each process grows with the number of processes. They are
@@ -89,7 +89,7 @@
 func (n *Node) paceOf(item Item) time.Duration {
 	processes := n.plan.members + 1
 	keys := max(1, len(n.pacing))
-	return paceInterval(processes, keys*toWire(item).size(), n.opts.PacedBytesPerSecond)
+	return paceInterval(processes, keys*toWire(item).size(), n.opts.Pace)
 }
 
 // publishPaced spreads the paced items that are due. The caller holds mu.
--- a/internal/peer/spread.go
+++ b/internal/peer/spread.go
@@ -63,8 +63,8 @@
 	Zone          string      `json:"zone"`
 	Region        string      `json:"region"`
 	State         MemberState `json:"state"`
-	// CPUPercent is the VM's share of a core in percent, 0 where it isn't told.
-	CPUPercent int `json:"power,omitempty"`
+	// Power is the VM's share of a core in percent, 0 where it isn't told.
+	Power int `json:"power,omitempty"`
 }
 
 // Network is what the rest of a process sees of its peers.
--- a/internal/peer/strongest.go
+++ b/internal/peer/strongest.go
@@ -6,13 +6,13 @@
 func SelectByCPU(members []Member) []Incarnation {
 	most := 0
 	for _, m := range members {
-		most = max(most, m.CPUPercent)
+		most = max(most, m.Power)
 	}
 	var list []Incarnation
 	for _, m := range members {
 		// Any number may come from a peer. Twice a large one overflows, and with a
 		// negative one all could be left out; somebody has to gather.
-		if power := max(m.CPUPercent, 0); power >= most-power {
+		if power := max(m.Power, 0); power >= most-power {
 			list = append(list, m.Incarnation)
 		}
 	}
--- a/internal/serve/follow/watchers_test.go
+++ b/internal/serve/follow/watchers_test.go
@@ -51,9 +51,9 @@
 		nodes := p.peers.network.View().Members
 		names := map[string]bool{}
 		for i := range nodes {
-			nodes[i].CPUPercent = 20
+			nodes[i].Power = 20
 			if i < strong {
-				nodes[i].CPUPercent = 160
+				nodes[i].Power = 160
 				names[string(nodes[i].Incarnation)] = true
 			}
 		}
--- a/internal/serve/gather/choose_test.go
+++ b/internal/serve/gather/choose_test.go
@@ -46,7 +46,7 @@
 // would have dozens of gatherers, whose calls find the targets full.
 func TestGatherersThatDoNotAnswerAreNotReplacedByWeakOnes(t *testing.T) {
 	member := func(name string, power int) peer.Member {
-		return peer.Member{Incarnation: peer.Incarnation(name), State: peer.Alive, CPUPercent: power}
+		return peer.Member{Incarnation: peer.Incarnation(name), State: peer.Alive, Power: power}
 	}
 	r := aRequester(&fixedNetwork{self: member("self", 19), members: []peer.Member{member("a", 80), member("b", 80), member("weak", 19)}})
 	shard := Shard{Service: "s"}
@@ -65,8 +65,8 @@
 // would end every process at its next request with stages.
 func TestAnyPowerLeavesSomebodyToGather(t *testing.T) {
 	for _, power := range []int{math.MinInt, -100, 0, math.MaxInt/2 + 1, math.MaxInt} {
-		for _, others := range [][]peer.Member{nil, {{Incarnation: "a", State: peer.Alive, CPUPercent: 80}}} {
-			r := aRequester(&fixedNetwork{self: peer.Member{Incarnation: "self", State: peer.Alive, CPUPercent: power}, members: others})
+		for _, others := range [][]peer.Member{nil, {{Incarnation: "a", State: peer.Alive, Power: 80}}} {
+			r := aRequester(&fixedNetwork{self: peer.Member{Incarnation: "self", State: peer.Alive, Power: power}, members: others})
 			assert.Assert(t, len(r.gatherers(Shard{Service: "s"})) > 0, "power %d beside %d others", power, len(others))
 		}
 	}
--- a/internal/serve/gather/queue_test.go
+++ b/internal/serve/gather/queue_test.go
@@ -350,7 +350,7 @@
 	of := func(powers ...int) []peer.Member {
 		var list []peer.Member
 		for i, power := range powers {
-			list = append(list, peer.Member{Incarnation: peer.Incarnation(rune('a' + i)), CPUPercent: power})
+			list = append(list, peer.Member{Incarnation: peer.Incarnation(rune('a' + i)), Power: power})
 		}
 		return list
 	}
