--- a/internal/peer/auth.go
+++ b/internal/peer/auth.go
@@ -15,7 +15,7 @@
 	"github.com/vanillagate/vanillagate/internal/member"
 )
 
-// MinKeyBytes is the shortest shared key that is taken.
+// MinKeyBytes is the minimum length of a shared key.
 const MinKeyBytes = 16
 
 const (
@@ -23,47 +23,47 @@
 	maxHandshakeBytes = 2048
 )
 
-// ErrAuth means that the other side doesn't hold one of the shared keys.
-var ErrAuth = eris.New("peer: the other side holds none of the shared keys")
+// ErrAuth means that the other side doesn't hold any of the shared keys.
+var ErrAuth = eris.New("peer: authentication failed: the other side holds none of the shared keys")
 
-// purpose keeps the proofs of the handshake apart, so that none can be sent
-// back as another.
+// purpose is mixed into every MAC of the handshake, so that a proof made for one
+// step can't be replayed in another.
 type purpose string
 
 const (
-	proveAccepter purpose = "vanillagate accepter"
-	proveDialer   purpose = "vanillagate dialer"
-	proveRecord   purpose = "vanillagate record"
-	sessionKey    purpose = "vanillagate session"
+	accepterProof purpose = "vanillagate accepter"
+	dialerProof   purpose = "vanillagate dialer"
+	recordProof   purpose = "vanillagate record"
+	sessionSecret purpose = "vanillagate session"
 )
 
-// The handshake, each message in one frame:
+// Each handshake message is one length-prefixed frame:
 //
 //	dialer:   nonce D
 //	accepter: nonce A, proof over both nonces
 //	dialer:   its record, proof over both nonces and the record
 //	accepter: its record, proof over both nonces and both records
 //
-// Neither side tells more than a nonce before the other has proved that it
+// Neither side reveals more than a nonce until the other has proved that it
 // holds a key. The records carry the incarnations.
-type hello struct {
+type handshakeMessage struct {
 	Nonce  []byte         `json:"nonce,omitempty"`
 	Proof  []byte         `json:"proof,omitempty"`
 	Record *member.Record `json:"record,omitempty"`
 }
 
-// session is what a handshake agreed on.
+// session is the result of a successful handshake.
 type session struct {
 	other member.Record
-	// key is the shared key that the accepter proved with.
+	// key is the shared key that the accepter used for its proof.
 	key []byte
-	// secret signs the messages of this link.
+	// secret is the key for the MACs of this link's messages.
 	secret []byte
 }
 
-func prove(key []byte, why purpose, parts ...[]byte) []byte {
+func computeProof(key []byte, label purpose, parts ...[]byte) []byte {
 	mac := hmac.New(sha256.New, key)
-	mac.Write([]byte(why))
+	mac.Write([]byte(label))
 	for _, part := range parts {
 		var size [4]byte
 		binary.BigEndian.PutUint32(size[:], uint32(len(part)))
@@ -73,37 +73,37 @@
 	return mac.Sum(nil)
 }
 
-// accepted finds the key that made a proof. hmac.Equal takes the same time
-// for every wrong proof.
-func accepted(keys [][]byte, proof []byte, why purpose, parts ...[]byte) ([]byte, error) {
+// verifyProof returns the key that a proof was made with. hmac.Equal compares
+// in constant time.
+func verifyProof(keys [][]byte, proof []byte, label purpose, parts ...[]byte) ([]byte, error) {
 	for _, key := range keys {
-		if hmac.Equal(proof, prove(key, why, parts...)) {
+		if hmac.Equal(proof, computeProof(key, label, parts...)) {
 			return key, nil
 		}
 	}
 	return nil, ErrAuth
 }
 
-// greet is the dialer's side of the handshake.
-func greet(conn net.Conn, keys [][]byte, self member.Record) (*session, error) {
+// dialHandshake runs the dialer's side of the handshake.
+func dialHandshake(conn net.Conn, keys [][]byte, self member.Record) (*session, error) {
 	nonce := newNonce()
-	if err := writeHello(conn, hello{Nonce: nonce}); err != nil {
+	if err := writeHandshake(conn, handshakeMessage{Nonce: nonce}); err != nil {
 		return nil, err
 	}
-	challenge, err := readHello(conn)
+	challenge, err := readHandshake(conn)
 	if err != nil {
 		return nil, err
 	}
-	key, err := accepted(keys, challenge.Proof, proveAccepter, nonce, challenge.Nonce)
+	key, err := verifyProof(keys, challenge.Proof, accepterProof, nonce, challenge.Nonce)
 	if err != nil {
 		return nil, err
 	}
 	own := encode(self)
-	proof := prove(keys[0], proveDialer, nonce, challenge.Nonce, own)
-	if err := writeHello(conn, hello{Proof: proof, Record: &self}); err != nil {
+	proof := computeProof(keys[0], dialerProof, nonce, challenge.Nonce, own)
+	if err := writeHandshake(conn, handshakeMessage{Proof: proof, Record: &self}); err != nil {
 		return nil, err
 	}
-	answer, err := readHello(conn)
+	answer, err := readHandshake(conn)
 	if err != nil {
 		return nil, err
 	}
@@ -111,16 +111,16 @@
 		return nil, ErrAuth
 	}
 	theirs := encode(*answer.Record)
-	if _, err := accepted([][]byte{key}, answer.Proof, proveRecord, nonce, challenge.Nonce, own, theirs); err != nil {
+	if _, err := verifyProof([][]byte{key}, answer.Proof, recordProof, nonce, challenge.Nonce, own, theirs); err != nil {
 		return nil, err
 	}
-	secret := prove(key, sessionKey, nonce, challenge.Nonce, own, theirs)
+	secret := computeProof(key, sessionSecret, nonce, challenge.Nonce, own, theirs)
 	return &session{other: *answer.Record, key: key, secret: secret}, nil
 }
 
-// welcome is the accepter's side of the handshake.
-func welcome(conn net.Conn, keys [][]byte, self member.Record) (*session, error) {
-	opening, err := readHello(conn)
+// acceptHandshake runs the accepter's side of the handshake.
+func acceptHandshake(conn net.Conn, keys [][]byte, self member.Record) (*session, error) {
+	opening, err := readHandshake(conn)
 	if err != nil {
 		return nil, err
 	}
@@ -128,11 +128,11 @@
 		return nil, ErrAuth
 	}
 	nonce := newNonce()
-	proof := prove(keys[0], proveAccepter, opening.Nonce, nonce)
-	if err := writeHello(conn, hello{Nonce: nonce, Proof: proof}); err != nil {
+	proof := computeProof(keys[0], accepterProof, opening.Nonce, nonce)
+	if err := writeHandshake(conn, handshakeMessage{Nonce: nonce, Proof: proof}); err != nil {
 		return nil, err
 	}
-	claim, err := readHello(conn)
+	claim, err := readHandshake(conn)
 	if err != nil {
 		return nil, err
 	}
@@ -140,68 +140,70 @@
 		return nil, ErrAuth
 	}
 	theirs := encode(*claim.Record)
-	if _, err := accepted(keys, claim.Proof, proveDialer, opening.Nonce, nonce, theirs); err != nil {
+	if _, err := verifyProof(keys, claim.Proof, dialerProof, opening.Nonce, nonce, theirs); err != nil {
 		return nil, err
 	}
 	own := encode(self)
-	proof = prove(keys[0], proveRecord, opening.Nonce, nonce, theirs, own)
-	if err := writeHello(conn, hello{Proof: proof, Record: &self}); err != nil {
+	proof = computeProof(keys[0], recordProof, opening.Nonce, nonce, theirs, own)
+	if err := writeHandshake(conn, handshakeMessage{Proof: proof, Record: &self}); err != nil {
 		return nil, err
 	}
-	secret := prove(keys[0], sessionKey, opening.Nonce, nonce, theirs, own)
+	secret := computeProof(keys[0], sessionSecret, opening.Nonce, nonce, theirs, own)
 	return &session{other: *claim.Record, key: keys[0], secret: secret}, nil
 }
 
 func newNonce() []byte {
 	nonce := make([]byte, nonceBytes)
-	_, _ = rand.Read(nonce) // never fails: crypto/rand ends the process instead
+	_, _ = rand.Read(nonce) // never fails: crypto/rand crashes the process instead
 	return nonce
 }
 
-// encode gives the bytes of a record that are signed: the same on both sides.
+// encode returns the bytes of a record that the proofs cover. Both sides get
+// the same bytes.
 func encode(r member.Record) []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // a record has only texts and numbers
+		panic(err) // unreachable: a record holds only strings and numbers
 	}
 	return data
 }
 
-func writeHello(w io.Writer, h hello) error {
+func writeHandshake(w io.Writer, h handshakeMessage) error {
 	data, err := json.Marshal(h)
 	if err != nil {
-		return eris.Wrap(err, "encode handshake")
+		return eris.Wrap(err, "encode handshake message")
 	}
 	frame := binary.BigEndian.AppendUint32(nil, uint32(len(data)))
 	_, err = w.Write(append(frame, data...))
-	return eris.Wrap(err, "write handshake")
+	return eris.Wrap(err, "write handshake message")
 }
 
-func readHello(r io.Reader) (hello, error) {
-	var h hello
+func readHandshake(r io.Reader) (handshakeMessage, error) {
+	var h handshakeMessage
 	var size [4]byte
 	if _, err := io.ReadFull(r, size[:]); err != nil {
-		return h, eris.Wrap(err, "read handshake")
+		return h, eris.Wrap(err, "read handshake message")
 	}
 	length := binary.BigEndian.Uint32(size[:])
 	if length > maxHandshakeBytes {
-		return h, eris.Errorf("handshake of %d bytes, at most %d are taken", length, maxHandshakeBytes)
+		return h, eris.Errorf("handshake message has %d bytes, the maximum is %d", length, maxHandshakeBytes)
 	}
 	data := make([]byte, length)
 	if _, err := io.ReadFull(r, data); err != nil {
-		return h, eris.Wrap(err, "read handshake")
+		return h, eris.Wrap(err, "read handshake message")
 	}
-	return h, eris.Wrap(json.Unmarshal(data, &h), "decode handshake")
+	return h, eris.Wrap(json.Unmarshal(data, &h), "decode handshake message")
 }
 
-// within runs a handshake with a time limit on the connection.
-func within(conn net.Conn, limit time.Duration, shake func() (*session, error)) (*session, error) {
+// withDeadline runs a handshake with a deadline on the connection and clears
+// the deadline afterwards.
+func withDeadline(conn net.Conn, limit time.Duration, handshake func() (*session, error)) (*session, error) {
 	if err := conn.SetDeadline(time.Now().Add(limit)); err != nil {
-		return nil, eris.Wrap(err, "limit handshake")
+		return nil, eris.Wrap(err, "set handshake deadline")
 	}
-	agreed, err := shake()
+	agreed, err := handshake()
 	if err != nil {
 		return nil, err
 	}
-	return agreed, eris.Wrap(conn.SetDeadline(time.Time{}), "end handshake limit")
+	return agreed, eris.Wrap(conn.SetDeadline(time.Time{}), "clear handshake deadline")
 }
--- a/internal/peer/auth_test.go
+++ b/internal/peer/auth_test.go
@@ -19,32 +19,32 @@
 	"gotest.tools/v3/poll"
 )
 
-// A process that doesn't hold the shared key finds the address of a node, by
-// mistake of configuration or by intent. It must learn nothing and change
-// nothing, and the node that it reached goes on.
+// A process without the shared key connects to a node, by misconfiguration or on
+// purpose. It must learn nothing and change nothing, and the node must keep
+// working.
 func TestWrongKey(t *testing.T) {
 	c := newCluster(t)
 	nodes := c.startMany(3, "r1", "a")
 	waitAgreed(t, nodes)
 	opts := c.options("r1", "a")
 	opts.Keys = []string{"another key of the tests"}
-	stranger := c.start(opts)
-	assert.NilError(t, stranger.Publish(TopicStop, "k", 1, time.Minute, 1))
+	wrongKeyNode := c.start(opts)
+	assert.NilError(t, wrongKeyNode.Publish(TopicStop, "k", 1, time.Minute, 1))
 	wait(t, func() poll.Result {
 		if nodes[0].traffic.refused.Count() == 0 && nodes[1].traffic.refused.Count() == 0 {
-			return poll.Continue("nothing refused yet")
+			return poll.Continue("no handshake refused yet")
 		}
 		return poll.Success()
 	})
 	waitAgreed(t, nodes)
-	assert.Equal(t, len(stranger.Members()), 0)
+	assert.Equal(t, len(wrongKeyNode.Members()), 0)
 	for _, n := range nodes {
 		assert.Equal(t, len(n.Items(TopicStop)), 0)
 	}
 }
 
-// Somebody connects and speaks JSON-RPC at once, without a handshake, or
-// claims to send a huge handshake. He gets no byte back.
+// A client connects and sends JSON-RPC without a handshake, or announces a huge
+// handshake message. The node must send nothing back and close the connection.
 func TestNothingIsServedBeforeTheHandshake(t *testing.T) {
 	c := newCluster(t)
 	n := c.start(c.options("r1", "a"))
@@ -60,7 +60,7 @@
 		assert.NilError(t, err)
 		assert.NilError(t, conn.SetReadDeadline(time.Now().Add(30*time.Second)))
 		got, err := io.ReadAll(conn)
-		assert.Assert(t, !isTimeout(err), "the connection is kept open")
+		assert.Assert(t, !isTimeout(err), "the connection was kept open")
 		assert.Equal(t, len(got), 0)
 	}
 }
@@ -70,15 +70,15 @@
 	return found && timeout.Timeout()
 }
 
-// flipping is a connection that changes one byte of each frame of some size
-// once it is switched on, as somebody on the path would.
-type flipping struct {
+// corruptingConn flips one bit in every frame above a minimum size while it is
+// switched on, like a man in the middle.
+type corruptingConn struct {
 	net.Conn
 	on *atomic.Bool
 }
 
-func (f *flipping) Write(data []byte) (int, error) {
-	if !f.on.Load() || len(data) < 2*sealBytes {
+func (f *corruptingConn) Write(data []byte) (int, error) {
+	if !f.on.Load() || len(data) < 2*macBytes {
 		return f.Conn.Write(data)
 	}
 	changed := append([]byte{}, data...)
@@ -87,9 +87,9 @@
 	return f.Conn.Write(changed)
 }
 
-// Somebody on the path changes messages after the handshake. The receiver
-// must take in none of them: the link ends and is opened anew.
-func TestChangedMessagesAreRefused(t *testing.T) {
+// A man in the middle changes messages after the handshake. The receiver must
+// accept none of them: it closes the link, and a new one is opened.
+func TestTamperedMessagesAreRejected(t *testing.T) {
 	c := newCluster(t)
 	opts := c.options("r1", "a")
 	opts.Dial = func(context.Context, string) (net.Conn, error) { return nil, net.ErrClosed }
@@ -104,7 +104,7 @@
 	opts = c.options("r1", "a")
 	opts.Dial = func(ctx context.Context, to string) (net.Conn, error) {
 		conn, err := dialTCP(ctx, to)
-		return &flipping{conn, &on}, err
+		return &corruptingConn{conn, &on}, err
 	}
 	sender, err := New(opts)
 	assert.NilError(t, err)
@@ -119,10 +119,10 @@
 	waitItems(t, receiver, TopicStop, 1)
 }
 
-// The shared key is changed while all run: the new one is put last
-// everywhere, then first, then the old one is dropped. At no step may any two
-// nodes lose each other, and afterwards the old key opens nothing.
-func TestKeyChangeWithoutAStop(t *testing.T) {
+// The shared key is rotated while all nodes run: the new key is added last
+// everywhere, then moved to first place, then the old key is removed. No two nodes
+// may lose each other at any step, and afterwards the old key is refused.
+func TestKeyRotation(t *testing.T) {
 	const newKey = "the next key of the tests"
 	c := newCluster(t)
 	nodes := c.startMany(4, "r1", "a")
@@ -139,16 +139,16 @@
 	nodes = append(nodes, c.start(opts))
 	waitAgreed(t, nodes)
 	assert.Equal(t, nodes[0].deaths(), deaths)
-	stranger := c.start(c.options("r1", "a"))
+	oldKeyNode := c.start(c.options("r1", "a"))
 	wait(t, func() poll.Result {
 		for _, n := range nodes {
 			if n.traffic.refused.Count() > 0 {
 				return poll.Success()
 			}
 		}
-		return poll.Continue("the old key was not yet refused")
+		return poll.Continue("the old key has not been refused yet")
 	})
-	assert.Equal(t, len(stranger.Members()), 0)
+	assert.Equal(t, len(oldKeyNode.Members()), 0)
 }
 
 func TestTLS(t *testing.T) {
@@ -164,7 +164,7 @@
 	plain := c.start(c.options("r1", "a"))
 	wait(t, func() poll.Result {
 		if nodes[0].traffic.refused.Count() == 0 {
-			return poll.Continue("nothing refused yet")
+			return poll.Continue("no handshake refused yet")
 		}
 		return poll.Success()
 	})
@@ -197,7 +197,7 @@
 	}
 }
 
-func TestKeysAreChecked(t *testing.T) {
+func TestInvalidKeysAreRejected(t *testing.T) {
 	for _, keys := range [][]string{nil, {""}, {"short"}, {testKey, ""}} {
 		_, err := New(Options{Keys: keys})
 		assert.Assert(t, err != nil, "%q", keys)
--- a/internal/peer/clock.go
+++ b/internal/peer/clock.go
@@ -6,11 +6,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// instant is a moment on two clocks: the monotonic one, which stands still in a
-// paused VM, and the one that counts from the VM's start, which doesn't. Neither
-// is the time of day, which operators and time services set by seconds: a
-// process that took that for a freeze would forget its peers, and tell callers
-// of no address but its own.
+// instant is one moment on two clocks: CLOCK_MONOTONIC, which stops while the VM is
+// paused, and CLOCK_BOOTTIME, which doesn't. Wall-clock time isn't used, because
+// operators and time services step it by seconds: a process that mistook such a step
+// for a freeze would forget its peers and give callers no address but its own.
 type instant struct {
 	mono time.Time
 	boot time.Duration
@@ -18,8 +17,8 @@
 
 func instantOf(now time.Time) instant { return instant{mono: now, boot: sinceBoot()} }
 
-// sinceBoot is the time since the VM's start, pauses included; 0 where the
-// system has no such clock, and then only the monotonic clock counts.
+// sinceBoot returns the time since the VM's boot, pauses included. It returns 0 where
+// the system has no such clock; then only the monotonic clock counts.
 func sinceBoot() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
@@ -28,20 +27,20 @@
 	return time.Duration(t.Nano())
 }
 
-// beatClock notices that this process stood still: SIGSTOP or a paused VM.
-type beatClock struct {
+// freezeDetector detects that this process was frozen, by SIGSTOP or a paused VM.
+type freezeDetector struct {
 	last  instant
 	limit time.Duration
 }
 
-func newBeatClock(now instant, limit time.Duration) beatClock {
-	return beatClock{last: now, limit: limit}
+func newFreezeDetector(now instant, limit time.Duration) freezeDetector {
+	return freezeDetector{last: now, limit: limit}
 }
 
-// jumped tells whether far more time than a beat passed since the last one on
-// either clock.
-func (c *beatClock) jumped(now instant) bool {
+// frozen reports whether more than the limit has passed on either clock since the
+// last tick.
+func (c *freezeDetector) frozen(now instant) bool {
 	return now.mono.Sub(c.last.mono) > c.limit || now.boot-c.last.boot > c.limit
 }
 
-func (c *beatClock) beat(now instant) { c.last = now }
+func (c *freezeDetector) tick(now instant) { c.last = now }
--- a/internal/peer/cluster_test.go
+++ b/internal/peer/cluster_test.go
@@ -17,25 +17,25 @@
 const (
 	testKey    = "a shared key of the tests"
 	testPeriod = 40 * time.Millisecond
-	// slowPeriod leaves the race detector time for many nodes.
+	// slowPeriod leaves enough time for many nodes under the race detector.
 	slowPeriod = 300 * time.Millisecond
 )
 
-// wires is the network between the nodes of a test: it can lose what one
+// testNetwork is the network between the nodes of a test. It can drop what one
 // address sends to another.
-type wires struct {
+type testNetwork struct {
 	mu   sync.Mutex
 	cuts map[[2]string]bool
 }
 
-func (w *wires) cut(from, to string) bool {
+func (w *testNetwork) cut(from, to string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.cuts[[2]string{from, to}]
 }
 
-// set loses or lets through all between two sets of nodes, both ways.
-func (w *wires) set(cut bool, as, bs []*Node) {
+// set cuts or restores all traffic between two sets of nodes, in both directions.
+func (w *testNetwork) set(cut bool, as, bs []*Node) {
 	for _, a := range as {
 		for _, b := range bs {
 			w.oneWay(cut, a, b)
@@ -44,59 +44,59 @@
 	}
 }
 
-func (w *wires) oneWay(cut bool, from, to *Node) {
+func (w *testNetwork) oneWay(cut bool, from, to *Node) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cuts[[2]string{from.Self().PeerAddress, to.Self().PeerAddress}] = cut
 }
 
-// dialer opens connections of a node; the SYN to or the answer from a cut
-// address is lost, so opening hangs.
-func (w *wires) dialer(from func() string) func(context.Context, string) (net.Conn, error) {
+// dialer returns the dial function of a node. If either direction is cut, the SYN or
+// its answer is lost, so the dial hangs until the context ends.
+func (w *testNetwork) dialer(from func() string) func(context.Context, string) (net.Conn, error) {
 	return func(ctx context.Context, to string) (net.Conn, error) {
 		if w.cut(from(), to) || w.cut(to, from()) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 		conn, err := dialTCP(ctx, to)
-		return &wire{Conn: conn, wires: w, from: from(), to: to}, err
+		return &testConn{Conn: conn, testNetwork: w, from: from(), to: to}, err
 	}
 }
 
-// wire is the dialer's end of a connection.
-type wire struct {
+// testConn is the dialer's end of a connection.
+type testConn struct {
 	net.Conn
-	wires    *wires
-	from, to string
+	testNetwork *testNetwork
+	from, to    string
 }
 
-func (w *wire) Write(data []byte) (int, error) {
-	if w.wires.cut(w.from, w.to) {
+func (w *testConn) Write(data []byte) (int, error) {
+	if w.testNetwork.cut(w.from, w.to) {
 		return len(data), nil
 	}
 	return w.Conn.Write(data)
 }
 
-func (w *wire) Read(data []byte) (int, error) {
+func (w *testConn) Read(data []byte) (int, error) {
 	for {
 		n, err := w.Conn.Read(data)
-		if err != nil || !w.wires.cut(w.to, w.from) {
+		if err != nil || !w.testNetwork.cut(w.to, w.from) {
 			return n, err
 		}
 	}
 }
 
-// cluster is several nodes in one process with real TCP between them.
+// cluster is a set of nodes in one process that are connected by real TCP.
 type cluster struct {
-	t     *testing.T
-	wires *wires
-	mu    sync.Mutex
-	seeds []string // the VM list
-	nodes []*Node
+	t           *testing.T
+	testNetwork *testNetwork
+	mu          sync.Mutex
+	seeds       []string // the VM list
+	nodes       []*Node
 }
 
 func newCluster(t *testing.T) *cluster {
-	return &cluster{t: t, wires: &wires{cuts: map[[2]string]bool{}}}
+	return &cluster{t: t, testNetwork: &testNetwork{cuts: map[[2]string]bool{}}}
 }
 
 func (c *cluster) list(context.Context) ([]string, error) {
@@ -115,21 +115,21 @@
 	}
 }
 
-// start runs a node and puts its address on the VM list.
+// start starts a node and adds its address to the VM list.
 func (c *cluster) start(opts Options) *Node {
 	c.t.Helper()
 	var n *Node
-	opts.Dial = c.wires.dialer(func() string { return n.Self().PeerAddress })
+	opts.Dial = c.testNetwork.dialer(func() string { return n.Self().PeerAddress })
 	n, err := New(opts)
 	assert.NilError(c.t, err)
 	assert.NilError(c.t, n.Start(context.Background()))
 	c.t.Cleanup(n.Close)
-	c.know(n)
+	c.addSeed(n)
 	return n
 }
 
-// know puts a node's address on the VM list.
-func (c *cluster) know(n *Node) {
+// addSeed adds a node's address to the VM list.
+func (c *cluster) addSeed(n *Node) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeds = append(c.seeds, n.Self().PeerAddress)
@@ -144,8 +144,8 @@
 	return nodes
 }
 
-// believes checks that a node holds exactly the others alive.
-func believes(n *Node, others []*Node) poll.Result {
+// checkMembers checks that a node considers exactly the given others alive.
+func checkMembers(n *Node, others []*Node) poll.Result {
 	states := map[Incarnation]MemberState{}
 	for _, m := range n.Members() {
 		states[m.Incarnation] = m.State
@@ -157,21 +157,21 @@
 		}
 		expected++
 		if state := states[other.Self().Incarnation]; state != Alive {
-			return poll.Continue("%s holds %s %q", n.Self().PeerAddress, other.Self().PeerAddress, state)
+			return poll.Continue("%s considers %s %q, expected alive", n.Self().PeerAddress, other.Self().PeerAddress, state)
 		}
 	}
 	if len(states) != expected {
-		return poll.Continue("%s holds %d alive, expected %d", n.Self().PeerAddress, len(states), expected)
+		return poll.Continue("%s knows %d members, expected %d", n.Self().PeerAddress, len(states), expected)
 	}
 	return poll.Success()
 }
 
-// waitAgreed waits until all nodes hold exactly each other alive.
+// waitAgreed waits until every node considers exactly all the others alive.
 func waitAgreed(t *testing.T, nodes []*Node) {
 	t.Helper()
 	wait(t, func() poll.Result {
 		for _, n := range nodes {
-			if result := believes(n, nodes); !result.Done() {
+			if result := checkMembers(n, nodes); !result.Done() {
 				return result
 			}
 		}
@@ -194,15 +194,15 @@
 	})
 }
 
-// crash ends a node without a word.
+// crash stops a node without announcing that it leaves.
 func crash(n *Node) { n.Close() }
 
-// deaths counts how often a node came to hold a member dead.
+// deaths counts how often a node has considered a member dead.
 func (n *Node) deaths() int64 { return n.traffic.changes[member.Dead].Count() }
 
 func (n *Node) suspicions() int64 { return n.traffic.changes[member.Suspect].Count() }
 
-// knows tells whether a node remembers an incarnation, be it as dead.
+// knows reports whether a node has a record of an incarnation, even a dead one.
 func (n *Node) knows(id Incarnation) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/peer/failure_test.go
+++ b/internal/peer/failure_test.go
@@ -18,10 +18,9 @@
 	"github.com/vanillagate/vanillagate/internal/member"
 )
 
-// A VM is taken out of use for maintenance. If it just went, the others would
-// suspect it first and callers would be sent to it meanwhile. It says that it
-// goes, so the others know without
-// suspecting it.
+// A VM is taken out of service for maintenance. If it just stopped, the others would
+// first suspect it, and callers would be sent to it meanwhile. It announces that it
+// leaves, so the others know without suspecting it.
 func TestPlannedLeave(t *testing.T) {
 	c := newCluster(t)
 	nodes := c.startMany(5, "r1", "a")
@@ -31,8 +30,8 @@
 	gone := nodes[0].Self().Incarnation
 	wait(t, func() poll.Result {
 		for _, n := range nodes[1:] {
-			if !holds(n.Members(), gone, Leaving) && n.deaths() == 0 {
-				return poll.Continue("not yet known to leave")
+			if !hasState(n.Members(), gone, Leaving) && n.deaths() == 0 {
+				return poll.Continue("not yet known to be leaving")
 			}
 		}
 		return poll.Success()
@@ -41,9 +40,9 @@
 	assert.Equal(t, nodes[1].suspicions(), before)
 }
 
-// A process is killed. Its connections end, but a connection may also end
-// for other reasons, so the others ask for it before they hold it dead. An
-// operator sees it leave the list of members within seconds.
+// A process is killed. Its connections end, but a connection may also end for other
+// reasons, so the others probe the process before they consider it dead. It must leave
+// the list of members within seconds.
 func TestCrash(t *testing.T) {
 	c := newCluster(t)
 	nodes := c.startMany(6, "r1", "a")
@@ -52,10 +51,10 @@
 	waitAgreed(t, without(nodes, nodes[2]))
 }
 
-// A VM is replaced and the new one gets the same address. Whoever takes it
-// for the old one sends it calls that belong to a process that is gone, and
-// holds its items to be older versions of the old one's. The new incarnation
-// is known by its own name, and its coming is the old one's death.
+// A VM is replaced by a new one with the same address. If the new one were mistaken for
+// the old one, it would get calls meant for a process that is gone, and its items would
+// be taken for older versions of the old one's. The new incarnation has its own name,
+// and its appearance marks the old one as dead.
 func TestReplacedAtTheSameAddress(t *testing.T) {
 	c := newCluster(t)
 	nodes := c.startMany(4, "r1", "a")
@@ -76,9 +75,9 @@
 	waitItems(t, nodes[3], TopicChange, 2)
 }
 
-// The clock of a replaced VM ran ahead, so the new VM at its address seems to
-// have started before it and would be held dead by all for as long as they
-// remember the old one. The new one notices and claims a later start.
+// The clock of a replaced VM ran ahead, so the new VM at its address seems to have
+// started earlier. The others would consider the new one dead for as long as they
+// remember the old one. The new one notices this and claims a later start.
 func TestReplacedWithAnEarlierClock(t *testing.T) {
 	c := newCluster(t)
 	var nodes []*Node
@@ -96,7 +95,7 @@
 	record.Start += uint64(time.Hour.Microseconds())
 	record.Seq++
 	nodes[1].mu.Lock()
-	nodes[1].learn(recordList(record), nil, time.Now())
+	nodes[1].mergeClaims(recordList(record), nil, time.Now())
 	nodes[1].mu.Unlock()
 	opts := c.options("r1", "a")
 	opts.Listen = old.Self().PeerAddress
@@ -104,10 +103,9 @@
 	waitAgreed(t, nodes)
 }
 
-// A firewall rule loses all that one VM sends to another, and nothing else.
-// By itself each would hold the other dead, tell all, and be contradicted
-// again and again; routing would flap with it. Others still reach both, so
-// neither is suspected.
+// A firewall rule drops everything that one VM sends to one other VM. On its own, each
+// would consider the other dead, announce it and be refuted over and over, and routing
+// would flap. Other members still reach both, so neither may be suspected.
 func TestOneWayCut(t *testing.T) {
 	c := newCluster(t)
 	var nodes []*Node
@@ -118,13 +116,13 @@
 	}
 	waitAgreed(t, nodes)
 	before := nodes[4].suspicions()
-	c.wires.oneWay(true, nodes[0], nodes[1])
+	c.testNetwork.oneWay(true, nodes[0], nodes[1])
 	wait(t, func() poll.Result {
 		if nodes[4].suspicions() > before {
-			return poll.Success() // and the check below fails
+			return poll.Success() // the check below fails
 		}
 		if nodes[0].traffic.indirect.Count() == 0 || nodes[1].traffic.indirect.Count() == 0 {
-			return poll.Continue("not yet reached by others")
+			return poll.Continue("not yet reached through helpers")
 		}
 		return poll.Success()
 	})
@@ -132,21 +130,21 @@
 	assert.Equal(t, nodes[4].suspicions(), before)
 }
 
-// The network of one zone is cut off and comes back. While it is, each side
-// serves with those it reaches; afterwards all know each other again and hold
-// what was published on either side, without anybody doing anything.
+// The network of one zone is cut off and restored. Meanwhile each side works with the
+// members that it reaches. Afterwards all must know each other again and hold what was
+// published on either side, without intervention.
 func TestZoneCutAndHeal(t *testing.T) {
 	c := newCluster(t)
 	lost := c.startMany(3, "r1", "a")
 	rest := append(c.startMany(3, "r1", "b"), c.startMany(3, "r1", "c")...)
 	all := append(append([]*Node{}, lost...), rest...)
 	waitAgreed(t, all)
-	c.wires.set(true, lost, rest)
+	c.testNetwork.set(true, lost, rest)
 	waitAgreed(t, lost)
 	waitAgreed(t, rest)
 	assert.NilError(t, lost[0].Publish(TopicChange, "lost", 1, time.Minute, 1))
 	assert.NilError(t, rest[0].Publish(TopicStop, "rest", 1, time.Minute, 1))
-	c.wires.set(false, lost, rest)
+	c.testNetwork.set(false, lost, rest)
 	waitAgreed(t, all)
 	for _, n := range all {
 		waitItems(t, n, TopicChange, 1)
@@ -154,12 +152,11 @@
 	}
 }
 
-// Two regions lose each other for so long that each has even forgotten that
-// the other's members died, then meet again. Each still finds the other by
-// the VM list. If the claims of death that come along were taken at their
-// word, each region would for a moment hold its own members dead and refuse
-// callers.
-func TestRegionsPartAndMeet(t *testing.T) {
+// Two regions lose each other for so long that each has forgotten the other's dead
+// members, then reconnect. Each still finds the other through the VM list. If death
+// claims received then were accepted as they are, each region would briefly consider
+// its own members dead and refuse callers.
+func TestLongRegionPartition(t *testing.T) {
 	c := newCluster(t)
 	start := func(region string) []*Node {
 		var nodes []*Node
@@ -173,19 +170,19 @@
 	west, east := start("west"), start("east")
 	all := append(append([]*Node{}, west...), east...)
 	waitAgreed(t, all)
-	c.wires.set(true, west, east)
+	c.testNetwork.set(true, west, east)
 	waitAgreed(t, west)
 	waitAgreed(t, east)
 	assert.NilError(t, west[0].Publish(TopicChange, "w", 1, time.Minute, 1))
 	assert.NilError(t, east[0].Publish(TopicChange, "e", 1, time.Minute, 1))
 	wait(t, func() poll.Result {
 		if west[0].knows(east[0].Self().Incarnation) || east[5].knows(west[0].Self().Incarnation) {
-			return poll.Continue("the dead are still remembered")
+			return poll.Continue("dead members are still remembered")
 		}
 		return poll.Success()
 	})
 	before := west[1].deaths() + east[1].deaths()
-	c.wires.set(false, west, east)
+	c.testNetwork.set(false, west, east)
 	waitAgreed(t, all)
 	for _, n := range all {
 		waitItems(t, n, TopicChange, 2)
@@ -193,26 +190,26 @@
 	assert.Equal(t, west[1].deaths()+east[1].deaths(), before)
 }
 
-// As above, but the regions meet while each still remembers the other's
-// members as dead.
-func TestRegionsMeetWhileTheDeadAreRemembered(t *testing.T) {
+// As above, but the regions reconnect while each still remembers the other's members
+// as dead.
+func TestShortRegionPartition(t *testing.T) {
 	c := newCluster(t)
 	west, east := c.startMany(5, "west", "a"), c.startMany(5, "east", "a")
 	all := append(append([]*Node{}, west...), east...)
 	waitAgreed(t, all)
-	c.wires.set(true, west, east)
+	c.testNetwork.set(true, west, east)
 	waitAgreed(t, west)
 	waitAgreed(t, east)
 	before := west[1].deaths() + east[1].deaths()
-	c.wires.set(false, west, east)
+	c.testNetwork.set(false, west, east)
 	waitAgreed(t, all)
 	assert.Equal(t, west[1].deaths()+east[1].deaths(), before)
 }
 
-// All VMs are replaced one after another within a short time, each new one at
-// another address, while the VM list still shows what was true a while ago.
-// What was published before must outlive every process that saw it published.
-func TestAllReplacedOneAfterAnother(t *testing.T) {
+// All VMs are replaced one after another within a short time, each by a VM at another
+// address, while the VM list lags behind. Published items must outlive every process
+// that was running when they were published.
+func TestRollingReplacement(t *testing.T) {
 	c := newCluster(t)
 	nodes := c.startMany(5, "r1", "a")
 	waitAgreed(t, nodes)
@@ -221,7 +218,7 @@
 		stale, _ := c.list(t.Context())
 		fresh := c.start(c.options("r1", "a"))
 		c.mu.Lock()
-		c.seeds = stale // the list lags behind by one replacement
+		c.seeds = stale // the VM list lags behind by one replacement
 		c.mu.Unlock()
 		waitItems(t, fresh, TopicStop, 1)
 		nodes[i].Leave(t.Context())
@@ -238,7 +235,7 @@
 
 const childSeeds = "VANILLAGATE_TEST_CHILD_SEEDS"
 
-// TestMain runs the child process of TestFreeze when asked to.
+// TestMain runs the child process of TestFreeze when the environment asks for it.
 func TestMain(m *testing.M) {
 	if seeds := os.Getenv(childSeeds); seeds != "" {
 		runChild(strings.Split(seeds, ","))
@@ -251,7 +248,7 @@
 	Members []Member `json:"members"`
 }
 
-// runChild is a node in a process of its own, until its standard input ends.
+// runChild runs a node in a process of its own until its standard input ends.
 func runChild(seeds []string) {
 	child, err := New(Options{
 		Self:   Member{Zone: "a", Region: "r1"},
@@ -273,18 +270,17 @@
 	_, _ = bufio.NewReader(os.Stdin).ReadString('\n')
 }
 
-// A VM is paused for longer than the others remember the dead, and resumed.
-// It still believes that a process lives that died meanwhile. If it spread
-// that, the dead process would come back to life in everybody's view and
-// calls would be sent to it. The process notices that it stood still, forgets
-// what it believed and asks the others.
+// A VM is paused for longer than the others remember dead members, and resumed. It still
+// considers a process alive that died meanwhile. If it gossiped that, all would consider
+// the dead process alive again and send calls to it. Instead it detects the freeze, drops
+// its view and asks the others.
 func TestFreeze(t *testing.T) {
 	c := newCluster(t)
 	var nodes []*Node
 	for range 4 {
 		opts := c.options("r1", "a")
 		opts.Tombstone = 30 * testPeriod
-		nodes = append(nodes, steady(c.start(opts)))
+		nodes = append(nodes, withoutFreezeDetection(c.start(opts)))
 	}
 	waitAgreed(t, nodes)
 	seeds, _ := c.list(t.Context())
@@ -313,7 +309,7 @@
 	wait(t, func() poll.Result {
 		for _, n := range nodes {
 			if n.knows(dead) || n.knows(child) {
-				return poll.Continue("the dead are still remembered")
+				return poll.Continue("dead members are still remembered")
 			}
 		}
 		return poll.Success()
@@ -322,60 +318,61 @@
 	waitState(t, nodes, child, Alive)
 	waitChildKnows(t, nodes[0], child, 3)
 	for _, n := range nodes {
-		assert.Assert(t, !n.knows(dead), "the dead came back")
+		assert.Assert(t, !n.knows(dead), "the dead member came back")
 	}
 }
 
-// A process is frozen in the middle of a handshake with one that dies meanwhile.
-func TestAHandshakeFromBeforeAFreezeBringsNoDeadMemberBack(t *testing.T) {
+// A process is frozen in the middle of a handshake with a peer that dies meanwhile.
+func TestHandshakeFromBeforeAFreezeIsDiscarded(t *testing.T) {
 	dead := member.Record{ID: "dead", Start: 1, Peer: "127.0.0.1:1", Zone: "a", Region: "r1"}
 	keys := keyBytes([]string{testKey})
-	dials := func(n *Node, ours, theirs net.Conn) {
+	asDialer := func(n *Node, ours, theirs net.Conn) {
 		n.opts.Dial = func(context.Context, string) (net.Conn, error) { return ours, nil }
-		n.tasks.Go(func() { _, _ = welcome(theirs, keys, dead) })
+		n.tasks.Go(func() { _, _ = acceptHandshake(theirs, keys, dead) })
 		_, _ = n.dial(n.ctx, dead.Peer)
 	}
-	isDialed := func(n *Node, ours, theirs net.Conn) {
-		n.tasks.Go(func() { _, _ = greet(theirs, keys, dead) })
-		n.welcome(ours)
+	asAccepter := func(n *Node, ours, theirs net.Conn) {
+		n.tasks.Go(func() { _, _ = dialHandshake(theirs, keys, dead) })
+		n.acceptHandshake(ours)
 	}
-	noticed := func(n *Node) { freeze(n, true) }
-	notYetNoticed := func(n *Node) { freeze(n, false) }
+	detected := func(n *Node) { freeze(n, true) }
+	notYetDetected := func(n *Node) { freeze(n, false) }
 	cases := []struct {
 		name      string
 		handshake func(n *Node, ours, theirs net.Conn)
-		happens   func(n *Node) // between the last message and the end
+		during    func(n *Node) // between the last message and the end of the handshake
 		known     bool
 	}{
-		{"dialer, no freeze", dials, func(*Node) {}, true},
-		{"dialer, freeze that was noticed", dials, noticed, false},
-		{"dialer, freeze not yet noticed", dials, notYetNoticed, false},
-		{"accepter, no freeze", isDialed, func(*Node) {}, true},
-		{"accepter, freeze that was noticed", isDialed, noticed, false},
-		{"accepter, freeze not yet noticed", isDialed, notYetNoticed, false},
+		{"dialer, no freeze", asDialer, func(*Node) {}, true},
+		{"dialer, detected freeze", asDialer, detected, false},
+		{"dialer, freeze not yet detected", asDialer, notYetDetected, false},
+		{"accepter, no freeze", asAccepter, func(*Node) {}, true},
+		{"accepter, detected freeze", asAccepter, detected, false},
+		{"accepter, freeze not yet detected", asAccepter, notYetDetected, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			n := unbeaten(t)
+			n := startIdleNode(t)
 			ours, theirs := net.Pipe()
 			t.Cleanup(func() { _ = theirs.Close() })
-			c.handshake(n, &shakenConn{Conn: ours, shaken: func() { c.happens(n) }}, theirs)
+			c.handshake(n, &handshakeConn{Conn: ours, onDone: func() { c.during(n) }}, theirs)
 			assert.Equal(t, n.knows("dead"), c.known)
 			assert.Equal(t, n.Links() == 1, c.known)
 		})
 	}
 }
 
-// What came before a freeze is read after it, also from a link that another has replaced.
-func TestAMessageFromBeforeAFreezeBringsNoDeadMemberBack(t *testing.T) {
+// Messages received before a freeze are read after it, also from a link that has been
+// replaced. They must be ignored.
+func TestMessagesFromBeforeAFreezeAreIgnored(t *testing.T) {
 	peer := member.Record{ID: "peer", Start: 1, Peer: "127.0.0.1:1", Zone: "a", Region: "r1"}
 	dead := member.Record{ID: "dead", Start: 1, Peer: "127.0.0.1:2", Zone: "a", Region: "r1"}
-	n := unbeaten(t)
+	n := startIdleNode(t)
 	open := func() *link {
 		ours, theirs := net.Pipe()
 		t.Cleanup(func() { _ = theirs.Close() })
-		n.tasks.Go(func() { _, _ = greet(theirs, keyBytes([]string{testKey}), peer) })
-		n.welcome(ours)
+		n.tasks.Go(func() { _, _ = dialHandshake(theirs, keyBytes([]string{testKey}), peer) })
+		n.acceptHandshake(ours)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		return n.links[peer.ID]
@@ -385,38 +382,39 @@
 	freeze(n, true)
 	for _, l := range []*link{replaced, standing} {
 		n.receive(l, message{Events: recordList(dead)})
-		n.takeAll(l, recordList(dead), nil)
-		assert.Assert(t, !n.knows("dead"), "the dead came back")
+		n.mergeExchange(l, recordList(dead), nil)
+		assert.Assert(t, !n.knows("dead"), "the dead member came back")
 	}
 	n.receive(open(), message{Events: recordList(dead)})
-	assert.Assert(t, n.knows("dead"), "a new link is heard")
+	assert.Assert(t, n.knows("dead"), "messages of a new link are accepted")
 }
 
-// shakenConn calls shaken when the time limit of the handshake is lifted.
-type shakenConn struct {
+// handshakeConn calls onDone when the handshake clears its deadline.
+type handshakeConn struct {
 	net.Conn
-	shaken func()
+	onDone func()
 }
 
-func (c *shakenConn) SetDeadline(limit time.Time) error {
+func (c *handshakeConn) SetDeadline(limit time.Time) error {
 	if limit.IsZero() {
-		c.shaken()
+		c.onDone()
 	}
 	return c.Conn.SetDeadline(limit)
 }
 
-// freeze has a node find that it stood still, at once or the next time that it asks.
-func freeze(n *Node, noticed bool) {
+// freeze makes a node find that it was frozen, at once or at its next check.
+func freeze(n *Node, detected bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.clock.last.mono = n.clock.last.mono.Add(-2 * n.clock.limit)
-	if noticed {
-		n.awake(time.Now())
+	n.detector.last.mono = n.detector.last.mono.Add(-2 * n.detector.limit)
+	if detected {
+		n.notFrozen(time.Now())
 	}
 }
 
-// unbeaten starts a node whose next beat comes after the test.
-func unbeaten(t *testing.T) *Node {
+// startIdleNode starts a node with a period so long that it won't tick again during the
+// test.
+func startIdleNode(t *testing.T) *Node {
 	t.Helper()
 	n, err := New(Options{Self: Member{Zone: "a", Region: "r1"}, Listen: "127.0.0.1:0", Keys: []string{testKey}, Period: time.Hour})
 	assert.NilError(t, err)
@@ -425,20 +423,20 @@
 	wait(t, func() poll.Result {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if n.beats == 0 {
-			return poll.Continue("no beat yet")
+		if n.ticks == 0 {
+			return poll.Continue("no tick yet")
 		}
 		return poll.Success()
 	})
 	return n
 }
 
-// steady keeps a node from taking a shortage of CPU for a freeze, upon which it
-// would forget its members before their time.
-func steady(n *Node) *Node {
+// withoutFreezeDetection keeps a node from taking a shortage of CPU for a freeze, which
+// would make it forget its members too early.
+func withoutFreezeDetection(n *Node) *Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.clock.limit = time.Hour
+	n.detector.limit = time.Hour
 	return n
 }
 
@@ -446,7 +444,7 @@
 	t.Helper()
 	wait(t, func() poll.Result {
 		for _, n := range nodes {
-			if !holds(n.Members(), id, state) {
+			if !hasState(n.Members(), id, state) {
 				return poll.Continue("not yet %s", state)
 			}
 		}
@@ -454,7 +452,7 @@
 	})
 }
 
-func holds(members []Member, id Incarnation, state MemberState) bool {
+func hasState(members []Member, id Incarnation, state MemberState) bool {
 	for _, m := range members {
 		if m.Incarnation == id {
 			return m.State == state
@@ -468,7 +466,7 @@
 	wait(t, func() poll.Result {
 		var answer childAnswer
 		if err := n.Call(t.Context(), child, "members", nil, &answer); err != nil || len(answer.Members) != count {
-			return poll.Continue("child knows %d, %v", len(answer.Members), err)
+			return poll.Continue("child knows %d members, error %v", len(answer.Members), err)
 		}
 		return poll.Success()
 	})
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -6,61 +6,63 @@
 	"github.com/vanillagate/vanillagate/internal/member"
 )
 
-// absent is an item that another announced and that hasn't come.
-type absent struct {
+// missingItem is an item that a peer announced and that hasn't arrived yet.
+type missingItem struct {
 	version uint64
 	link    *link
 	since   time.Time
 }
 
-// Rules for which links items are pushed over.
+// Items spread as in Plumtree: over eager links they are pushed, over lazy links only
+// announced.
 const (
-	// pruneAfter duplicates without news a link is no longer pushed over.
+	// pruneAfter is the number of consecutive duplicates after which a link becomes lazy.
 	pruneAfter = 4
-	// leastPushed is how many links are pushed over whatever comes.
-	leastPushed = 2
+	// minEagerLinks is the number of links that are always kept eager.
+	minEagerLinks = 2
 )
 
-// receive takes in a notification.
+// receive handles a notification.
 func (n *Node) receive(l *link, m message) {
 	now := time.Now()
 	for _, number := range m.Acks {
 		l.acked(number)
 	}
-	l.heard(m.Events)
+	l.dropKnownEvents(m.Events)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.hears(l, now) {
+	if !n.acceptsFrom(l, now) {
 		return
 	}
-	n.learn(m.Events, l, now)
+	n.mergeClaims(m.Events, l, now)
 	for _, wire := range m.Items {
-		n.take(l, wire.item(), now)
+		n.receiveItem(l, wire.item(), now)
 	}
-	n.compareHave(l, m.Have, now)
-	n.answerWant(l, m.Want, now)
-	l.bye = l.bye || m.Bye
+	n.recordMissing(l, m.Have, now)
+	n.sendWanted(l, m.Want, now)
+	l.closing = l.closing || m.Closing
 	if m.Prune {
 		n.prune(l)
 	}
 	if len(m.Pings) > 0 {
-		n.tellOfItself(l)
+		n.sendClaimToRefute(l)
 		l.post(func(out *message) { out.Acks = append(out.Acks, m.Pings...) })
 	}
 }
 
-// learn takes in claims of membership that a peer has told and spreads what is news. The
-// caller holds mu.
-func (n *Node) learn(claims []member.Record, from *link, now time.Time) {
-	n.announce(n.withoutCrowd(n.apply(claims, now), isJoin, now), from)
+// mergeClaims applies membership claims received from a peer and forwards the
+// resulting changes. The caller holds mu.
+func (n *Node) mergeClaims(claims []member.Record, from *link, now time.Time) {
+	n.broadcast(n.limitJoins(n.applyClaims(claims, now), isJoin, now), from)
 }
 
-// learnCompared takes in what a comparison of views has brought. The caller holds mu.
-func (n *Node) learnCompared(claims []member.Record, from *link, now time.Time) {
-	n.announce(n.withoutCrowd(n.apply(claims, now), isAlive, now), from)
+// mergeComparedClaims is mergeClaims for the result of a comparison of views. The
+// caller holds mu.
+func (n *Node) mergeComparedClaims(claims []member.Record, from *link, now time.Time) {
+	n.broadcast(n.limitJoins(n.applyClaims(claims, now), isAlive, now), from)
 }
 
-func (n *Node) apply(claims []member.Record, now time.Time) []member.Record {
+func (n *Node) applyClaims(claims []member.Record, now time.Time) []member.Record {
 	var changed []member.Record
 	for _, claim := range claims {
 		changed = append(changed, n.table.Apply(claim, now)...)
@@ -68,26 +70,26 @@
 	return changed
 }
 
-// announce spreads changes of membership over all links but one. The caller
+// broadcast sends membership changes over all links except one. The caller
 // holds mu.
-func (n *Node) announce(changed []member.Record, except *link) {
+func (n *Node) broadcast(changed []member.Record, except *link) {
 	if len(changed) == 0 {
 		return
 	}
-	n.count(changed)
+	n.countChanges(changed)
 	self := n.table.Self().ID
 	n.logChanges(changed)
 	for _, l := range n.links {
-		if l == except && !mentions(changed, self) {
+		if l == except && !includesSelf(changed, self) {
 			continue
 		}
-		l.tell(changed)
+		l.sendEvents(changed)
 	}
 }
 
-// count counts changes, and takes a claim against this process itself as a
-// sign that it is slow.
-func (n *Node) count(changed []member.Record) {
+// countChanges counts changes. If this process had to refute a claim about itself, it
+// answered too slowly, so its health score gets worse.
+func (n *Node) countChanges(changed []member.Record) {
 	for _, r := range changed {
 		n.traffic.changes[r.State].Inc(1)
 		if r.ID == n.table.Self().ID && r.State == member.Alive {
@@ -96,9 +98,9 @@
 	}
 }
 
-// mentions tells whether this process itself is among the changed: then the
-// one that made the claim must hear the contradiction as well.
-func mentions(changed []member.Record, self string) bool {
+// includesSelf reports whether this process itself is among the changed records. In
+// that case the peer that made the claim must receive the refutation as well.
+func includesSelf(changed []member.Record, self string) bool {
 	for _, r := range changed {
 		if r.ID == self {
 			return true
@@ -107,20 +109,20 @@
 	return false
 }
 
-// take takes in an item and passes it on if it is news. The caller holds mu.
-func (n *Node) take(l *link, item Item, now time.Time) {
+// receiveItem stores an item and forwards it if it is new. The caller holds mu.
+func (n *Node) receiveItem(l *link, item Item, now time.Time) {
 	fresh := n.store.put(item, now)
 	if fresh == nil {
-		n.duplicate(l)
+		n.countDuplicate(l)
 		return
 	}
 	l.duplicates = 0
-	delete(n.missing, itemName{item.Topic, fresh.hash})
+	delete(n.missing, itemID{item.Topic, fresh.hash})
 	n.inbox.add(fresh)
 	n.push(fresh, l)
 }
 
-// push sends an item over the pushed links and announces it over the others.
+// push sends an item over the eager links and announces it over the lazy ones.
 // The caller holds mu.
 func (n *Node) push(e *entry, except *link) {
 	wire := toWire(e.Item)
@@ -128,9 +130,9 @@
 		switch {
 		case l == except:
 		case l.lazy:
-			// Paced items come again by themselves.
+			// Paced items aren't announced: the next version follows anyway.
 			if !pacedTopics[e.Topic] {
-				l.note(func(out *message) { out.Have = noteStamp(out.Have, e.Topic, e.stamp()) })
+				l.postLater(func(out *message) { out.Have = appendStamp(out.Have, e.Topic, e.stamp()) })
 			}
 		default:
 			l.post(func(out *message) {
@@ -142,29 +144,29 @@
 	}
 }
 
-func noteStamp(queue map[Topic][]stamp, topic Topic, s stamp) map[Topic][]stamp {
+func appendStamp(queue map[Topic][]stamp, topic Topic, s stamp) map[Topic][]stamp {
 	if len(queue[topic]) >= maxOutbox {
 		return queue
 	}
 	return withStamps(queue, topic, []stamp{s})
 }
 
-// duplicate counts an item that came over a link for nothing, and has a link
-// that brings only such announced rather than pushed. What is left pushed
-// comes near to a tree, so that most items reach each process once; what a
-// broken tree loses is asked for by its announcement. The caller holds mu.
-func (n *Node) duplicate(l *link) {
+// countDuplicate counts an item that a link delivered in vain, and turns a link that
+// delivers only duplicates lazy on both sides. The remaining eager links come close to a
+// spanning tree, so that most items reach each process once. Items lost by a broken tree
+// are requested after their announcement. The caller holds mu.
+func (n *Node) countDuplicate(l *link) {
 	l.duplicates++
-	if l.duplicates < pruneAfter || l.lazy || n.lastLazy == n.beats || n.pushed() <= leastPushed {
+	if l.duplicates < pruneAfter || l.lazy || n.lastPrune == n.ticks || n.eagerLinks() <= minEagerLinks {
 		return
 	}
-	n.lastLazy = n.beats
+	n.lastPrune = n.ticks
 	l.duplicates = 0
 	l.lazy = true
 	l.post(func(out *message) { out.Prune = true })
 }
 
-func (n *Node) pushed() int {
+func (n *Node) eagerLinks() int {
 	count := 0
 	for _, l := range n.links {
 		if !l.lazy {
@@ -174,53 +176,53 @@
 	return count
 }
 
-// prune follows the other side's wish not to be pushed to, unless that would
-// leave this process without enough pushed links: then the link is taken up
-// again on both sides. The caller holds mu.
+// prune handles the peer's request to make a link lazy. If that would leave this process
+// with too few eager links, it asks for an empty item instead, which makes the link
+// eager again on both sides. The caller holds mu.
 func (n *Node) prune(l *link) {
-	if n.pushed() > leastPushed {
+	if n.eagerLinks() > minEagerLinks {
 		l.lazy = true
 		return
 	}
 	l.post(func(out *message) { out.Want = withStamps(out.Want, TopicChange, []stamp{{}}) })
 }
 
-// compareHave notes announced items that haven't come. The caller holds mu.
-func (n *Node) compareHave(l *link, have map[Topic][]stamp, now time.Time) {
+// recordMissing records announced items that haven't arrived. The caller holds mu.
+func (n *Node) recordMissing(l *link, have map[Topic][]stamp, now time.Time) {
 	for topic, stamps := range have {
 		for _, s := range stamps {
 			held, found := n.store.version(topic, s[0])
 			if found && held >= s[1] {
 				continue
 			}
-			name := itemName{topic, s[0]}
-			if known := n.missing[name]; known == nil || known.version < s[1] {
-				n.missing[name] = &absent{version: s[1], link: l, since: now}
+			id := itemID{topic, s[0]}
+			if known := n.missing[id]; known == nil || known.version < s[1] {
+				n.missing[id] = &missingItem{version: s[1], link: l, since: now}
 			}
 		}
 	}
 }
 
-// wantMissing asks for announced items that didn't come within a period by a
-// pushed link, and has that link pushed over again. The caller holds mu.
-func (n *Node) wantMissing(now time.Time) {
-	for name, a := range n.missing {
-		if now.Sub(a.since) < n.opts.Period {
+// requestMissing requests announced items that didn't arrive over an eager link within a
+// period, and makes the link that announced them eager again. The caller holds mu.
+func (n *Node) requestMissing(now time.Time) {
+	for key, m := range n.missing {
+		if now.Sub(m.since) < n.opts.Period {
 			continue
 		}
-		delete(n.missing, name)
-		if n.links[a.link.id] != a.link {
-			continue // the comparison of views finds it
+		delete(n.missing, key)
+		if n.links[m.link.id] != m.link {
+			continue // the next comparison of views finds the item
 		}
-		a.link.lazy = false
-		a.link.duplicates = 0
-		s := stamp{name.hash, a.version}
-		a.link.post(func(out *message) { out.Want = withStamps(out.Want, name.topic, []stamp{s}) })
+		m.link.lazy = false
+		m.link.duplicates = 0
+		s := stamp{key.hash, m.version}
+		m.link.post(func(out *message) { out.Want = withStamps(out.Want, key.topic, []stamp{s}) })
 	}
 }
 
-// answerWant sends the items asked for. The caller holds mu.
-func (n *Node) answerWant(l *link, want map[Topic][]stamp, now time.Time) {
+// sendWanted sends the requested items and makes the link eager. The caller holds mu.
+func (n *Node) sendWanted(l *link, want map[Topic][]stamp, now time.Time) {
 	if len(want) == 0 {
 		return
 	}
--- a/internal/peer/health.go
+++ b/internal/peer/health.go
@@ -2,48 +2,50 @@
 
 import "time"
 
-// maxIllness bounds how far a process mistrusts itself.
-const maxIllness = 7
-
-// health is how far a process trusts its own sense of time. A process that is
-// short of CPU sees answers late and would suspect those who are well; the
-// suspicions and their contradictions would cost more CPU, there and at all
-// others. So it waits longer for answers the more often its probes fail or it
-// is suspected itself. The zero value trusts.
+// maxHealthScore is the upper bound of health.score.
+const maxHealthScore = 7
+
+// health is a local health score, as in the Lifeguard extensions to SWIM. A process that is
+// short of CPU sees answers late and would suspect healthy members; the suspicions
+// and their refutations would cost more CPU on every process. So it waits longer for
+// answers the more often its probes fail or it is suspected itself. The zero value
+// is healthy.
 type health struct {
-	illness int
-	// late is for how many beats more this process counts as short of CPU.
-	late int
+	score int
+	// overloadedTicks is the number of ticks for which this process still counts as short
+	// of CPU.
+	overloadedTicks int
 }
 
 const (
-	// leastLateness is how late a beat must be to show a shortage of CPU, in a short
-	// period too, and latePart the same in parts of a period. A ping and its answer wait
-	// for the CPU some four times at each end.
-	leastLateness = 20 * time.Millisecond
-	latePart      = 8
-	// lateBeats is for how many beats after a late one a process counts as short of CPU.
-	lateBeats = 2
+	// A tick that is late by more than minLateness, and by more than the period divided
+	// by latenessDivisor, shows a shortage of CPU. A ping and its answer wait for the CPU
+	// about four times at each end.
+	minLateness     = 20 * time.Millisecond
+	latenessDivisor = 8
+	// ticksAfterLateness is the number of ticks after a late one for which a process counts
+	// as short of CPU.
+	ticksAfterLateness = 2
 )
 
-// beat notes how much later than planned a beat comes.
-func (h *health) beat(lateness, period time.Duration) {
-	if lateness > max(leastLateness, period/latePart) {
-		h.late = lateBeats
+// tick records how much later than planned a tick came.
+func (h *health) tick(lateness, period time.Duration) {
+	if lateness > max(minLateness, period/latenessDivisor) {
+		h.overloadedTicks = ticksAfterLateness
 		return
 	}
-	h.late = max(h.late-1, 0)
+	h.overloadedTicks = max(h.overloadedTicks-1, 0)
 }
 
-// busy tells whether this process is so short of CPU that the silence of another says
-// nothing.
-func (h *health) busy() bool { return h.late > 0 }
+// overloaded reports whether this process is so short of CPU that a missing answer says
+// nothing about the other process.
+func (h *health) overloaded() bool { return h.overloadedTicks > 0 }
 
-func (h *health) worse() { h.illness = min(h.illness+1, maxIllness) }
+func (h *health) worse() { h.score = min(h.score+1, maxHealthScore) }
 
-func (h *health) better() { h.illness = max(h.illness-1, 0) }
+func (h *health) better() { h.score = max(h.score-1, 0) }
 
-// patience is how long to wait for what should take the given time.
-func (h *health) patience(base time.Duration) time.Duration {
-	return base * time.Duration(1+h.illness)
+// scaledTimeout extends a timeout according to the health score.
+func (h *health) scaledTimeout(base time.Duration) time.Duration {
+	return base * time.Duration(1+h.score)
 }
--- a/internal/peer/inbox.go
+++ b/internal/peer/inbox.go
@@ -5,28 +5,28 @@
 	"sync"
 )
 
-// itemName is what versions of an item have in common.
-type itemName struct {
+// itemID identifies an item across its versions.
+type itemID struct {
 	topic Topic
 	hash  uint64
 }
 
-// inbox hands items to the subscribers, one at a time. An item that waits is
-// replaced by its newer version, so that a slow subscriber holds up no link
-// and what waits is bounded by the store.
+// inbox queues items for the subscribers and delivers them one at a time. A queued item is
+// replaced by its newer version, so that a slow subscriber doesn't block any link and the
+// queue is bounded by the store.
 type inbox struct {
-	subscribers map[Topic][]func(Item) // fixed from Start on
+	subscribers map[Topic][]func(Item) // not changed after Start
 	wake        chan struct{}
-	mu          sync.Mutex // guards the two below
-	waiting     map[itemName]Item
-	order       []itemName
+	mu          sync.Mutex // guards the fields below
+	queued      map[itemID]Item
+	order       []itemID
 }
 
 func newInbox() *inbox {
 	return &inbox{
 		subscribers: map[Topic][]func(Item){},
 		wake:        make(chan struct{}, 1),
-		waiting:     map[itemName]Item{},
+		queued:      map[itemID]Item{},
 	}
 }
 
@@ -38,12 +38,12 @@
 	if len(i.subscribers[e.Topic]) == 0 {
 		return
 	}
-	name := itemName{e.Topic, e.hash}
+	id := itemID{e.Topic, e.hash}
 	i.mu.Lock()
-	if _, found := i.waiting[name]; !found {
-		i.order = append(i.order, name)
+	if _, found := i.queued[id]; !found {
+		i.order = append(i.order, id)
 	}
-	i.waiting[name] = e.Item
+	i.queued[id] = e.Item
 	i.mu.Unlock()
 	select {
 	case i.wake <- struct{}{}:
@@ -57,10 +57,10 @@
 	if len(i.order) == 0 {
 		return Item{}, false
 	}
-	name := i.order[0]
+	id := i.order[0]
 	i.order = i.order[1:]
-	item := i.waiting[name]
-	delete(i.waiting, name)
+	item := i.queued[id]
+	delete(i.queued, id)
 	return item, true
 }
 
--- a/internal/peer/joins.go
+++ b/internal/peer/joins.go
@@ -9,32 +9,32 @@
 	"github.com/vanillagate/vanillagate/internal/member"
 )
 
-// maxJoinsTold is how many members that join a process tells others of in a period. When
-// all processes start together, each hears of each of them over all its links: in a large
-// fleet that takes small VMs' processor time for seconds. Those that aren't told are found
-// by comparing views, where each is sent once.
-const maxJoinsTold = 100
+// maxJoinsAnnounced is the number of joining members that a process announces to others per
+// period. When all processes start together, each would hear of every other one over all
+// its links, which in a large fleet takes the CPU of small VMs for seconds. Members that
+// aren't announced are found by comparing views, which sends each record once.
+const maxJoinsAnnounced = 100
 
-// joins bounds what is told and logged of members that join.
+// joins limits how many joining members are announced and logged.
 type joins struct {
-	told  int // in the period that began at since
-	since time.Time
-	// unlogged are the joins since the last beat.
+	announced int // in the period that started at since
+	since     time.Time
+	// unlogged are the joins since the last tick.
 	unlogged []member.Record
 }
 
-// isJoin tells whether a change is that a member is first heard of: one that has
-// contradicted a claim has a greater Seq.
+// isJoin reports whether a change is the first record of a member. A member that has
+// refuted a claim has a higher Seq.
 func isJoin(r member.Record) bool { return r.State == member.Alive && r.Seq == 0 }
 
 func isAlive(r member.Record) bool { return r.State == member.Alive }
 
-// withoutCrowd leaves out the changes that are too many to be told: members that join in a
-// crowd, and the death of those that were replaced, which follows from what is told of who
-// replaced them. The caller holds mu.
-func (n *Node) withoutCrowd(changed []member.Record, joined func(member.Record) bool, now time.Time) []member.Record {
+// limitJoins removes the changes that aren't announced: joins above the limit per period,
+// and the death of a member whose address another one has taken over, because the
+// announcement of the new member implies it. The caller holds mu.
+func (n *Node) limitJoins(changed []member.Record, countsAsJoin func(member.Record) bool, now time.Time) []member.Record {
 	if now.Sub(n.joins.since) >= n.opts.Period {
-		n.joins.told, n.joins.since = 0, now
+		n.joins.announced, n.joins.since = 0, now
 	}
 	self := n.table.Self().ID
 	return slices.DeleteFunc(changed, func(r member.Record) bool {
@@ -42,16 +42,16 @@
 			n.logDeath(r)
 			return true
 		}
-		if r.ID == self || !joined(r) {
+		if r.ID == self || !countsAsJoin(r) {
 			return false
 		}
-		n.joins.told++
-		if n.joins.told <= maxJoinsTold {
+		n.joins.announced++
+		if n.joins.announced <= maxJoinsAnnounced {
 			return false
 		}
 		n.joins.unlogged = append(n.joins.unlogged, r)
 		n.traffic.changes[r.State].Inc(1)
-		n.behind = true
+		n.compareScheduled = true
 		return true
 	})
 }
@@ -61,12 +61,12 @@
 	n.log.Info("Member was replaced.", memberField(r))
 }
 
-// maxJoinsLogged is how many members that join within a beat are logged one by one. When
-// all processes start each would else write a line for each of the others.
+// maxJoinsLogged is the number of joins per tick that are logged one by one. Without it,
+// each process would log a line for every other one when all start.
 const maxJoinsLogged = 4
 
-// logChanges logs changes of members; those that join are logged with the next beat. The
-// caller holds mu.
+// logChanges logs changes of members; joins are logged at the next tick. The caller
+// holds mu.
 func (n *Node) logChanges(changed []member.Record) {
 	for _, r := range changed {
 		if isJoin(r) {
@@ -81,7 +81,7 @@
 	n.log.Info("Member changed.", memberField(r), zap.String("state", string(memberStates[r.State])), zap.Uint64("seq", r.Seq))
 }
 
-// logJoins logs the members that have joined since the last beat. The caller holds mu.
+// logJoins logs the members that have joined since the last tick. The caller holds mu.
 func (n *Node) logJoins() {
 	joined := n.joins.unlogged
 	n.joins.unlogged = nil
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// maxCalls is how many calls of one link are served at once.
+	// maxCalls is the number of calls that are served concurrently per link.
 	maxCalls = 64
-	// maxOutbox is how many events, items or announcements wait for a link.
-	// More are dropped: the comparison of views makes up for them.
+	// maxOutbox is the number of items, or of announcements per topic, that may be queued
+	// for a link. Excess ones are dropped: the comparison of views makes up for them.
 	maxOutbox = 4096
-	// eventsPerPeriod is how often a link carries events in a storm of them.
+	// eventsPerPeriod is how many times per period a link sends events when there are many.
 	eventsPerPeriod = 4
 )
 
@@ -27,38 +27,38 @@
 type link struct {
 	node   *Node
 	id     string
-	peer   member.Record // as of the handshake
-	dialed bool          // by this process
-	key    string        // the shared key that it was opened with
+	peer   member.Record // as received in the handshake
+	dialed bool          // opened by this process
+	key    string        // the shared key it was authenticated with
 	conn   *jsonrpc2.Conn
 	stream *stream
 	calls  chan struct{}
 	nextID atomic.Uint64
 
-	// freezes is how often this process had stood still when the handshake
-	// started. If it has since, what still waits in the link was said long ago.
+	// freezes is the node's count of freezes when the handshake started. If it has grown
+	// since, whatever arrives over this link may be outdated.
 	freezes uint64
-	// used is when something other than upkeep needed this link, guarded by
-	// node.mu as are the three after it.
+	// used is when this link was last needed for more than maintenance. It is guarded by
+	// node.mu, as are the next three fields.
 	used time.Time
-	// lazy means that items are announced here rather than pushed.
+	// lazy means that items are announced over this link rather than pushed.
 	lazy bool
-	// bye means that either side has said that it closes the link.
-	bye bool
-	// duplicates counts the items that came over this link as duplicates since the
-	// last one that was news.
+	// closing means that either side is about to close the link.
+	closing bool
+	// duplicates counts the duplicate items received over this link since the last new
+	// one.
 	duplicates int
 
-	// wake has a place for one signal that the outbox isn't empty.
+	// wake has room for one signal that the outbox isn't empty.
 	wake chan struct{}
-	// mu guards the outbox and the pings. It is taken after node.mu.
+	// mu guards the fields below. It is acquired after node.mu.
 	mu  sync.Mutex
 	out message
-	// events wait apart from out, by incarnation: a claim that waits is
-	// replaced by a later one, so that many changes of few members don't
-	// add up.
+	// events are the queued membership changes, kept apart from out and keyed by
+	// incarnation: a later record replaces a queued one, so that many changes of
+	// few members don't pile up.
 	events  map[string]member.Record
-	flushed time.Time // when events were taken last
+	flushed time.Time // when events were last taken
 	pings   map[uint64]chan struct{}
 }
 
@@ -79,20 +79,21 @@
 	}
 }
 
-// start lets messages flow. The caller holds node.mu.
+// start starts the JSON-RPC connection. The caller holds node.mu.
 func (l *link) start(ctx context.Context) {
 	l.conn = jsonrpc2.NewConn(ctx, l.stream, l,
-		jsonrpc2.OnSend(l.onSend), jsonrpc2.OnRecv(l.onReceive), jsonrpc2.SetLogger(quiet{}))
+		jsonrpc2.OnSend(l.onSend), jsonrpc2.OnRecv(l.onReceive), jsonrpc2.SetLogger(discardLogger{}))
 }
 
-// quiet drops what jsonrpc2 says of links that end; the node logs that.
-type quiet struct{}
+// discardLogger drops the log output of jsonrpc2 about ended links; the node logs
+// these itself.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 func (l *link) onSend(request *jsonrpc2.Request, answer *jsonrpc2.Response) {
 	if request != nil {
-		l.stream.sending = kind(request.Method)
+		l.stream.sending = messageKind(request.Method)
 		return
 	}
 	l.stream.sending = answerKind(answer.ID.Str)
@@ -103,37 +104,37 @@
 		l.node.traffic.received(answerKind(answer.ID.Str), l.stream.read)
 		return
 	}
-	l.node.traffic.received(kind(request.Method), l.stream.read)
+	l.node.traffic.received(messageKind(request.Method), l.stream.read)
 }
 
-// Handle takes in a call or notification.
+// Handle implements jsonrpc2.Handler.
 func (l *link) Handle(ctx context.Context, conn *jsonrpc2.Conn, request *jsonrpc2.Request) {
 	if request.Notif {
-		l.notified(request)
+		l.handleNotification(request)
 		return
 	}
 	select {
 	case l.calls <- struct{}{}:
 		go func() {
 			defer func() { <-l.calls }()
-			l.answer(ctx, conn, request)
+			l.serveCall(ctx, conn, request)
 		}()
 	default:
 		busy := &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: "too many calls at once"}
-		_ = conn.ReplyWithError(ctx, request.ID, busy) // the caller's time limit covers a lost answer
+		_ = conn.ReplyWithError(ctx, request.ID, busy) // a lost answer ends in the caller's timeout
 	}
 }
 
-func (l *link) notified(request *jsonrpc2.Request) {
+func (l *link) handleNotification(request *jsonrpc2.Request) {
 	var m message
 	if request.Params == nil || json.Unmarshal(*request.Params, &m) != nil {
-		l.node.log.Warn("Message can't be read.", memberField(l.peer))
+		l.node.log.Warn("Message can't be decoded.", memberField(l.peer))
 		return
 	}
 	l.node.receive(l, m)
 }
 
-func (l *link) answer(ctx context.Context, conn *jsonrpc2.Conn, request *jsonrpc2.Request) {
+func (l *link) serveCall(ctx context.Context, conn *jsonrpc2.Conn, request *jsonrpc2.Request) {
 	var params json.RawMessage
 	if request.Params != nil {
 		params = *request.Params
@@ -141,26 +142,27 @@
 	result, err := l.node.serve(ctx, l, request.Method, params)
 	if err != nil {
 		failure := &jsonrpc2.Error{Code: jsonrpc2.CodeInternalError, Message: err.Error()}
-		_ = conn.ReplyWithError(ctx, request.ID, failure) // a lost link ends the call at the caller
+		_ = conn.ReplyWithError(ctx, request.ID, failure) // if the link is lost, the call fails at the caller
 		return
 	}
 	_ = conn.Reply(ctx, request.ID, result) // as above
 }
 
-// call asks the other side.
+// call sends a request to the other side and waits for its result.
 func (l *link) call(ctx context.Context, method string, params, result any) error {
 	id := jsonrpc2.ID{Str: callID(method, l.nextID.Add(1)), IsString: true}
 	return l.conn.Call(ctx, method, params, result, jsonrpc2.PickID(id))
 }
 
-// ping waits until the other side answers or the context ends.
+// ping reports whether the other side answers before the context ends. Events are sent
+// along with the ping.
 func (l *link) ping(ctx context.Context, events []member.Record) bool {
 	number := l.nextID.Add(1)
 	answered := make(chan struct{})
 	l.mu.Lock()
 	l.pings[number] = answered
 	l.out.Pings = append(l.out.Pings, number)
-	l.noteEvents(events)
+	l.queueEvents(events)
 	l.mu.Unlock()
 	l.signal()
 	defer func() {
@@ -187,7 +189,7 @@
 	}
 }
 
-// post changes the outbox and has it sent.
+// post changes the outbox and triggers sending.
 func (l *link) post(change func(out *message)) {
 	l.mu.Lock()
 	change(&l.out)
@@ -195,9 +197,9 @@
 	l.signal()
 }
 
-// note changes the outbox without hurry: it goes with the next message, at
-// the latest after havePeriods.
-func (l *link) note(change func(out *message)) {
+// postLater changes the outbox without triggering sending: the change goes out with the
+// next message, after havePeriods at the latest.
+func (l *link) postLater(change func(out *message)) {
 	l.mu.Lock()
 	change(&l.out)
 	l.mu.Unlock()
@@ -210,7 +212,7 @@
 	}
 }
 
-// write sends what waits in the outbox until the link ends.
+// write sends the contents of the outbox until the link ends.
 func (l *link) write(ctx context.Context) {
 	defer l.node.detach(l)
 	for {
@@ -219,12 +221,12 @@
 		case <-l.conn.DisconnectNotify():
 			return
 		}
-		for m := l.take(); !m.empty(); m = l.take() {
+		for m := l.nextMessage(); !m.empty(); m = l.nextMessage() {
 			if l.conn.Notify(ctx, m.method(), m) != nil {
 				l.close()
 				return
 			}
-			if m.Bye {
+			if m.Closing {
 				l.close()
 				return
 			}
@@ -232,12 +234,12 @@
 	}
 }
 
-// take removes one bounded message from the outbox.
-func (l *link) take() message {
+// nextMessage removes one message of bounded size from the outbox.
+func (l *link) nextMessage() message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := message{Pings: l.out.Pings, Acks: l.out.Acks, Prune: l.out.Prune, Bye: l.out.Bye}
-	l.out.Pings, l.out.Acks, l.out.Prune, l.out.Bye = nil, nil, false, false
+	m := message{Pings: l.out.Pings, Acks: l.out.Acks, Prune: l.out.Prune, Closing: l.out.Closing}
+	l.out.Pings, l.out.Acks, l.out.Prune, l.out.Closing = nil, nil, false, false
 	m.Events = l.takeEvents()
 	m.Items, l.out.Items = splitItems(l.out.Items)
 	m.Have, l.out.Have = splitStamps(l.out.Have)
@@ -262,16 +264,15 @@
 	return taken
 }
 
-// noteEvents has events go with the next message. The caller holds mu.
-func (l *link) noteEvents(events []member.Record) {
+// queueEvents queues events for the next message. The caller holds mu.
+func (l *link) queueEvents(events []member.Record) {
 	for _, r := range events {
 		l.events[r.ID] = r
 	}
 }
 
-// heard drops the events that wait for the other side and that it has just
-// told itself.
-func (l *link) heard(events []member.Record) {
+// dropKnownEvents removes queued events that the other side has just sent itself.
+func (l *link) dropKnownEvents(events []member.Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range events {
@@ -281,23 +282,23 @@
 	}
 }
 
-// tell sends events at once, unless some were sent a moment ago: then they
-// wait for the next message, at the latest the next beat. A single change
-// thus spreads without delay, while a storm of them (a zone is lost, a region
-// returns) costs each link a few messages a period and not one for each.
-func (l *link) tell(events []member.Record) {
+// sendEvents sends events at once, unless this link sent some a moment ago: then they
+// wait for the next message, at the latest until the next tick. A single change thus
+// spreads without delay, while a burst of changes (a zone is lost, a region
+// returns) costs each link a few messages per period rather than one per change.
+func (l *link) sendEvents(events []member.Record) {
 	l.mu.Lock()
-	l.noteEvents(events)
-	calm := time.Since(l.flushed) > l.node.opts.Period/eventsPerPeriod
+	l.queueEvents(events)
+	sendNow := time.Since(l.flushed) > l.node.opts.Period/eventsPerPeriod
 	l.mu.Unlock()
-	if calm {
+	if sendNow {
 		l.signal()
 	}
 }
 
-// hurried tells whether more waits than announcements of items: those only
-// mend what a broken tree lost, and each message costs more than it carries.
-func (l *link) hurried() bool {
+// hasUrgent reports whether the outbox holds more than item announcements. Those only
+// repair what a broken tree lost and aren't worth a message of their own.
+func (l *link) hasUrgent() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	rest := l.out
@@ -305,13 +306,13 @@
 	return !rest.empty() || len(l.events) > 0
 }
 
-func (l *link) close() { _ = l.conn.Close() } // closing twice is no fault
+func (l *link) close() { _ = l.conn.Close() } // it may already be closed
 
-func split[T any](queue []T, most int) (now, later []T) {
-	if len(queue) <= most {
+func split[T any](queue []T, limit int) (now, later []T) {
+	if len(queue) <= limit {
 		return queue, nil
 	}
-	return queue[:most:most], queue[most:]
+	return queue[:limit:limit], queue[limit:]
 }
 
 func splitItems(queue []wireItem) (now, later []wireItem) {
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -2,37 +2,37 @@
 
 import "github.com/vanillagate/vanillagate/internal/member"
 
-// The methods between the processes of the system. All others belong to the
-// parts that call Handle.
+// JSON-RPC methods of this package. All others are registered with Node.Handle by
+// the packages that use it.
 const (
-	// methodPing, methodAck and methodGossip are notifications that carry a
-	// message; whatever waits for a link goes along with the next of them.
+	// methodPing, methodAck and methodGossip are notifications that carry a message.
+	// Everything queued for a link goes into the next of them.
 	methodPing   = "ping"
 	methodAck    = "ack"
 	methodGossip = "gossip"
-	// methodProbe asks a member to reach another.
+	// methodProbe asks a member to ping another one (SWIM's indirect probe).
 	methodProbe = "probe"
-	// methodDigest and methodExchange compare two whole views.
+	// methodDigest and methodExchange compare two views and exchange the differences.
 	methodDigest   = "digest"
 	methodExchange = "exchange"
 )
 
-// message is a notification.
+// message is the content of a notification.
 type message struct {
-	// Pings ask for Acks with the same numbers.
+	// Pings are numbers that the receiver returns as Acks.
 	Pings []uint64 `json:"n,omitempty"`
 	Acks  []uint64 `json:"a,omitempty"`
-	// Events are changes of membership.
+	// Events are membership changes.
 	Events []member.Record `json:"e,omitempty"`
 	Items  []wireItem      `json:"i,omitempty"`
-	// Have tells of items that the sender holds and doesn't push over this
-	// link; Want asks for some of them, and for the link to be pushed to.
+	// Have announces items that the sender holds and doesn't push over this link. Want
+	// requests some of them and makes the link eager (Plumtree's IHAVE and GRAFT).
 	Have map[Topic][]stamp `json:"h,omitempty"`
 	Want map[Topic][]stamp `json:"w,omitempty"`
-	// Prune asks that items be announced over this link, no longer pushed.
+	// Prune asks the receiver to only announce items over this link.
 	Prune bool `json:"p,omitempty"`
-	// Bye says that the sender is about to close a link it needs no longer.
-	Bye bool `json:"x,omitempty"`
+	// Closing announces that the sender is about to close the link.
+	Closing bool `json:"x,omitempty"`
 }
 
 func (m message) method() string {
@@ -47,35 +47,35 @@
 }
 
 func (m message) empty() bool {
-	return !m.Prune && !m.Bye && len(m.Pings)+len(m.Acks)+len(m.Events)+len(m.Items)+len(m.Have)+len(m.Want) == 0
+	return !m.Prune && !m.Closing && len(m.Pings)+len(m.Acks)+len(m.Events)+len(m.Items)+len(m.Have)+len(m.Want) == 0
 }
 
-// Bounds of one message.
+// Limits of one message: events, bytes of items, and stamps.
 const (
 	maxEvents    = 64
 	maxItemBytes = 96 << 10
 	maxStamps    = 512
 )
 
-// probeRequest asks to reach a member.
+// probeRequest asks a member to ping another one.
 type probeRequest struct {
 	Record member.Record `json:"record"`
 }
 
 type probeAnswer struct {
 	Reached bool `json:"reached"`
-	// Unsure tells that the member was silent towards a process that is short of CPU, which
-	// says nothing of it.
+	// Unsure means that the ping timed out at a process that is short of CPU, which says
+	// nothing about the member.
 	Unsure bool `json:"unsure,omitempty"`
 }
 
-// digestRequest is a view in short.
+// digestRequest is a digest of the sender's view.
 type digestRequest struct {
 	Zones  map[string]uint64    `json:"z"`
 	Topics map[Topic]itemDigest `json:"t,omitempty"`
 }
 
-// digestAnswer is what the other holds where the views differ.
+// digestAnswer lists what the receiver holds in the parts where the views differ.
 type digestAnswer struct {
 	Zones  map[string][]member.Stamp `json:"z,omitempty"`
 	Topics map[Topic]itemDiff        `json:"t,omitempty"`
@@ -83,7 +83,7 @@
 
 func (a digestAnswer) empty() bool { return len(a.Zones)+len(a.Topics) == 0 }
 
-// exchangeRequest gives what the other lacks and asks for what it has.
+// exchangeRequest sends what the receiver lacks and requests what the sender lacks.
 type exchangeRequest struct {
 	Records     []member.Record   `json:"r,omitempty"`
 	Items       []wireItem        `json:"i,omitempty"`
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -18,92 +18,92 @@
 	"github.com/vanillagate/vanillagate/internal/member"
 )
 
-// Errors of a Node; test with errors.Is.
+// Errors returned by a Node; test with errors.Is.
 var (
-	ErrUnknownMember   = eris.New("peer: no such member, or it is dead")
-	ErrClosed          = eris.New("peer: this node is closed")
-	ErrVersionNotNewer = eris.New("peer: the version doesn't grow")
-	ErrItemTooLarge    = eris.New("peer: the item is too big")
+	ErrUnknownMember   = eris.New("peer: unknown or dead member")
+	ErrClosed          = eris.New("peer: node is closed")
+	ErrVersionNotNewer = eris.New("peer: the item's version isn't newer than the published one")
+	ErrItemTooLarge    = eris.New("peer: the item is too large")
 )
 
 type handler = func(ctx context.Context, params json.RawMessage) (any, error)
 
-// Node is this process's side of the network of processes.
+// Node is this process's endpoint in the network of the system's processes.
 type Node struct {
 	opts     Options
 	log      *zap.Logger
 	traffic  *traffic
 	inbox    *inbox
-	handlers map[string]handler // fixed from Start on
+	handlers map[string]handler // not changed after Start
 
 	ctx      context.Context
 	stop     context.CancelFunc
 	tasks    sync.WaitGroup
 	listener net.Listener
-	// greeting bounds the handshakes that others have opened.
-	greeting chan struct{}
+	// handshakes limits the concurrent handshakes of incoming connections.
+	handshakes chan struct{}
 
 	dials singleflight.Group
 
-	// mu guards all below. It is taken before a link's mu and never held
+	// mu guards all fields below. It is acquired before a link's mu and never held
 	// during I/O.
-	mu      sync.Mutex
-	table   *member.Table
-	store   *store
-	links   map[string]*link // by incarnation
-	dialing map[string]bool  // addresses that are being dialed
-	keys    [][]byte
-	clock   beatClock
-	freezes uint64 // how often this process was found to have stood still
-	health  health
-	// hints are addresses to try: the VM list, and after a freeze the members
-	// known before.
-	hints    []string
-	missing  map[itemName]*absent
-	pacing   map[itemName]*paced
-	order    []string // members still to be probed in this round
-	beats    uint64
-	phase    uint64 // random, fixed
-	plan     plan
-	joins    joins
-	stale    bool      // the view is being refreshed
-	compared time.Time // when views were compared last
-	behind   bool      // another comparison is due
-	view     *View
-	viewed   uint64 // the table's version that view shows
-	closed   bool
-	lastLazy uint64 // the beat of the last prune
+	mu       sync.Mutex
+	table    *member.Table
+	store    *store
+	links    map[string]*link // by incarnation
+	dialing  map[string]bool  // addresses that are being dialed
+	keys     [][]byte
+	detector freezeDetector
+	freezes  uint64 // number of detected freezes
+	health   health
+	// candidates are addresses to try: the VM list, and after a freeze those of the
+	// members known before.
+	candidates       []string
+	missing          map[itemID]*missingItem
+	pacing           map[itemID]*pacedItem
+	order            []string // members still to be probed in this round
+	ticks            uint64
+	phase            uint64 // random, constant
+	linkPlan         linkPlan
+	joins            joins
+	stale            bool      // the view was reset and not yet compared
+	lastCompared     time.Time // when views were last compared
+	compareScheduled bool      // a comparison is scheduled
+	view             *View
+	viewVersion      uint64 // the table's version that view was made from
+	closed           bool
+	lastPrune        uint64 // the tick of the last prune sent
 }
 
 var _ Network = (*Node)(nil)
 
-// New makes a node that isn't yet connected.
+// New creates a node that isn't connected yet.
 func New(opts Options) (*Node, error) {
 	opts = opts.withDefaults()
 	if err := checkKeys(opts.Keys); err != nil {
 		return nil, err
 	}
 	n := &Node{
-		opts:     opts,
-		log:      logging.Part(opts.Log, "peer"),
-		traffic:  newTraffic(opts.Metrics),
-		inbox:    newInbox(),
-		handlers: map[string]handler{},
-		greeting: make(chan struct{}, maxGreetings),
-		store:    newStore(opts.Tombstone),
-		links:    map[string]*link{},
-		dialing:  map[string]bool{},
-		keys:     keyBytes(opts.Keys),
-		missing:  map[itemName]*absent{},
-		pacing:   map[itemName]*paced{},
-		phase:    rand.Uint64N(strayPeriods * seedPeriods),
-	}
-	n.table = member.NewTable(n.record(), opts.limits())
+		opts:       opts,
+		log:        logging.Part(opts.Log, "peer"),
+		traffic:    newTraffic(opts.Metrics),
+		inbox:      newInbox(),
+		handlers:   map[string]handler{},
+		handshakes: make(chan struct{}, maxHandshakes),
+		store:      newStore(opts.Tombstone),
+		links:      map[string]*link{},
+		dialing:    map[string]bool{},
+		keys:       keyBytes(opts.Keys),
+		missing:    map[itemID]*missingItem{},
+		pacing:     map[itemID]*pacedItem{},
+		phase:      rand.Uint64N(randomProbePeriods * seedPeriods),
+	}
+	n.table = member.NewTable(n.selfRecord(), opts.limits())
 	return n, nil
 }
 
-// maxGreetings bounds the connections that haven't proved a key.
-const maxGreetings = 64
+// maxHandshakes limits the connections that haven't been authenticated yet.
+const maxHandshakes = 64
 
 func keyBytes(keys []string) [][]byte {
 	all := make([][]byte, 0, len(keys))
@@ -113,7 +113,7 @@
 	return all
 }
 
-func (n *Node) record() member.Record {
+func (n *Node) selfRecord() member.Record {
 	self := n.opts.Self
 	return member.Record{
 		ID:     string(self.Incarnation),
@@ -126,8 +126,8 @@
 	}
 }
 
-// Start listens, joins and keeps on until Close or the context's end. It
-// doesn't wait for any peer: a process may be the first.
+// Start listens, joins the network and runs the node until Close or the end of the
+// context. It doesn't wait for any peer, because a process may be the first.
 func (n *Node) Start(ctx context.Context) error {
 	listener, err := net.Listen("tcp", n.opts.Listen)
 	if err != nil {
@@ -138,34 +138,34 @@
 	if n.opts.Self.PeerAddress == "" {
 		n.opts.Self.PeerAddress = listener.Addr().String()
 	}
-	n.table = member.NewTable(n.record(), n.opts.limits())
+	n.table = member.NewTable(n.selfRecord(), n.opts.limits())
 	n.view = nil
-	n.clock = newBeatClock(instantOf(time.Now()), max(stalePeriods*n.opts.Period, leastStale))
+	n.detector = newFreezeDetector(instantOf(time.Now()), max(freezePeriods*n.opts.Period, minFreezeTime))
 	n.mu.Unlock()
 	n.ctx, n.stop = context.WithCancel(ctx)
 	n.tasks.Go(n.accept)
-	n.tasks.Go(n.live)
+	n.tasks.Go(n.run)
 	n.tasks.Go(func() { n.inbox.deliver(n.ctx) })
 	n.tasks.Go(func() {
 		<-n.ctx.Done()
-		n.shut()
+		n.shutdown()
 	})
 	return nil
 }
 
-// AnnounceLeave tells the peers that this process goes. It stays reachable
-// until Leave or Close, for what it still has to hand over.
+// AnnounceLeave tells the peers that this process is leaving. It stays reachable until
+// Leave or Close, to hand over its remaining work.
 func (n *Node) AnnounceLeave() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.announce([]member.Record{n.table.Leave()}, nil)
+	n.broadcast([]member.Record{n.table.Leave()}, nil)
 }
 
-// Leave announces that this process goes, waits until its peers were told or
-// the context ends, and closes.
+// Leave announces that this process is leaving, waits until its peers have received that
+// or the context ends, and closes the node.
 func (n *Node) Leave(ctx context.Context) {
 	n.mu.Lock()
-	n.announce([]member.Record{n.table.Leave()}, nil)
+	n.broadcast([]member.Record{n.table.Leave()}, nil)
 	links := n.allLinks()
 	n.mu.Unlock()
 	for _, l := range links {
@@ -174,15 +174,15 @@
 	n.Close()
 }
 
-// drain waits until the other side has answered a ping that was sent behind
-// all that waited for the link.
+// drain waits until the other side has answered a ping that was sent after everything
+// queued for the link.
 func (n *Node) drain(ctx context.Context, l *link) {
 	ctx, cancel := context.WithTimeout(ctx, pingPeriods*n.opts.Period)
 	defer cancel()
 	l.ping(ctx, nil)
 }
 
-// Close ends all links without a word.
+// Close ends all links without announcing that this process leaves.
 func (n *Node) Close() {
 	if n.stop == nil {
 		return
@@ -191,8 +191,8 @@
 	n.tasks.Wait()
 }
 
-func (n *Node) shut() {
-	_ = n.listener.Close() // nothing is lost with a listener
+func (n *Node) shutdown() {
+	_ = n.listener.Close() // an error loses nothing: the listener holds no data
 	n.mu.Lock()
 	n.closed = true
 	links := n.allLinks()
@@ -210,8 +210,8 @@
 	return links
 }
 
-// SetKeys changes the shared keys without a stop. Links that were opened with
-// a key that is no longer accepted are closed and opened anew.
+// SetKeys replaces the shared keys of a running node. Links that were authenticated with
+// a key that is no longer accepted are closed and reopened.
 func (n *Node) SetKeys(keys []string) error {
 	if err := checkKeys(keys); err != nil {
 		return err
@@ -232,29 +232,29 @@
 	return nil
 }
 
-// Self is this process.
+// Self implements Network.
 func (n *Node) Self() Member { return n.View().Self }
 
-// Members lists the other processes that are not dead.
+// Members implements Network.
 func (n *Node) Members() []Member { return slices.Clone(n.View().Members) }
 
-// Stale tells that this process was frozen and hasn't yet learned anew who
-// its peers are.
+// Stale reports whether this process was frozen and hasn't learned its peers again
+// since.
 func (n *Node) Stale() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.stale
 }
 
-// Links is the number of open links, those opened by others too.
+// Links returns the number of open links, including those opened by peers.
 func (n *Node) Links() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.links)
 }
 
-// Traffic lists what was sent and received by kind.
-func (n *Node) Traffic() []Traffic { return n.traffic.table() }
+// Traffic returns the counters of sent and received messages by kind.
+func (n *Node) Traffic() []Traffic { return n.traffic.snapshot() }
 
 func toMember(r member.Record) Member {
 	return Member{
@@ -277,27 +277,27 @@
 
 func memberField(r member.Record) zap.Field { return zap.String("member", r.ID+"@"+r.Peer) }
 
-// Handle answers calls of a method. Call before Start.
+// Handle implements Network.
 func (n *Node) Handle(method string, fn func(ctx context.Context, params json.RawMessage) (any, error)) {
 	n.handlers[method] = fn
 }
 
-// Subscribe has fn called with every new item of a topic. Call before Start.
+// Subscribe implements Network.
 func (n *Node) Subscribe(topic Topic, fn func(Item)) { n.inbox.subscribe(topic, fn) }
 
-// Items lists the unexpired items of a topic, each with the TTL it has left.
+// Items implements Network. Each item has the TTL that remains.
 func (n *Node) Items(topic Topic) []Item {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.store.items(topic, time.Now())
 }
 
-// Call asks one member, over a link that stands or over a new one.
+// Call implements Network. It uses the existing link to the member or opens one.
 func (n *Node) Call(ctx context.Context, to Incarnation, method string, params, result any) error {
 	if to == n.Self().Incarnation {
 		return n.callSelf(ctx, method, params, result)
 	}
-	l, err := n.reach(ctx, string(to))
+	l, err := n.linkTo(ctx, string(to))
 	if err != nil {
 		return err
 	}
@@ -307,9 +307,9 @@
 func (n *Node) callSelf(ctx context.Context, method string, params, result any) error {
 	encoded, err := json.Marshal(params)
 	if err != nil {
-		return eris.Wrap(err, "encode params")
+		return eris.Wrap(err, "encode parameters")
 	}
-	answer, err := n.serveOthers(ctx, method, encoded)
+	answer, err := n.callHandler(ctx, method, encoded)
 	if err != nil {
 		return err
 	}
@@ -320,7 +320,7 @@
 	return eris.Wrap(json.Unmarshal(data, result), "decode answer")
 }
 
-// serve answers a call that came over a link.
+// serve serves a call that arrived over a link.
 func (n *Node) serve(ctx context.Context, l *link, method string, params json.RawMessage) (any, error) {
 	switch method {
 	case methodProbe:
@@ -330,12 +330,12 @@
 	case methodExchange:
 		return n.serveExchange(l, params)
 	default:
-		n.touch(l)
-		return n.serveOthers(ctx, method, params)
+		n.markUsed(l)
+		return n.callHandler(ctx, method, params)
 	}
 }
 
-func (n *Node) serveOthers(ctx context.Context, method string, params json.RawMessage) (any, error) {
+func (n *Node) callHandler(ctx context.Context, method string, params json.RawMessage) (any, error) {
 	fn := n.handlers[method]
 	if fn == nil {
 		return nil, eris.Errorf("no method %q", method)
@@ -343,7 +343,7 @@
 	return fn(ctx, params)
 }
 
-// accept welcomes those who connect.
+// accept accepts incoming connections.
 func (n *Node) accept() {
 	for {
 		conn, err := n.listener.Accept()
@@ -351,18 +351,18 @@
 			return
 		}
 		if err != nil {
-			n.log.Warn("Accepting failed.", zap.Error(err))
+			n.log.Warn("Accepting a connection failed.", zap.Error(err))
 			n.pause(n.opts.Period)
 			continue
 		}
 		select {
-		case n.greeting <- struct{}{}:
+		case n.handshakes <- struct{}{}:
 			n.tasks.Go(func() {
-				defer func() { <-n.greeting }()
-				n.welcome(conn)
+				defer func() { <-n.handshakes }()
+				n.acceptHandshake(conn)
 			})
 		default:
-			_ = conn.Close() // too many strangers at once; peers try again
+			_ = conn.Close() // too many handshakes; peers try again
 		}
 	}
 }
@@ -374,12 +374,12 @@
 	}
 }
 
-func (n *Node) welcome(conn net.Conn) {
+func (n *Node) acceptHandshake(conn net.Conn) {
 	if n.opts.TLS != nil {
 		conn = tls.Server(conn, n.opts.TLS)
 	}
 	own := n.credentials()
-	agreed, err := within(conn, n.opts.handshakeTime(), func() (*session, error) { return welcome(conn, own.keys, own.self) })
+	agreed, err := withDeadline(conn, n.opts.handshakeTime(), func() (*session, error) { return acceptHandshake(conn, own.keys, own.self) })
 	if err != nil {
 		n.refused(conn, err)
 		return
@@ -388,33 +388,32 @@
 }
 
 func (n *Node) refused(conn net.Conn, err error) {
-	_ = conn.Close() // the fault is logged below
+	_ = conn.Close() // the handshake error is logged below
 	n.traffic.refused.Inc(1)
 	if n.ctx.Err() == nil {
 		n.log.Warn("Handshake failed.", zap.Stringer("address", conn.RemoteAddr()), zap.Error(err))
 	}
 }
 
-// credentials is what a handshake starts with.
+// credentials are the inputs of a handshake.
 type credentials struct {
 	keys    [][]byte
 	self    member.Record
-	freezes uint64 // of this process when the handshake started
+	freezes uint64 // n.freezes when the handshake started
 }
 
 func (n *Node) credentials() credentials {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.closed {
-		n.awake(time.Now()) // counts a freeze before the handshake that no beat has noticed
+		n.notFrozen(time.Now()) // counts a freeze that no tick has detected yet
 	}
 	return credentials{n.keys, n.table.Self(), n.freezes}
 }
 
-// dial opens a link to an address. The link may turn out to be one that
-// stands already. Callers that want the same address at once share the work:
-// two connections that one side opens at once could each be dropped by the
-// other side in favour of the other.
+// dial opens a link to an address, or returns an existing link to the process there.
+// Concurrent callers for one address share one attempt: of two connections opened at
+// the same time, the other side could drop each in favour of the other.
 func (n *Node) dial(ctx context.Context, address string) (*link, error) {
 	dialing := n.dials.DoChan(address, func() (any, error) { return n.dialOnce(address) })
 	select {
@@ -439,10 +438,10 @@
 		conn = tls.Client(conn, clientTLS(n.opts.TLS, address))
 	}
 	own := n.credentials()
-	agreed, err := within(conn, n.opts.handshakeTime(), func() (*session, error) { return greet(conn, own.keys, own.self) })
+	agreed, err := withDeadline(conn, n.opts.handshakeTime(), func() (*session, error) { return dialHandshake(conn, own.keys, own.self) })
 	if err != nil {
-		_ = conn.Close() // the error of the handshake tells more
-		return nil, eris.Wrapf(err, "greet %s", address)
+		_ = conn.Close() // the handshake error is returned
+		return nil, eris.Wrapf(err, "handshake with %s", address)
 	}
 	return n.attach(conn, agreed, true, own.freezes)
 }
@@ -465,9 +464,9 @@
 	return named
 }
 
-// attach makes an authenticated connection a link, or drops it in favour of
-// one that stands. It also drops one whose handshake started before a freeze,
-// when freezes was the count of them: the other side may be long dead.
+// attach turns an authenticated connection into a link, or drops it in favour of an
+// existing one. It also drops a connection whose handshake started before a freeze
+// (freezes is the count at that time): the peer may have died long ago.
 func (n *Node) attach(conn net.Conn, agreed *session, dialed bool, freezes uint64) (*link, error) {
 	l := newLink(n, agreed, newStream(conn, agreed.secret, dialed, writePeriods*n.opts.Period, n.traffic), dialed, freezes)
 	now := time.Now()
@@ -477,46 +476,46 @@
 		_ = conn.Close() // nothing was sent on it
 		return nil, ErrClosed
 	}
-	if !n.hears(l, now) {
+	if !n.acceptsFrom(l, now) {
 		_ = conn.Close() // nothing was sent on it
 		return nil, errStale
 	}
-	standing := n.links[l.id]
-	if standing != nil && !n.prefers(l, standing) {
+	existing := n.links[l.id]
+	if existing != nil && !n.replaces(l, existing) {
 		_ = conn.Close() // nothing was sent on it
-		return standing, nil
+		return existing, nil
 	}
 	n.links[l.id] = l
 	l.start(n.ctx)
 	n.tasks.Go(func() { l.write(n.ctx) })
-	if standing != nil {
-		n.tasks.Go(standing.close)
+	if existing != nil {
+		n.tasks.Go(existing.close)
 	}
-	n.learn([]member.Record{agreed.other}, l, now)
-	n.tellOfItself(l)
+	n.mergeClaims([]member.Record{agreed.other}, l, now)
+	n.sendClaimToRefute(l)
 	return l, nil
 }
 
-// prefers tells whether a new link replaces the standing one. When two
-// processes dial each other at once both must keep the same connection: the
-// one that the lesser incarnation dialed. One that the same side dials again
-// replaces its old one, which that side has given up.
-func (n *Node) prefers(fresh, standing *link) bool {
-	if fresh.dialed == standing.dialed || standing.bye {
+// replaces reports whether a new link replaces the existing one. When two processes dial
+// each other at the same time, both must keep the same connection: the one dialed by
+// the lower incarnation. A link that the same side dials again replaces its previous
+// one, which that side has given up.
+func (n *Node) replaces(fresh, existing *link) bool {
+	if fresh.dialed == existing.dialed || existing.closing {
 		return true
 	}
 	return fresh.dialed == (n.table.Self().ID < fresh.id)
 }
 
-// tellOfItself lets a member know what is wrongly believed of it, so that it
-// can contradict. The caller holds mu.
-func (n *Node) tellOfItself(l *link) {
+// sendClaimToRefute tells a member that this process considers it other than alive, so
+// that it can refute that. The caller holds mu.
+func (n *Node) sendClaimToRefute(l *link) {
 	if held, found := n.table.Get(l.id); found && held.State != member.Alive {
-		l.tell([]member.Record{held})
+		l.sendEvents([]member.Record{held})
 	}
 }
 
-// detach forgets a link that ended.
+// detach removes a link that ended.
 func (n *Node) detach(l *link) {
 	l.close()
 	n.mu.Lock()
@@ -524,16 +523,16 @@
 	if current {
 		delete(n.links, l.id)
 	}
-	expected := n.closed || l.bye
+	expected := n.closed || l.closing
 	n.mu.Unlock()
 	if current && !expected {
-		// The end of a link is the first sign that its process has died:
-		// ask at once rather than when its turn comes.
+		// The end of a link is the first sign that the peer has died: probe it now
+		// rather than when its turn comes.
 		n.spawn(func() { n.probe(l.id) })
 	}
 }
 
-// spawn runs a task that Close waits for.
+// spawn runs a task in the background; Close waits for it.
 func (n *Node) spawn(task func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -542,11 +541,11 @@
 	}
 }
 
-// reach gives a link to a member, opening one if need be.
-func (n *Node) reach(ctx context.Context, id string) (*link, error) {
+// linkTo returns a link to a member, opening one if necessary.
+func (n *Node) linkTo(ctx context.Context, id string) (*link, error) {
 	n.mu.Lock()
 	l := n.links[id]
-	if l != nil && l.bye {
+	if l != nil && l.closing {
 		l = nil
 	}
 	if l != nil {
@@ -573,7 +572,7 @@
 	return l, nil
 }
 
-func (n *Node) touch(l *link) {
+func (n *Node) markUsed(l *link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l.used = time.Now()
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -79,7 +79,7 @@
 	assert.Equal(t, item.Version, uint64(7))
 }
 
-func TestItemsOfTheDeadExpire(t *testing.T) {
+func TestItemsOfDeadMembersExpire(t *testing.T) {
 	c := newCluster(t)
 	nodes := c.startMany(3, "r1", "a")
 	waitAgreed(t, nodes)
@@ -96,26 +96,26 @@
 
 func TestCallsReachOneMember(t *testing.T) {
 	c := newCluster(t)
-	asker := c.start(c.options("r1", "a"))
-	answerer, err := New(c.options("r1", "b"))
+	caller := c.start(c.options("r1", "a"))
+	callee, err := New(c.options("r1", "b"))
 	assert.NilError(t, err)
-	answerer.Handle("double", func(_ context.Context, params json.RawMessage) (any, error) {
+	callee.Handle("double", func(_ context.Context, params json.RawMessage) (any, error) {
 		var q question
 		if err := json.Unmarshal(params, &q); err != nil {
 			return nil, err
 		}
 		return question{2 * q.Number}, nil
 	})
-	assert.NilError(t, answerer.Start(context.Background()))
-	t.Cleanup(answerer.Close)
-	waitAgreed(t, []*Node{asker, answerer})
+	assert.NilError(t, callee.Start(context.Background()))
+	t.Cleanup(callee.Close)
+	waitAgreed(t, []*Node{caller, callee})
 	var result question
-	assert.NilError(t, asker.Call(t.Context(), answerer.Self().Incarnation, "double", question{21}, &result))
+	assert.NilError(t, caller.Call(t.Context(), callee.Self().Incarnation, "double", question{21}, &result))
 	assert.Equal(t, result.Number, 42)
-	assert.NilError(t, answerer.Call(t.Context(), answerer.Self().Incarnation, "double", question{1}, &result))
+	assert.NilError(t, callee.Call(t.Context(), callee.Self().Incarnation, "double", question{1}, &result))
 	assert.Equal(t, result.Number, 2)
-	err = asker.Call(t.Context(), "nobody", "double", question{1}, &result)
+	err = caller.Call(t.Context(), "nobody", "double", question{1}, &result)
 	assert.ErrorIs(t, err, ErrUnknownMember)
-	err = asker.Call(t.Context(), answerer.Self().Incarnation, "halve", question{1}, &result)
+	err = caller.Call(t.Context(), callee.Self().Incarnation, "halve", question{1}, &result)
 	assert.ErrorContains(t, err, "no method")
 }
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -14,42 +14,42 @@
 	"github.com/vanillagate/vanillagate/internal/member"
 )
 
-// Options are what a Node is made from.
+// Options configure a Node.
 type Options struct {
-	// Self is this process. An empty Incarnation gets a new one, an empty
+	// Self describes this process. An empty Incarnation gets a new one, an empty
 	// PeerAddress that of the listener.
 	Self Member
-	// Listen is the IP:port of the peer side; port 0 takes a free one.
+	// Listen is the IP:port to listen on for peers; port 0 picks a free one.
 	Listen string
-	// Keys are the shared keys: the first signs, all are accepted. A key
-	// change puts the new key last everywhere, then first everywhere, then
-	// drops the old one.
+	// Keys are the shared keys: the first one is used for own proofs, all are accepted.
+	// To rotate the key, append the new one on every process, then move it to the front
+	// on every process, then remove the old one.
 	Keys []string
-	// TLS encrypts the links; nil leaves them in clear text, though
-	// authenticated message by message.
+	// TLS encrypts the links. If nil, they are in clear text, but every message is
+	// still authenticated.
 	TLS *tls.Config
-	// Seeds gives the peer addresses of the VM list; nil for none. It may lag
-	// and it may fail.
+	// Seeds returns the peer addresses on the VM list; nil for none. The list may lag
+	// behind, and reading it may fail.
 	Seeds func(ctx context.Context) ([]string, error)
-	// Dial opens connections; nil is TCP. The context's end ends the opening
-	// only.
+	// Dial opens connections; nil for TCP. The context limits only the opening, not
+	// the connection.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Log is nil for none.
+	// Log may be nil.
 	Log *zap.Logger
-	// Metrics gets the counters; nil keeps them apart from the process's.
+	// Metrics is the registry for the counters; nil for a separate one.
 	Metrics metrics.Registry
-	// Period paces all that is done regularly; 0 is a second.
+	// Period is the interval of the periodic work; 0 for one second.
 	Period time.Duration
-	// Tombstone is how long the dead are remembered; 0 is 900 periods.
+	// Tombstone is how long dead members are remembered; 0 for 900 periods.
 	Tombstone time.Duration
-	// Bounds of the links; the zero value is member.DefaultBounds.
+	// Bounds limit the number of links; the zero value is member.DefaultBounds.
 	Bounds member.Bounds
-	// Pace is what soft state of the whole system may cost a process, in
-	// bytes received a second; 0 is DefaultPace. See pace.go.
+	// Pace is the rate in bytes per second at which a process may receive the paced
+	// topics of all processes together; 0 for DefaultPace. See pacing.go.
 	Pace float64
 }
 
-// NewIncarnation names the run of a process that starts now.
+// NewIncarnation returns a new unique incarnation for a process that starts now.
 func NewIncarnation() Incarnation { return Incarnation(uuid.NewString()) }
 
 func (o Options) withDefaults() Options {
@@ -85,20 +85,20 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// checkKeys refuses an empty list and keys that can be guessed.
+// checkKeys rejects an empty list and keys that are short enough to be guessed.
 func checkKeys(keys []string) error {
 	if len(keys) == 0 {
-		return eris.New("no shared key")
+		return eris.New("no shared key is configured")
 	}
 	for _, key := range keys {
 		if len(key) < MinKeyBytes {
-			return eris.Errorf("a shared key has %d bytes, at least %d are needed", len(key), MinKeyBytes)
+			return eris.Errorf("a shared key has %d bytes, the minimum is %d", len(key), MinKeyBytes)
 		}
 	}
 	return nil
 }
 
-// limits derives the membership times from the period.
+// limits derives the timeouts of the membership table from the period.
 func (o Options) limits() member.Limits {
 	return member.Limits{
 		SuspectFor:   suspectPeriods * o.Period,
@@ -107,42 +107,42 @@
 	}
 }
 
-// Times in periods.
+// Durations and intervals in periods.
 const (
 	suspectPeriods   = 5
 	leavingPeriods   = 30
 	tombstonePeriods = 900
-	// stalePeriods without a tick mean that this process was frozen.
-	stalePeriods = 5
-	// strayPeriods is how often a member without a link is probed, and the
-	// whole view compared with it.
-	strayPeriods = 8
-	// havePeriods is how long announcements of items wait for another message.
+	// freezePeriods without a tick mean that this process was frozen.
+	freezePeriods = 5
+	// randomProbePeriods is the interval at which a random member is probed and the
+	// views are compared with it.
+	randomProbePeriods = 8
+	// havePeriods is the longest time that item announcements wait for another message.
 	havePeriods = 4
-	// seedPeriods is how often the VM list is read.
+	// seedPeriods is the interval at which the VM list is read.
 	seedPeriods = 5
-	// idlePeriods is how long a link that no plan needs is kept.
+	// idlePeriods is how long a link that isn't needed is kept.
 	idlePeriods = 5
-	// writePeriods is how long a message may take to be written.
+	// writePeriods is the time limit for writing a message.
 	writePeriods = 5
 )
 
-// leastStale keeps a short period, as tests have, from taking a busy CPU for
-// a freeze.
-const leastStale = time.Second
+// minFreezeTime keeps a node with a short period, as in tests, from taking a shortage of
+// CPU for a freeze.
+const minFreezeTime = time.Second
 
-// The opening of a link, connection included, may take handshakePeriods, but
-// neither less nor more than these.
+// Opening a link, connection included, may take handshakePeriods, but at least
+// minHandshake and at most maxHandshake.
 const (
 	handshakePeriods = 5
 	minHandshake     = 500 * time.Millisecond
 	maxHandshake     = 3 * time.Second
 )
 
-// connectTime bounds the opening of a connection. A packet to a VM that has no
-// power yet is lost without a word and sent again after a second only; a new
-// try with the next beat finds the VM up to 0.7 s sooner. Regions are a fifth of
-// a second apart there and back.
+// connectTime limits the opening of a connection. Packets to a VM that isn't powered on
+// yet are lost, and TCP retransmits only after a second; a new attempt at the next tick
+// reaches the VM up to 0.7 s sooner. The round trip between regions takes a fifth of a
+// second.
 const connectTime = 300 * time.Millisecond
 
 func (o Options) handshakeTime() time.Duration {
--- a/internal/peer/spread.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer connects the system's own processes: authenticated JSON-RPC
-// links, membership messages and the spreading of soft state.
+// Package peer connects the system's own processes. It provides authenticated JSON-RPC
+// links, SWIM-style membership, and the gossip of soft state.
 package peer
 
 import (
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// Incarnation names one run of one process. A VM replaced at the same address
-// has another incarnation.
+// Incarnation identifies one run of one process. A VM that replaces another one
+// at the same address has a different incarnation.
 type Incarnation string
 
-// Topic is a sort of soft state that processes spread to each other.
+// Topic is a category of soft state that processes gossip.
 type Topic string
 
-// The topics in use.
+// The topics.
 const (
 	// TopicChange carries accepted configuration changes.
 	TopicChange Topic = "change"
 	// TopicStop carries announced planned stops before they are in force.
 	TopicStop Topic = "stop"
-	// TopicSuspect carries fingerprints of requests suspected of crashing
-	// their targets.
+	// TopicSuspect carries fingerprints of requests suspected of crashing their
+	// targets.
 	TopicSuspect Topic = "suspect"
 	// TopicDemand carries each process's demand per contract.
 	TopicDemand Topic = "demand"
-	// TopicInForce carries the revision that each process has in force.
+	// TopicInForce carries the configuration revision in force at each process.
 	TopicInForce Topic = "in_force"
 )
 
-// Item is one piece of soft state. Of two items with the same Topic, Origin
-// and Key the one with the higher Version stands. It expires TTL after it was
+// Item is one piece of soft state. Of two items with the same Topic, Origin and
+// Key, the one with the higher Version wins. An item expires TTL after it was
 // received.
 type Item struct {
 	Topic   Topic           `json:"topic"`
@@ -42,7 +42,7 @@
 	Body    json.RawMessage `json:"body"`
 }
 
-// MemberState is what this process believes of another.
+// MemberState is the state of a member as this process sees it.
 type MemberState string
 
 // The states of a member.
@@ -53,44 +53,45 @@
 	Dead    MemberState = "dead"
 )
 
-// Member is one process of the system as seen from here.
+// Member is one process of the system as this process sees it.
 type Member struct {
 	Incarnation Incarnation `json:"incarnation"`
-	// PeerAddress is the IP:port of its peer side, CallerAddress of its side
-	// towards callers (empty for a steward).
+	// PeerAddress is the IP:port for peers, CallerAddress the one for callers (empty
+	// for a steward).
 	PeerAddress   string      `json:"peer_address"`
 	CallerAddress string      `json:"caller_address,omitempty"`
 	Zone          string      `json:"zone"`
 	Region        string      `json:"region"`
 	State         MemberState `json:"state"`
-	// Power is the VM's share of a core in percent, 0 where it isn't told.
+	// Power is the VM's share of one core in percent, 0 if unknown.
 	Power int `json:"power,omitempty"`
 }
 
-// Network is what the rest of a process sees of its peers.
+// Network is the interface of a Node for the rest of the process.
 type Network interface {
-	// Self is this process.
+	// Self returns this process.
 	Self() Member
-	// Members lists the other processes that are not dead.
+	// Members returns the other processes that aren't dead.
 	Members() []Member
-	// View is what Self and Members give. It is the same until one of them
-	// changes, so that what is derived from it can be kept as long.
+	// View returns Self and Members together. It returns the same View until one of
+	// them changes, so that results derived from it can be cached as long.
 	View() *View
-	// Publish spreads an item of this process at once. Version must grow for
-	// each Topic and Key.
+	// Publish gossips an item of this process. Items of paced topics may be delayed, all
+	// others are sent at once. Version must grow for each Topic and Key.
 	Publish(topic Topic, key string, version uint64, ttl time.Duration, body any) error
-	// Items lists the unexpired items of a topic, those of this process too.
+	// Items returns the unexpired items of a topic, including those of this process.
 	Items(topic Topic) []Item
-	// Subscribe has fn called, one call at a time, with every new item of a
-	// topic that comes from another process. Call before Start.
+	// Subscribe registers fn to be called with every new item of a topic that comes from
+	// another process, one call at a time. Must be called before Start.
 	Subscribe(topic Topic, fn func(Item))
-	// Handle answers calls of a method. Call before Start.
+	// Handle registers the handler of a method. Must be called before Start.
 	Handle(method string, fn func(ctx context.Context, params json.RawMessage) (any, error))
-	// Call asks one member.
+	// Call calls a method of one member.
 	Call(ctx context.Context, to Incarnation, method string, params, result any) error
 }
 
-// HandleCall answers calls of a method, decoded. Call before Start.
+// HandleCall registers a handler that gets the decoded parameters of a method. Must be
+// called before Start.
 func HandleCall[T any](network Network, method string, fn func(T) (any, error)) {
 	network.Handle(method, func(_ context.Context, params json.RawMessage) (any, error) {
 		var call T
--- a/internal/peer/start_test.go
+++ b/internal/peer/start_test.go
@@ -9,15 +9,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// All VMs lose power and come back within a fraction of a second. What the first
-// ones send to those that have no power yet is lost without a word, and TCP sends
-// it again after a second only. Until the processes know each other each does
-// for itself what one should do for all, and requests are refused for it.
-func TestProcessesThatStartTogetherMeetSoon(t *testing.T) {
+// All VMs lose power and come back within a fraction of a second. What the first ones send
+// to those that aren't powered on yet is lost, and TCP retransmits only after a second.
+// Until the processes know each other, each does work that one should do for all, and
+// requests are refused because of that.
+func TestSimultaneousStartConvergesQuickly(t *testing.T) {
 	const (
-		resent = time.Second
-		powers = 250 * time.Millisecond // until the last VM has power
-		count  = 16
+		retransmitDelay = time.Second
+		powerOnTime     = 250 * time.Millisecond // until the last VM is powered on
+		count           = 16
 	)
 	c := newCluster(t)
 	var nodes []*Node
@@ -29,11 +29,11 @@
 		known := seeds[:min(len(seeds), 3)]
 		opts.Seeds = func(context.Context) ([]string, error) { return known, nil }
 		opts.Dial = func(ctx context.Context, to string) (net.Conn, error) {
-			if time.Since(began) < powers {
+			if time.Since(began) < powerOnTime {
 				select {
 				case <-ctx.Done():
 					return nil, ctx.Err()
-				case <-time.After(resent):
+				case <-time.After(retransmitDelay):
 				}
 			}
 			return dialTCP(ctx, to)
@@ -46,8 +46,8 @@
 		seeds = append(seeds, n.Self().PeerAddress)
 	}
 	waitAgreed(t, nodes)
-	took := time.Since(began) - powers
-	t.Logf("met %v after the last VM had power", took)
-	// Without the bound on connecting it takes 0.8 to 1.3 s.
+	took := time.Since(began) - powerOnTime
+	t.Logf("agreed %v after the last VM was powered on", took)
+	// Without connectTime it takes 0.8 to 1.3 s.
 	assert.Assert(t, took < 700*time.Millisecond)
 }
--- a/internal/peer/store.go
+++ b/internal/peer/store.go
@@ -9,34 +9,34 @@
 	"github.com/vanillagate/vanillagate/internal/member"
 )
 
-// Bounds of what is kept of one topic. The item that expires first goes first.
+// Limits per topic. The item that expires first is evicted first.
 const (
 	maxTopicItems = 8192
 	maxTopicBytes = 4 << 20
-	// MaxItemBytes bounds the body of one item.
+	// MaxItemBytes is the maximum size of an item's body.
 	MaxItemBytes = 64 << 10
 	maxTTL       = 24 * time.Hour
 	buckets      = 32
 )
 
-// stamp names an item and its version: the hash of origin and key, then the
+// stamp identifies a version of an item: the hash of origin and key, then the
 // version.
 type stamp [2]uint64
 
-// store keeps the items of all topics. It isn't safe for concurrent use and
-// does no I/O.
+// store holds the items of all topics. It isn't safe for concurrent use and does no
+// I/O.
 type store struct {
-	shelves map[Topic]*shelf
-	// remember is how long the version of an expired item is kept, so that a
-	// copy that comes late isn't taken for news.
-	remember time.Duration
-	evicted  int
+	topics map[Topic]*topicItems
+	// tombstoneTTL is how long the version of an expired item is remembered, so that a
+	// copy that arrives late isn't taken for a new item.
+	tombstoneTTL time.Duration
+	evicted      int
 }
 
-type shelf struct {
+type topicItems struct {
 	entries map[uint64]*entry
 	bytes   int
-	// sums is the XOR of the marks of the live entries in each bucket.
+	// sums holds the XOR of the checksums of the live entries in each bucket.
 	sums [buckets]uint32
 }
 
@@ -47,8 +47,8 @@
 	live    bool
 }
 
-func newStore(remember time.Duration) *store {
-	return &store{shelves: map[Topic]*shelf{}, remember: remember}
+func newStore(tombstoneTTL time.Duration) *store {
+	return &store{topics: map[Topic]*topicItems{}, tombstoneTTL: tombstoneTTL}
 }
 
 func itemHash(origin Incarnation, key string) uint64 {
@@ -61,90 +61,89 @@
 
 func (e *entry) stamp() stamp { return stamp{e.hash, e.Version} }
 
-func (e *entry) mark() uint32 { return uint32(member.Mix(e.hash + e.Version)) }
+func (e *entry) checksum() uint32 { return uint32(member.Mix(e.hash + e.Version)) }
 
 func bucketOf(hash uint64) int { return int(hash % buckets) }
 
-func (s *store) shelf(topic Topic) *shelf {
-	held := s.shelves[topic]
+func (s *store) topicItems(topic Topic) *topicItems {
+	held := s.topics[topic]
 	if held == nil {
-		held = &shelf{entries: map[uint64]*entry{}}
-		s.shelves[topic] = held
+		held = &topicItems{entries: map[uint64]*entry{}}
+		s.topics[topic] = held
 	}
 	return held
 }
 
-// put takes in an item whose TTL counts from now. It gives the entry if the
-// item is news, else nil.
+// put stores an item whose TTL counts from now. It returns the entry if the item is new or
+// a newer version, else nil.
 func (s *store) put(item Item, now time.Time) *entry {
 	if item.TTL <= 0 || len(item.Body) > MaxItemBytes {
 		return nil
 	}
-	shelf := s.shelf(item.Topic)
+	topicItems := s.topicItems(item.Topic)
 	hash := itemHash(item.Origin, item.Key)
-	if held := shelf.entries[hash]; held != nil {
+	if held := topicItems.entries[hash]; held != nil {
 		if held.Version >= item.Version {
 			return nil
 		}
-		shelf.drop(held)
+		topicItems.drop(held)
 	}
 	item.TTL = min(item.TTL, maxTTL)
 	added := &entry{Item: item, hash: hash, expires: now.Add(item.TTL), live: true}
-	shelf.entries[hash] = added
-	shelf.bytes += added.size()
-	shelf.sums[bucketOf(hash)] ^= added.mark()
-	s.bound(shelf)
+	topicItems.entries[hash] = added
+	topicItems.bytes += added.size()
+	topicItems.sums[bucketOf(hash)] ^= added.checksum()
+	s.evict(topicItems)
 	return added
 }
 
 func (e *entry) size() int { return len(e.Body) + len(e.Key) + len(e.Origin) }
 
-// expire ends the life of an entry; its version is still remembered.
-func (s *shelf) expire(e *entry) {
+// expire marks an entry as expired and drops its body; the version stays remembered.
+func (s *topicItems) expire(e *entry) {
 	if !e.live {
 		return
 	}
 	s.bytes -= e.size()
-	s.sums[bucketOf(e.hash)] ^= e.mark()
+	s.sums[bucketOf(e.hash)] ^= e.checksum()
 	e.live = false
 	e.Body = nil
 }
 
-func (s *shelf) drop(e *entry) {
+func (s *topicItems) drop(e *entry) {
 	s.expire(e)
 	delete(s.entries, e.hash)
 }
 
-func (s *store) bound(shelf *shelf) {
-	for len(shelf.entries) > maxTopicItems || shelf.bytes > maxTopicBytes {
+func (s *store) evict(topicItems *topicItems) {
+	for len(topicItems.entries) > maxTopicItems || topicItems.bytes > maxTopicBytes {
 		var first *entry
-		for _, e := range shelf.entries {
+		for _, e := range topicItems.entries {
 			if first == nil || e.expires.Before(first.expires) {
 				first = e
 			}
 		}
-		shelf.drop(first)
+		topicItems.drop(first)
 		s.evicted++
 	}
 }
 
-// sweep expires and forgets.
+// sweep expires entries and drops those that were remembered long enough.
 func (s *store) sweep(now time.Time) {
-	for _, shelf := range s.shelves {
-		for _, e := range shelf.entries {
+	for _, topicItems := range s.topics {
+		for _, e := range topicItems.entries {
 			if !now.Before(e.expires) {
-				shelf.expire(e)
+				topicItems.expire(e)
 			}
-			if now.Sub(e.expires) > s.remember {
-				shelf.drop(e)
+			if now.Sub(e.expires) > s.tombstoneTTL {
+				topicItems.drop(e)
 			}
 		}
 	}
 }
 
-// remaining is the item with the TTL that it has left. Sending the TTL anew
-// would let an item live for ever between processes that pass it back and
-// forth.
+// remaining returns the item with the TTL that it has left. If the original TTL were sent,
+// an item that processes keep passing to each other would never expire.
 func (e *entry) remaining(now time.Time) Item {
 	item := e.Item
 	item.TTL = e.expires.Sub(now)
@@ -152,7 +151,7 @@
 }
 
 func (s *store) items(topic Topic, now time.Time) []Item {
-	held := s.shelves[topic]
+	held := s.topics[topic]
 	if held == nil {
 		return nil
 	}
@@ -166,17 +165,17 @@
 }
 
 func (s *store) version(topic Topic, hash uint64) (uint64, bool) {
-	held := s.shelves[topic]
+	held := s.topics[topic]
 	if held == nil || held.entries[hash] == nil {
 		return 0, false
 	}
 	return held.entries[hash].Version, true
 }
 
-// itemDigest is the sums of a topic's buckets, 4 bytes each.
+// itemDigest holds the sums of a topic's buckets, 4 bytes each.
 type itemDigest []byte
 
-func (s *shelf) digest() itemDigest {
+func (s *topicItems) digest() itemDigest {
 	digest := make(itemDigest, 0, buckets*4)
 	for _, sum := range s.sums {
 		digest = append(digest, byte(sum>>24), byte(sum>>16), byte(sum>>8), byte(sum))
@@ -194,30 +193,30 @@
 
 func (s *store) digests() map[Topic]itemDigest {
 	digests := map[Topic]itemDigest{}
-	for topic, shelf := range s.shelves {
-		if shelf.sums != ([buckets]uint32{}) {
-			digests[topic] = shelf.digest()
+	for topic, topicItems := range s.topics {
+		if topicItems.sums != ([buckets]uint32{}) {
+			digests[topic] = topicItems.digest()
 		}
 	}
 	return digests
 }
 
-// itemDiff is what a process holds in the buckets where digests differ.
+// itemDiff lists what a process holds in the buckets where the digests differ.
 type itemDiff struct {
 	Buckets []int   `json:"b"`
 	Stamps  []stamp `json:"s"`
 }
 
-// differing compares another's digests with ours.
+// differing compares the digests of a peer with this process's own.
 func (s *store) differing(theirs map[Topic]itemDigest) map[Topic]itemDiff {
 	differing := map[Topic]itemDiff{}
 	for topic := range theirs {
-		s.shelf(topic)
+		s.topicItems(topic)
 	}
-	for topic, shelf := range s.shelves {
+	for topic, topicItems := range s.topics {
 		var diff itemDiff
 		differs := [buckets]bool{}
-		for bucket, sum := range shelf.sums {
+		for bucket, sum := range topicItems.sums {
 			if sum != theirs[topic].sum(bucket) {
 				differs[bucket] = true
 				diff.Buckets = append(diff.Buckets, bucket)
@@ -226,7 +225,7 @@
 		if len(diff.Buckets) == 0 {
 			continue
 		}
-		for _, e := range shelf.entries {
+		for _, e := range topicItems.entries {
 			if e.live && differs[bucketOf(e.hash)] {
 				diff.Stamps = append(diff.Stamps, e.stamp())
 			}
@@ -236,15 +235,16 @@
 	return differing
 }
 
-// compare tells what the other side lacks and what we want of it.
-func (s *store) compare(theirs map[Topic]itemDiff, now time.Time) (give []Item, want map[Topic][]stamp) {
+// compare returns the items that the peer lacks and the stamps of those to request
+// from it.
+func (s *store) compare(theirs map[Topic]itemDiff, now time.Time) (send []Item, want map[Topic][]stamp) {
 	want = map[Topic][]stamp{}
 	for topic, diff := range theirs {
-		shelf := s.shelf(topic)
+		topicItems := s.topicItems(topic)
 		theirVersion := make(map[uint64]uint64, len(diff.Stamps))
 		for _, st := range diff.Stamps {
 			theirVersion[st[0]] = st[1]
-			if held := shelf.entries[st[0]]; held == nil || held.Version < st[1] {
+			if held := topicItems.entries[st[0]]; held == nil || held.Version < st[1] {
 				want[topic] = append(want[topic], st)
 			}
 		}
@@ -252,23 +252,23 @@
 		for _, bucket := range diff.Buckets {
 			differs[((bucket%buckets)+buckets)%buckets] = true
 		}
-		for _, e := range shelf.entries {
+		for _, e := range topicItems.entries {
 			version, known := theirVersion[e.hash]
 			lacks := !known || version < e.Version
 			if e.live && differs[bucketOf(e.hash)] && lacks {
-				give = append(give, e.remaining(now))
+				send = append(send, e.remaining(now))
 			}
 		}
 	}
-	return give, want
+	return send, want
 }
 
-// wanted gives the live items that another asked for.
+// wanted returns the live items that a peer requested.
 func (s *store) wanted(want map[Topic][]stamp, now time.Time) []Item {
 	var items []Item
 	for topic, stamps := range want {
 		for _, st := range stamps {
-			held := s.shelf(topic).entries[st[0]]
+			held := s.topicItems(topic).entries[st[0]]
 			if held != nil && held.live && now.Before(held.expires) {
 				items = append(items, held.remaining(now))
 			}
@@ -277,7 +277,7 @@
 	return items
 }
 
-// wireItem is an Item on the wire, short, with the TTL in milliseconds.
+// wireItem is the compact encoding of an Item, with the TTL in milliseconds.
 type wireItem struct {
 	Topic   Topic           `json:"t"`
 	Origin  Incarnation     `json:"o"`
@@ -302,7 +302,7 @@
 	}
 }
 
-// size estimates the bytes of an item on the wire.
+// size estimates the encoded size of an item.
 func (w wireItem) size() int {
 	const names = 40
 	return names + len(w.Topic) + len(w.Origin) + len(w.Key) + len(w.Body)
--- a/internal/peer/store_test.go
+++ b/internal/peer/store_test.go
@@ -28,17 +28,17 @@
 	assert.Equal(t, items[0].TTL, 40*time.Second)
 }
 
-// An item expires at one process a moment before it does at another, which
-// passes it on as late news. Taken for news it would live again, and by
-// turns for ever.
-func TestAnExpiredItemDoesNotComeBack(t *testing.T) {
+// An item expires at one process a moment before it does at another one, which then sends
+// it again. If it were taken for a new item, it would live again, and be passed back and
+// forth for ever.
+func TestExpiredItemStaysExpired(t *testing.T) {
 	s := newStore(time.Minute)
 	s.put(testItem("k", 2, time.Second), storeStart)
 	s.sweep(storeStart.Add(2 * time.Second))
 	assert.Equal(t, len(s.items(TopicChange, storeStart.Add(2*time.Second))), 0)
 	assert.Assert(t, s.put(testItem("k", 2, time.Second), storeStart.Add(2*time.Second)) == nil)
 	s.sweep(storeStart.Add(2 * time.Minute))
-	assert.Equal(t, len(s.shelf(TopicChange).entries), 0)
+	assert.Equal(t, len(s.topicItems(TopicChange).entries), 0)
 }
 
 func TestStoreIsBounded(t *testing.T) {
@@ -46,16 +46,16 @@
 	for i := range maxTopicItems + 10 {
 		s.put(testItem(fmt.Sprint(i), 1, time.Minute+time.Duration(i)), storeStart)
 	}
-	assert.Equal(t, len(s.shelf(TopicChange).entries), maxTopicItems)
+	assert.Equal(t, len(s.topicItems(TopicChange).entries), maxTopicItems)
 	assert.Equal(t, s.evicted, 10)
 	_, found := s.version(TopicChange, itemHash("o", "9"))
-	assert.Assert(t, !found, "those that expire first go first")
+	assert.Assert(t, !found, "items that expire first are evicted first")
 	big := testItem("big", 1, time.Minute)
 	big.Body = make([]byte, MaxItemBytes+1)
 	assert.Assert(t, s.put(big, storeStart) == nil)
 }
 
-// Two stores that heard different items hold the same after one comparison.
+// Two stores that received different items hold the same ones after one comparison.
 func TestComparedStoresAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newStore(time.Minute), newStore(time.Minute)
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestPaceGrowsWithTheSystem(t *testing.T) {
+func TestPacedIntervalGrowsWithProcesses(t *testing.T) {
 	cases := []struct {
 		processes, bytes int
 		want             time.Duration
@@ -86,15 +86,14 @@
 		{640, 200, 128 * time.Second},
 	}
 	for _, c := range cases {
-		assert.Equal(t, paceInterval(c.processes, c.bytes, 1000), c.want)
+		assert.Equal(t, pacedInterval(c.processes, c.bytes, 1000), c.want)
 	}
 }
 
-// A VM is paused: its monotonic clock stands still meanwhile, and only the time
-// since its start tells. Or the process alone is stopped, and both go on. The
-// time of day may be set by seconds on any VM; that is no freeze, and a process
-// that took it for one would forget its peers.
-func TestClockNoticesThatItStoodStill(t *testing.T) {
+// While a VM is paused its monotonic clock stops, and only the boot-time clock shows the
+// pause. If only the process is stopped, both clocks go on. A step of the wall clock, as
+// may happen on any VM, must not be taken for a freeze: the process would forget its peers.
+func TestFreezeDetector(t *testing.T) {
 	now := time.Now()
 	start := instant{mono: now, boot: time.Hour}
 	after := func(mono, boot time.Duration) instant { return instant{mono: now.Add(mono), boot: time.Hour + boot} }
@@ -103,17 +102,17 @@
 		next instant
 		want bool
 	}{
-		{"beat", after(time.Second, time.Second), false},
+		{"tick", after(time.Second, time.Second), false},
 		{"stopped", after(6*time.Second, 6*time.Second), true},
 		{"paused", after(time.Second, 6*time.Second), true},
-		{"no clock since the start", instant{mono: now.Add(time.Second)}, false},
-		{"time of day set forward", instant{mono: now.Add(time.Second), boot: time.Hour + time.Second}, false},
+		{"no boot-time clock", instant{mono: now.Add(time.Second)}, false},
+		{"wall clock set forward", instant{mono: now.Add(time.Second), boot: time.Hour + time.Second}, false},
 	}
 	for _, c := range cases {
-		clock := newBeatClock(start, 5*time.Second)
-		assert.Equal(t, clock.jumped(c.next), c.want, c.name)
+		detector := newFreezeDetector(start, 5*time.Second)
+		assert.Equal(t, detector.frozen(c.next), c.want, c.name)
 	}
-	// The clocks that are read are not the time of day.
+	// The clocks that are read aren't the wall clock.
 	first, second := instantOf(time.Now()), instantOf(time.Now().Round(0).Add(time.Hour))
 	assert.Assert(t, second.boot-first.boot < time.Second)
 }
@@ -121,11 +120,11 @@
 func TestHealthIsBounded(t *testing.T) {
 	var h health
 	h.better()
-	assert.Equal(t, h.patience(time.Second), time.Second)
+	assert.Equal(t, h.scaledTimeout(time.Second), time.Second)
 	for range 20 {
 		h.worse()
 	}
-	assert.Equal(t, h.patience(time.Second), (maxIllness+1)*time.Second)
+	assert.Equal(t, h.scaledTimeout(time.Second), (maxHealthScore+1)*time.Second)
 	h.better()
-	assert.Equal(t, h.patience(time.Second), maxIllness*time.Second)
+	assert.Equal(t, h.scaledTimeout(time.Second), maxHealthScore*time.Second)
 }
--- a/internal/peer/stream_bench_test.go
+++ b/internal/peer/stream_bench_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkMessage is one call of a peer, as written by one side and read by the
+// BenchmarkMessage measures one call to a peer, written by one side and read by the
 // other.
 func BenchmarkMessage(b *testing.B) {
 	near, far := net.Pipe()
--- a/internal/peer/sync.go
+++ b/internal/peer/sync.go
@@ -10,22 +10,22 @@
 	"github.com/vanillagate/vanillagate/internal/member"
 )
 
-// Bounds of comparing two views.
+// Limits of comparing two views.
 const (
-	// maxRounds is how often one comparison is repeated while more differs than one
-	// exchange holds; what is left comes with the next comparison.
+	// maxRounds is how often one comparison is repeated while more differs than fits
+	// into one exchange. The rest follows with the next comparison.
 	maxRounds = 16
-	// maxExchange bounds the records of one exchange.
+	// maxExchange is the maximum number of records of one exchange.
 	maxExchange = 1000
-	// maxExchangeBytes bounds the items of one exchange.
+	// maxExchangeBytes is the maximum size of the items of one exchange.
 	maxExchangeBytes = 256 << 10
-	// fewDiffer is up to how many records two views may differ in without another
-	// comparison following: that much is on its way at any moment.
-	fewDiffer = 8
+	// maxUsualDiff is the number of records in which two views may differ without
+	// another comparison being scheduled: that many changes are in flight at any time.
+	maxUsualDiff = 8
 )
 
-// compareViews makes this process and the other believe the same and hold
-// the same items.
+// compareViews brings the views and items of this process and the other one into
+// agreement.
 func (n *Node) compareViews(ctx context.Context, l *link) error {
 	for range maxRounds {
 		done, err := n.compareOnce(ctx, l)
@@ -42,8 +42,9 @@
 	return nil
 }
 
-// compareOnce tells whether nothing is left to move. What has changed meanwhile
-// doesn't count: it spreads by itself, and in a start of all there is always more.
+// compareOnce runs one round and reports whether nothing is left to transfer. Changes that
+// happen meanwhile don't count: they spread by themselves, and while all processes start
+// there are always more.
 func (n *Node) compareOnce(ctx context.Context, l *link) (bool, error) {
 	digest, err := n.digest()
 	if err != nil {
@@ -56,7 +57,7 @@
 	if diff.empty() {
 		return true, nil
 	}
-	request, whole, err := n.settle(diff)
+	request, whole, err := n.buildExchange(diff)
 	if err != nil {
 		return false, err
 	}
@@ -67,7 +68,7 @@
 	if err := l.call(ctx, methodExchange, request, &answer); err != nil {
 		return false, eris.Wrap(err, "exchange views")
 	}
-	n.takeAll(l, answer.Records, answer.Items)
+	n.mergeExchange(l, answer.Records, answer.Items)
 	return whole && len(answer.Items) >= wantedItems(request), nil
 }
 
@@ -79,32 +80,32 @@
 	return count
 }
 
-// errStale means that this process stood still and has just forgotten what it
-// believed.
-var errStale = eris.New("peer: view is stale")
+// errStale means that this process was frozen and has just reset its view.
+var errStale = eris.New("peer: the view was just reset after a freeze")
 
 func (n *Node) digest() (digestRequest, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.awake(time.Now()) {
+	if !n.notFrozen(time.Now()) {
 		return digestRequest{}, errStale
 	}
 	return digestRequest{Zones: n.table.Digest(), Topics: n.store.digests()}, nil
 }
 
-// settle makes an exchange of what differs, and tells whether it holds all of it.
-func (n *Node) settle(diff digestAnswer) (request exchangeRequest, whole bool, err error) {
+// buildExchange makes an exchange of the differences, and reports whether it holds all of
+// them.
+func (n *Node) buildExchange(diff digestAnswer) (request exchangeRequest, whole bool, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.awake(time.Now()) {
+	if !n.notFrozen(time.Now()) {
 		return exchangeRequest{}, false, errStale
 	}
 	request.Records, request.WantRecords = n.table.Compare(diff.Zones)
-	if len(request.Records)+len(request.WantRecords) > fewDiffer {
-		n.behind = true
+	if len(request.Records)+len(request.WantRecords) > maxUsualDiff {
+		n.compareScheduled = true
 	}
 	items, want := n.store.compare(diff.Topics, time.Now())
-	request.Items = boundItems(items)
+	request.Items = limitItems(items)
 	whole = len(request.Items) == len(items)
 	var later map[Topic][]stamp
 	request.WantItems, later = splitStamps(want)
@@ -114,7 +115,7 @@
 	return request, whole, nil
 }
 
-func boundItems(items []Item) []wireItem {
+func limitItems(items []Item) []wireItem {
 	var bounded []wireItem
 	size := 0
 	for _, item := range items {
@@ -128,14 +129,14 @@
 	return bounded
 }
 
-func (n *Node) takeAll(l *link, records []member.Record, items []wireItem) {
+func (n *Node) mergeExchange(l *link, records []member.Record, items []wireItem) {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.hears(l, now) {
+	if !n.acceptsFrom(l, now) {
 		return
 	}
-	n.learnCompared(records, l, now)
+	n.mergeComparedClaims(records, l, now)
 	for _, wire := range items {
 		if fresh := n.store.put(wire.item(), now); fresh != nil {
 			n.inbox.add(fresh)
@@ -151,7 +152,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.awake(time.Now()) {
+	if !n.notFrozen(time.Now()) {
 		return nil, errStale
 	}
 	return digestAnswer{Zones: n.table.Differing(request.Zones), Topics: n.store.differing(request.Topics)}, nil
@@ -162,14 +163,14 @@
 	if err := json.Unmarshal(params, &request); err != nil {
 		return nil, eris.Wrap(err, "decode exchange")
 	}
-	n.takeAll(l, request.Records, request.Items)
+	n.mergeExchange(l, request.Records, request.Items)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.awake(time.Now()) {
+	if !n.notFrozen(time.Now()) {
 		return nil, errStale
 	}
 	return exchangeAnswer{
 		Records: n.table.Wanted(request.WantRecords),
-		Items:   boundItems(n.store.wanted(request.WantItems, time.Now())),
+		Items:   limitItems(n.store.wanted(request.WantItems, time.Now())),
 	}, nil
 }
--- a/internal/peer/traffic.go
+++ b/internal/peer/traffic.go
@@ -11,13 +11,13 @@
 	"github.com/vanillagate/vanillagate/internal/member"
 )
 
-// kind is a sort of message: the method, with ".answer" for its answer.
-type kind string
+// messageKind is the method of a message, with the suffix ".answer" for its answer.
+type messageKind string
 
 const answerSuffix = ".answer"
 
-// Traffic counts the messages of one kind since the start, in frames and
-// bytes of frames (without those of TCP and of the handshake).
+// Traffic counts the messages of one kind since the start, and the bytes of their
+// frames (without the overhead of TCP and without the handshake).
 type Traffic struct {
 	Kind             string `json:"kind"`
 	MessagesSent     int64  `json:"messages_sent"`
@@ -29,14 +29,14 @@
 // traffic holds the counters. Its mutex guards only the map.
 type traffic struct {
 	registry metrics.Registry
-	// refused counts handshakes of strangers, freezes the times that this
-	// process stood still, indirect the members that only others reached.
+	// refused counts failed handshakes of incoming connections, freezes the freezes of this
+	// process, indirect the probes of members that only helpers reached.
 	refused, freezes, indirect metrics.Counter
-	// changes counts the changes of members, by their new state.
+	// changes counts membership changes by the new state.
 	changes map[member.State]metrics.Counter
 
 	mu    sync.Mutex
-	kinds map[kind]*kindCounters
+	kinds map[messageKind]*kindCounters
 }
 
 type kindCounters struct {
@@ -50,7 +50,7 @@
 		freezes:  metrics.GetOrRegisterCounter("peer.freezes", registry),
 		indirect: metrics.GetOrRegisterCounter("peer.reached_by_others_only", registry),
 		changes:  changeCounters(registry),
-		kinds:    map[kind]*kindCounters{},
+		kinds:    map[messageKind]*kindCounters{},
 	}
 }
 
@@ -62,7 +62,7 @@
 	return counters
 }
 
-func (t *traffic) of(k kind) *kindCounters {
+func (t *traffic) countersFor(k messageKind) *kindCounters {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if counters := t.kinds[k]; counters != nil {
@@ -81,19 +81,19 @@
 	return counters
 }
 
-func (t *traffic) sent(k kind, bytes int) {
-	counters := t.of(k)
+func (t *traffic) sent(k messageKind, bytes int) {
+	counters := t.countersFor(k)
 	counters.messagesSent.Inc(1)
 	counters.bytesSent.Inc(int64(bytes))
 }
 
-func (t *traffic) received(k kind, bytes int) {
-	counters := t.of(k)
+func (t *traffic) received(k messageKind, bytes int) {
+	counters := t.countersFor(k)
 	counters.messagesReceived.Inc(1)
 	counters.bytesReceived.Inc(int64(bytes))
 }
 
-func (t *traffic) table() []Traffic {
+func (t *traffic) snapshot() []Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rows := make([]Traffic, 0, len(t.kinds))
@@ -110,11 +110,11 @@
 	return rows
 }
 
-// callID carries the method within the ID of a call, so that the answer,
-// which has no method, can be counted under its kind.
+// callID includes the method in the ID of a call, so that the answer, which carries no
+// method, can be counted under its kind.
 func callID(method string, n uint64) string { return method + "#" + formatUint(n) }
 
-func answerKind(id string) kind {
+func answerKind(id string) messageKind {
 	method, _, _ := strings.Cut(id, "#")
-	return kind(method + answerSuffix)
+	return messageKind(method + answerSuffix)
 }
--- a/internal/peer/version_test.go
+++ b/internal/peer/version_test.go
@@ -10,13 +10,13 @@
 	"github.com/vanillagate/vanillagate/internal/member"
 )
 
-// A process of a later version tells of a member in a state that this version has
-// no name for. It tells all its links; if it ended those who hear it, a rollout
-// would end the whole system at once, with all requests.
-func TestAStateOfALaterVersionEndsNoProcess(t *testing.T) {
+// A process of a later version sends a member state that is unknown to this version, over
+// all its links. If that ended the processes that receive it, a rollout would end the
+// whole system at once, with all requests.
+func TestUnknownMemberStateIsTolerated(t *testing.T) {
 	n, err := New(Options{Self: Member{Zone: "a", Region: "r"}, Keys: []string{testKey}})
 	assert.NilError(t, err)
-	n.clock = newBeatClock(instantOf(time.Now()), time.Minute)
+	n.detector = newFreezeDetector(instantOf(time.Now()), time.Minute)
 	var m message
 	assert.NilError(t, json.Unmarshal([]byte(`{"e":[
 		{"i":"other","s":1,"p":"10.0.0.1:1","z":"a","r":"r","t":7},
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -7,22 +7,22 @@
 	"github.com/vanillagate/vanillagate/internal/member"
 )
 
-// View is what a process knows of its peers at one moment. Views are shared
-// and never changed.
+// View is what a process knows of the members at one moment. Views are shared and
+// immutable.
 type View struct {
 	// Self is this process.
 	Self Member
-	// Members are the other processes that are not dead, in no order.
+	// Members are the other processes that aren't dead, in no particular order.
 	Members []Member
 }
 
-// View is part of Network.
+// View implements Network.
 func (n *Node) View() *View {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.view == nil || n.viewed != n.table.Version() {
+	if n.view == nil || n.viewVersion != n.table.Version() {
 		n.view = viewOf(n.table)
-		n.viewed = n.table.Version()
+		n.viewVersion = n.table.Version()
 	}
 	return n.view
 }
@@ -36,7 +36,7 @@
 	return v
 }
 
-// Alive lists the processes that are alive, this one included.
+// Alive returns the processes that are alive, including this one.
 func (v *View) Alive() []Member {
 	alive := make([]Member, 0, 1+len(v.Members))
 	if v.Self.State == Alive {
@@ -50,9 +50,9 @@
 	return alive
 }
 
-// HighestRanked lists the n processes that are alive and rank highest, best first; fewer where
-// there are fewer. All processes that know the same members and rank alike choose the
-// same.
+// HighestRanked returns the n living processes with the highest rank, highest first; fewer
+// if there are fewer. All processes with the same members and the same ranking function
+// get the same result.
 func (v *View) HighestRanked(n int, rank func(Incarnation) uint64) []Incarnation {
 	type ranked struct {
 		id   Incarnation
