--- a/internal/peer/failure_test.go
+++ b/internal/peer/failure_test.go
@@ -83,7 +83,7 @@
 	var nodes []*Node
 	for range 4 {
 		opts := c.options("r1", "a")
-		opts.Tombstone = time.Hour
+		opts.TombstoneTTL = time.Hour
 		nodes = append(nodes, c.start(opts))
 	}
 	waitAgreed(t, nodes)
@@ -162,7 +162,7 @@
 		var nodes []*Node
 		for i := range 6 {
 			opts := c.options(region, zoneName(i%2))
-			opts.Tombstone = 20 * testPeriod
+			opts.TombstoneTTL = 20 * testPeriod
 			nodes = append(nodes, c.start(opts))
 		}
 		return nodes
@@ -279,7 +279,7 @@
 	var nodes []*Node
 	for range 4 {
 		opts := c.options("r1", "a")
-		opts.Tombstone = 30 * testPeriod
+		opts.TombstoneTTL = 30 * testPeriod
 		nodes = append(nodes, withoutFreezeDetection(c.start(opts)))
 	}
 	waitAgreed(t, nodes)
--- a/internal/peer/loop.go
+++ b/internal/peer/loop.go
@@ -160,7 +160,7 @@
 // holds mu.
 func (n *Node) planLinks(now time.Time) {
 	count := n.table.Count()
-	gradual := count > n.opts.Bounds.All && count < 2*n.linkPlan.members && n.linkPlan.members < 2*count
+	gradual := count > n.opts.LinkBounds.All && count < 2*n.linkPlan.members && n.linkPlan.members < 2*count
 	switch {
 	case n.table.Population() == n.linkPlan.population:
 		return
@@ -168,7 +168,7 @@
 		return
 	}
 	n.linkPlan = linkPlan{
-		links:      member.Links(n.table.Self(), n.table.Living(), n.opts.Bounds),
+		links:      member.Links(n.table.Self(), n.table.Living(), n.opts.LinkBounds),
 		population: n.table.Population(), members: count, at: now,
 	}
 }
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -90,7 +90,7 @@
 		inbox:      newInbox(),
 		handlers:   map[string]handler{},
 		handshakes: make(chan struct{}, maxHandshakes),
-		store:      newStore(opts.Tombstone),
+		store:      newStore(opts.TombstoneTTL),
 		links:      map[string]*link{},
 		dialing:    map[string]bool{},
 		keys:       keyBytes(opts.Keys),
@@ -122,7 +122,7 @@
 		Caller: self.CallerAddress,
 		Zone:   self.Zone,
 		Region: self.Region,
-		Power:  self.Power,
+		Power:  self.CPUPercent,
 	}
 }
 
@@ -264,7 +264,7 @@
 		Zone:          r.Zone,
 		Region:        r.Region,
 		State:         memberStates[r.State],
-		Power:         r.Power,
+		CPUPercent:         r.Power,
 	}
 }
 
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -40,13 +40,13 @@
 	Metrics metrics.Registry
 	// Period is the interval of the periodic work; 0 for one second.
 	Period time.Duration
-	// Tombstone is how long dead members are remembered; 0 for 900 periods.
-	Tombstone time.Duration
-	// Bounds limit the number of links; the zero value is member.DefaultBounds.
-	Bounds member.Bounds
-	// Pace is the rate in bytes per second at which a process may receive the paced
+	// TombstoneTTL is how long dead members are remembered; 0 for 900 periods.
+	TombstoneTTL time.Duration
+	// LinkBounds limit the number of links; the zero value is member.DefaultBounds.
+	LinkBounds member.Bounds
+	// PacedBytesPerSecond is the rate in bytes per second at which a process may receive the paced
 	// topics of all processes together; 0 for DefaultPace. See pacing.go.
-	Pace float64
+	PacedBytesPerSecond float64
 }
 
 // NewIncarnation returns a new unique incarnation for a process that starts now.
@@ -65,14 +65,14 @@
 	if o.Period <= 0 {
 		o.Period = time.Second
 	}
-	if o.Tombstone <= 0 {
-		o.Tombstone = tombstonePeriods * o.Period
+	if o.TombstoneTTL <= 0 {
+		o.TombstoneTTL = tombstonePeriods * o.Period
 	}
-	if o.Bounds == (member.Bounds{}) {
-		o.Bounds = member.DefaultBounds
+	if o.LinkBounds == (member.Bounds{}) {
+		o.LinkBounds = member.DefaultBounds
 	}
-	if o.Pace <= 0 {
-		o.Pace = DefaultPace
+	if o.PacedBytesPerSecond <= 0 {
+		o.PacedBytesPerSecond = DefaultPacedBytesPerSecond
 	}
 	if o.Dial == nil {
 		o.Dial = dialTCP
@@ -103,7 +103,7 @@
 	return member.Limits{
 		SuspectFor:   suspectPeriods * o.Period,
 		LeavingFor:   leavingPeriods * o.Period,
-		TombstoneFor: o.Tombstone,
+		TombstoneFor: o.TombstoneTTL,
 	}
 }
 
--- a/internal/peer/pacing.go
+++ b/internal/peer/pacing.go
@@ -8,8 +8,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// DefaultPace is the default of Options.Pace in bytes per second.
-const DefaultPace = 2000
+// DefaultPacedBytesPerSecond is the default of Options.Pace in bytes per second.
+const DefaultPacedBytesPerSecond = 2000
 
 // pacedTopics are the topics that every process publishes continuously, so that the load
 // on each process grows with the number of processes. The more processes there are, the
@@ -88,7 +88,7 @@
 func (n *Node) intervalOf(item Item) time.Duration {
 	processes := n.linkPlan.members + 1
 	keys := max(1, len(n.pacing))
-	return pacedInterval(processes, keys*toWire(item).size(), n.opts.Pace)
+	return pacedInterval(processes, keys*toWire(item).size(), n.opts.PacedBytesPerSecond)
 }
 
 // publishDue publishes the paced items that are due. The caller holds mu.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -63,8 +63,8 @@
 	Zone          string      `json:"zone"`
 	Region        string      `json:"region"`
 	State         MemberState `json:"state"`
-	// Power is the VM's share of one core in percent, 0 if unknown.
-	Power int `json:"power,omitempty"`
+	// CPUPercent is the VM's share of one core in percent, 0 if unknown.
+	CPUPercent int `json:"power,omitempty"`
 }
 
 // Network is the interface of a Node for the rest of the process.
--- a/internal/peer/select.go
+++ b/internal/peer/select.go
@@ -6,13 +6,13 @@
 func SelectByCPU(members []Member) []Incarnation {
 	largest := 0
 	for _, m := range members {
-		largest = max(largest, m.Power)
+		largest = max(largest, m.CPUPercent)
 	}
 	var list []Incarnation
 	for _, m := range members {
 		// A peer may send any number. Doubling a large one would overflow, and a negative
 		// one could exclude every member; at least one has to be selected.
-		if power := max(m.Power, 0); power >= largest-power {
+		if power := max(m.CPUPercent, 0); power >= largest-power {
 			list = append(list, m.Incarnation)
 		}
 	}
--- a/internal/serve/follow/watchers_test.go
+++ b/internal/serve/follow/watchers_test.go
@@ -51,9 +51,9 @@
 		nodes := p.peers.network.View().Members
 		strongIDs := map[string]bool{}
 		for i := range nodes {
-			nodes[i].Power = 20
+			nodes[i].CPUPercent = 20
 			if i < strong {
-				nodes[i].Power = 160
+				nodes[i].CPUPercent = 160
 				strongIDs[string(nodes[i].Incarnation)] = true
 			}
 		}
--- a/internal/serve/gather/choose_test.go
+++ b/internal/serve/gather/choose_test.go
@@ -46,7 +46,7 @@
 // would have dozens of gatherers, whose calls find the targets full.
 func TestUnresponsiveGatherersAreNotReplacedByWeakOnes(t *testing.T) {
 	member := func(name string, cpuPercent int) peer.Member {
-		return peer.Member{Incarnation: peer.Incarnation(name), State: peer.Alive, Power: cpuPercent}
+		return peer.Member{Incarnation: peer.Incarnation(name), State: peer.Alive, CPUPercent: cpuPercent}
 	}
 	r := newTestRequester(&fixedNetwork{self: member("self", 19), members: []peer.Member{member("a", 80), member("b", 80), member("weak", 19)}})
 	shard := Shard{Service: "s"}
@@ -65,8 +65,8 @@
 // panic at the next request with stages.
 func TestAnyCPUPercentLeavesAGatherer(t *testing.T) {
 	for _, cpuPercent := range []int{math.MinInt, -100, 0, math.MaxInt/2 + 1, math.MaxInt} {
-		for _, others := range [][]peer.Member{nil, {{Incarnation: "a", State: peer.Alive, Power: 80}}} {
-			r := newTestRequester(&fixedNetwork{self: peer.Member{Incarnation: "self", State: peer.Alive, Power: cpuPercent}, members: others})
+		for _, others := range [][]peer.Member{nil, {{Incarnation: "a", State: peer.Alive, CPUPercent: 80}}} {
+			r := newTestRequester(&fixedNetwork{self: peer.Member{Incarnation: "self", State: peer.Alive, CPUPercent: cpuPercent}, members: others})
 			assert.Assert(t, len(r.gatherers(Shard{Service: "s"})) > 0, "CPU percentage %d (power) beside %d others", cpuPercent, len(others))
 		}
 	}
--- a/internal/serve/gather/free_test.go
+++ b/internal/serve/gather/free_test.go
@@ -36,7 +36,7 @@
 func TestResultsAreFreedThroughTheirAllocator(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		member := func(name string) peer.Member {
-			return peer.Member{Incarnation: peer.Incarnation(name), State: peer.Alive, Power: 1}
+			return peer.Member{Incarnation: peer.Incarnation(name), State: peer.Alive, CPUPercent: 1}
 		}
 		network := &calledNetwork{
 			fixedNetwork: fixedNetwork{self: member("self"), members: []peer.Member{member("a"), member("b")}},
--- a/internal/serve/gather/owners_test.go
+++ b/internal/serve/gather/owners_test.go
@@ -15,9 +15,9 @@
 func requesterInFleet(n int) *Requester {
 	members := make([]peer.Member, n-1)
 	for i := range members {
-		members[i] = peer.Member{Incarnation: peer.Incarnation(fmt.Sprintf("vm-%d", i)), State: peer.Alive, Power: 80}
+		members[i] = peer.Member{Incarnation: peer.Incarnation(fmt.Sprintf("vm-%d", i)), State: peer.Alive, CPUPercent: 80}
 	}
-	network := &fixedNetwork{self: peer.Member{Incarnation: "self", State: peer.Alive, Power: 80}, members: members}
+	network := &fixedNetwork{self: peer.Member{Incarnation: "self", State: peer.Alive, CPUPercent: 80}, members: members}
 	return newTestRequester(network)
 }
 
--- a/internal/serve/gather/queue_test.go
+++ b/internal/serve/gather/queue_test.go
@@ -348,7 +348,7 @@
 	membersWith := func(percentages ...int) []peer.Member {
 		var list []peer.Member
 		for i, cpuPercent := range percentages {
-			list = append(list, peer.Member{Incarnation: peer.Incarnation(rune('a' + i)), Power: cpuPercent})
+			list = append(list, peer.Member{Incarnation: peer.Incarnation(rune('a' + i)), CPUPercent: cpuPercent})
 		}
 		return list
 	}
--- a/internal/serve/servetest/network.go
+++ b/internal/serve/servetest/network.go
@@ -85,7 +85,7 @@
 func (n *Node) Link(rate int) { n.set(func() { n.rate = rate }) }
 
 // Strength sets the VM's share of a core, in percent.
-func (n *Node) Strength(power int) { n.set(func() { n.self.Power = power }) }
+func (n *Node) Strength(power int) { n.set(func() { n.self.CPUPercent = power }) }
 
 // queue puts a message into the sender's queue and gives the time until it is there.
 func (n *Node) queue(bytes int) time.Duration {
