--- a/internal/serve/run/attempt.go
+++ b/internal/serve/run/attempt.go
@@ -45,7 +45,7 @@
 	if target == nil {
 		return attempt{}
 	}
-	answer, call, failed := j.send(j.ctx, target, j.req.LastEventID)
+	answer, call, failed := j.send(j.ctx, target, j.req.LastEvent)
 	if failed != nil {
 		return *failed
 	}
@@ -108,7 +108,7 @@
 }
 
 func (j *job) request(target *pool.Target, lastEvent string, now time.Time) *upstream.Request {
-	send := AttemptInfo{Target: target.ID, Remaining: j.deadline.Sub(now), LastEventID: lastEvent}
+	send := AttemptInfo{Target: target.ID, Remaining: j.deadline.Sub(now), LastEvent: lastEvent}
 	if j.team != nil {
 		send.Team = j.team.Name
 	}
--- a/internal/serve/run/departure.go
+++ b/internal/serve/run/departure.go
@@ -17,14 +17,14 @@
 	leavingRetry = 10 * time.Millisecond
 )
 
-// Shutdown is the planned end of this process.
-type Shutdown struct {
+// ShutdownSchedule is the planned end of this process.
+type ShutdownSchedule struct {
 	// AcceptUntil is when it stops accepting requests, End when it ends.
 	AcceptUntil, End time.Time
 }
 
-// StartShutdown bounds the work on requests by the end of this process.
-func (e *Executor) StartShutdown(d Shutdown) { e.departure.Store(&d) }
+// Leave bounds the work on requests by the end of this process.
+func (e *Executor) Leave(d ShutdownSchedule) { e.departure.Store(&d) }
 
 // AcceptFor is how long this process may go on accepting requests if it ends after a time, so
 // that it finishes all of them. It is all of that time while no answers are known.
--- a/internal/serve/run/departure_test.go
+++ b/internal/serve/run/departure_test.go
@@ -55,7 +55,7 @@
 				e.answers.note("route", took, took)
 			}
 			if c.left > 0 {
-				e.StartShutdown(Shutdown{AcceptUntil: time.Now(), End: time.Now().Add(c.left)})
+				e.Leave(ShutdownSchedule{AcceptUntil: time.Now(), End: time.Now().Add(c.left)})
 			}
 			j := &job{Executor: e, route: &plan.Route{Name: "route"}, ran: c.ran}
 			reply := j.refuseCut()
@@ -74,9 +74,9 @@
 func TestAShutdownRefusesWhatComesAfterItStoppedAccepting(t *testing.T) {
 	j := &job{Executor: &Executor{}}
 	assert.Assert(t, j.refuseLate() == nil)
-	j.StartShutdown(Shutdown{AcceptUntil: time.Now().Add(time.Hour), End: time.Now().Add(2 * time.Hour)})
+	j.Leave(ShutdownSchedule{AcceptUntil: time.Now().Add(time.Hour), End: time.Now().Add(2 * time.Hour)})
 	assert.Assert(t, j.refuseLate() == nil)
-	j.StartShutdown(Shutdown{AcceptUntil: time.Now(), End: time.Now().Add(time.Hour)})
+	j.Leave(ShutdownSchedule{AcceptUntil: time.Now(), End: time.Now().Add(time.Hour)})
 	reply := j.refuseLate()
 	assert.Equal(t, reply.Status, fasthttp.StatusServiceUnavailable)
 	assert.Equal(t, reply.Reason, ShuttingDown)
--- a/internal/serve/run/executor.go
+++ b/internal/serve/run/executor.go
@@ -56,14 +56,14 @@
 	LeaveOut leaveout.Set
 	// Suspicion knows the requests that crash their targets; nil for none.
 	Suspicion Suspicion
-	// TimeToReady tells in about what time a process that has just started knows the
+	// Starting tells in about what time a process that has just started knows the
 	// configuration and the targets; nil is leastStarting.
-	TimeToReady func(now time.Time) time.Duration
+	Starting func(now time.Time) time.Duration
 
 	firstEvents firstEvents
 	answers     answers
 	// departure is nil while this process isn't shutting down.
-	departure atomic.Pointer[Shutdown]
+	departure atomic.Pointer[ShutdownSchedule]
 }
 
 // Suspicion knows the requests that crash their targets, whichever process they
@@ -200,8 +200,8 @@
 	if j.route.Timeout > 0 {
 		limit = j.route.Timeout
 	}
-	if j.req.Timeout > 0 {
-		limit = min(limit, j.req.Timeout)
+	if j.req.Patience > 0 {
+		limit = min(limit, j.req.Patience)
 	}
 	return limit
 }
@@ -266,10 +266,10 @@
 
 // startingRetry is when a caller should come back to a process that has just started.
 func (j *job) startingRetry() time.Duration {
-	if j.TimeToReady == nil {
+	if j.Starting == nil {
 		return retryAfter(leastStarting)
 	}
-	return retryAfter(max(j.TimeToReady(time.Now()), leastStarting))
+	return retryAfter(max(j.Starting(time.Now()), leastStarting))
 }
 
 func (j *job) stageRefusal(err error) *Reply {
--- a/internal/serve/run/request.go
+++ b/internal/serve/run/request.go
@@ -29,16 +29,16 @@
 	// Key is the caller's key; empty for none.
 	Key     string
 	Arrived time.Time
-	// Timeout is how long the caller waits from Arrived on; 0 where it didn't
+	// Patience is how long the caller waits from Arrived on; 0 where it didn't
 	// say.
-	Timeout time.Duration
+	Patience time.Duration
 	// Pieces is how many pieces each stage has, 0 for a stage left out, and
 	// PieceKey names what they are made from.
 	Pieces   []int
 	PieceKey string
 	Prompt   place.Prompt
-	// LastEventID is the id of the last event that the caller has of this stream.
-	LastEventID string
+	// LastEvent is the id of the last event that the caller has of this stream.
+	LastEvent string
 }
 
 // AttemptInfo is what an attempt at a target tells it besides the request itself.
@@ -51,9 +51,9 @@
 	Remaining time.Duration
 	// Inputs are the results of the stages.
 	Inputs []string
-	// LastEventID is the id of the last event that arrived, if this goes on with
+	// LastEvent is the id of the last event that arrived, if this goes on with
 	// a stream.
-	LastEventID string
+	LastEvent string
 	// Rank is the request's priority.
 	Rank int
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -119,7 +119,7 @@
 	s.executor = &run.Executor{
 		Log: logging.Part(o.Log, "request"), Plans: s.plans, Table: s.table, Client: s.client, Codec: o.Codec,
 		Stages: s.stages, Budget: s.budget, Zone: o.Zone, Metrics: &run.Metrics{Registry: o.Metrics},
-		LeaveOut: o.LeaveOut, TimeToReady: s.starting,
+		LeaveOut: o.LeaveOut, Starting: s.starting,
 	}
 	if !o.LeaveOut.Has(leaveout.EngineAccounts) {
 		s.engines = engines.New(logging.Part(o.Log, "engines"), network)
@@ -265,10 +265,10 @@
 
 // StartLeaving takes this process out of what callers and peers are told. It
 // goes on serving those that come all the same, for as long as the shutdown allows.
-func (s *Server) StartLeaving(d run.Shutdown) {
+func (s *Server) StartLeaving(d run.ShutdownSchedule) {
 	now := time.Now()
 	s.leavingSince.Store(&now)
-	s.executor.StartShutdown(d)
+	s.executor.Leave(d)
 	s.stages.Leave()
 	s.network.AnnounceLeave()
 }
