--- a/internal/serve/run/answer_times.go
+++ b/internal/serve/run/answer_times.go
@@ -10,38 +10,40 @@
 )
 
 const (
-	// answerMemory is how many answers of a route are remembered; below leastAnswers
-	// they say nothing of how often one takes longer.
-	answerMemory = 64
-	leastAnswers = 4
-	// mostRoutes is how many routes are remembered.
-	mostRoutes = 512
+	// answerSamples is the number of recent answers kept per route. With fewer than
+	// minAnswers of them the share of slow answers isn't estimated.
+	answerSamples = 64
+	minAnswers    = 4
+	// maxRoutes is the maximum number of routes for which times are kept.
+	maxRoutes = 512
 )
 
-// noteWhole notes how long the request took, its answer being whole.
-func (j *job) noteWhole() {
-	j.answers.note(j.route.Name, time.Since(j.req.Arrived), time.Since(j.askedAt))
+// recordCompleteAnswer records how long the request took. It is called once its answer has
+// been received completely.
+func (j *job) recordCompleteAnswer() {
+	j.answerStats.record(j.route.Name, time.Since(j.req.Arrived), time.Since(j.sentAt))
 }
 
-// answerTimes are how long requests of one route took to the end of their answers: from
-// their arrival, and from being sent to the target.
-type answerTimes struct{ arrived, sent recentTimes }
+// routeTimes holds the recent times to the end of the answer for one route, measured from
+// the request's arrival and from when it was sent to the target.
+type routeTimes struct{ fromArrival, fromSending recentTimes }
 
-// recentTimes are the latest of a series of times. The zero value is empty.
+// recentTimes is a ring buffer of the latest durations. The zero value is empty.
 type recentTimes struct {
-	times [answerMemory]time.Duration
+	times [answerSamples]time.Duration
 	count int
 }
 
 func (r *recentTimes) add(d time.Duration) {
-	r.times[r.count%answerMemory] = d
+	r.times[r.count%answerSamples] = d
 	r.count++
 }
 
-// longer is the share of the times that are longer than a limit; 0 while few are known.
-func (r *recentTimes) longer(limit time.Duration) float64 {
-	known := min(r.count, answerMemory)
-	if known < leastAnswers {
+// shareLonger returns the share of the durations that exceed limit, or 0 if fewer than
+// minAnswers are known.
+func (r *recentTimes) shareLonger(limit time.Duration) float64 {
+	known := min(r.count, answerSamples)
+	if known < minAnswers {
 		return 0
 	}
 	n := 0
@@ -53,38 +55,38 @@
 	return float64(n) / float64(known)
 }
 
-// median of the times; 0 where there are none.
+// median returns the median duration, or 0 if there are none.
 func (r *recentTimes) median() time.Duration {
-	return routing.Median(slices.Clone(r.times[:min(r.count, answerMemory)]))
+	return routing.Median(slices.Clone(r.times[:min(r.count, answerSamples)]))
 }
 
-// answers learns how long requests take, route by route. The zero value knows nothing yet.
-type answers struct {
-	mu      sync.Mutex // guards byRoute; a leaf
-	byRoute map[string]*answerTimes
+// answerStats records how long requests take, by route. The zero value is ready to use.
+type answerStats struct {
+	mu      sync.Mutex // guards byRoute; no other lock is taken while it is held
+	byRoute map[string]*routeTimes
 }
 
-// note takes in one whole answer.
-func (a *answers) note(route string, sinceArrival, sinceSent time.Duration) {
+// record adds the times of one complete answer.
+func (a *answerStats) record(route string, sinceArrival, sinceSent time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.byRoute == nil {
-		a.byRoute = map[string]*answerTimes{}
+		a.byRoute = map[string]*routeTimes{}
 	}
 	times := a.byRoute[route]
 	if times == nil {
-		a.makeRoom()
-		times = &answerTimes{}
+		a.evictIfFull()
+		times = &routeTimes{}
 		a.byRoute[route] = times
 	}
-	times.arrived.add(sinceArrival)
-	times.sent.add(sinceSent)
+	times.fromArrival.add(sinceArrival)
+	times.fromSending.add(sinceSent)
 }
 
-// makeRoom forgets a route where many are known: those of earlier configurations would stay
-// for good. The caller holds mu.
-func (a *answers) makeRoom() {
-	if len(a.byRoute) < mostRoutes {
+// evictIfFull removes an arbitrary route if the limit is reached, since routes of earlier
+// configurations would otherwise never be removed. The caller holds mu.
+func (a *answerStats) evictIfFull() {
+	if len(a.byRoute) < maxRoutes {
 		return
 	}
 	for route := range a.byRoute {
@@ -93,27 +95,27 @@
 	}
 }
 
-// longer is the share of a route's recent answers that took longer than a limit from being
-// sent to the target on.
-func (a *answers) longer(route string, limit time.Duration) float64 {
+// shareLonger returns the share of a route's recent answers that took longer than limit,
+// measured from when the request was sent to the target.
+func (a *answerStats) shareLonger(route string, limit time.Duration) float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	times := a.byRoute[route]
 	if times == nil {
 		return 0
 	}
-	return times.sent.longer(limit)
+	return times.fromSending.shareLonger(limit)
 }
 
-// slowestMedian is the median of the recent answers, from the arrival on, of the route among
-// some where it is longest.
-func (a *answers) slowestMedian(routes []plan.Route) time.Duration {
+// slowestMedian returns the highest median answer time, measured from the request's
+// arrival, among the given routes.
+func (a *answerStats) slowestMedian(routes []plan.Route) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var slowest time.Duration
 	for _, route := range routes {
 		if times := a.byRoute[route.Name]; times != nil {
-			slowest = max(slowest, times.arrived.median())
+			slowest = max(slowest, times.fromArrival.median())
 		}
 	}
 	return slowest
--- a/internal/serve/run/attempt.go
+++ b/internal/serve/run/attempt.go
@@ -16,28 +16,27 @@
 	"github.com/vanillagate/vanillagate/internal/serve/upstream"
 )
 
-// attempt is what became of one try at one target.
+// attempt is the result of sending the request to one target.
 type attempt struct {
-	target *pool.Target // nil where there was none to try
-	reply  *Reply       // set where the caller can be answered
-	// arrived means that the target may have seen the request, mayHaveRun that
-	// it may have begun to run it, inputsGone that the results of the stages no
-	// longer exist.
-	arrived    bool
-	mayHaveRun bool
-	inputsGone bool
-	err        error
+	target *pool.Target // nil if no target was available
+	reply  *Reply       // set if the caller can be answered
+	// mayHaveArrived means that the target may have received the request, mayHaveRun that
+	// it may have started to run it, inputsLost that the results of the stages no longer
+	// exist.
+	mayHaveArrived bool
+	mayHaveRun     bool
+	inputsLost     bool
+	err            error
 }
 
 const (
-	// freshWithin is how recently a kept connection must have been used for a
-	// request that must not run twice: the target may be closing an older one
-	// just now, and then nobody could say whether it ran.
-	freshWithin = 500 * time.Millisecond
-	// maxWhole is the largest answer that is held until it is whole, so that
-	// another target can be asked when it breaks; larger ones are passed on as
-	// they come.
-	maxWhole = 256 << 10
+	// maxConnIdle is how long a kept connection may have been idle to be used for a request
+	// that must not run twice. The target may be closing a connection that has been idle
+	// for longer, and it would then be unknown whether the request ran.
+	maxConnIdle = 500 * time.Millisecond
+	// maxBuffered is the size up to which an answer is buffered completely, so that another
+	// target can be asked if it breaks off. Larger answers are streamed to the caller.
+	maxBuffered = 256 << 10
 )
 
 func (j *job) attempt() attempt {
@@ -49,31 +48,31 @@
 	if failed != nil {
 		return *failed
 	}
-	said := j.Codec.ReadAnswer(&answer.Header)
-	if answer.Status >= fasthttp.StatusInternalServerError && j.worthAnother(target) {
+	info := j.Codec.ReadAnswer(&answer.Header)
+	if answer.Status >= fasthttp.StatusInternalServerError && j.canRetryElsewhere(target) {
 		answer.Close()
 		call.End(pool.Failed, time.Now())
-		return attempt{target: target, arrived: true, mayHaveRun: true}
+		return attempt{target: target, mayHaveArrived: true, mayHaveRun: true}
 	}
-	if isSuccess(answer.Status) && !said.Signed {
+	if isSuccess(answer.Status) && !info.Signed {
 		answer.Close()
 		call.End(pool.Failed, time.Now())
-		return attempt{target: target, arrived: true, mayHaveRun: true, err: errUnsigned}
+		return attempt{target: target, mayHaveArrived: true, mayHaveRun: true, err: errUnsigned}
 	}
 	if j.route.Kind == plan.Stream && isSuccess(answer.Status) {
-		return attempt{target: target, arrived: true, reply: j.stream(target, answer, call)}
+		return attempt{target: target, mayHaveArrived: true, reply: j.stream(target, answer, call)}
 	}
-	return j.whole(target, answer, call)
+	return j.readWhole(target, answer, call)
 }
 
 var errUnsigned = errors.New("answer without a signature")
 
 func isSuccess(status int) bool { return status >= 200 && status < 300 }
 
-// worthAnother tells whether a request that failed at a target may be tried at
+// canRetryElsewhere reports whether a request that failed at a target may be retried at
 // another one.
-func (j *job) worthAnother(target *pool.Target) bool {
-	if !j.route.Repeatable() || j.ran >= j.route.Attempts {
+func (j *job) canRetryElsewhere(target *pool.Target) bool {
+	if !j.route.Repeatable() || j.runs >= j.route.Attempts {
 		return false
 	}
 	views, _ := j.candidates(time.Now())
@@ -85,59 +84,58 @@
 	return false
 }
 
-// send makes one try and reads the answer's header. An answer that says that
-// nothing ran counts as failed.
+// send sends the request to a target and reads the header of the answer. An answer that
+// says that the request didn't run counts as a failed attempt.
 func (j *job) send(ctx context.Context, target *pool.Target, lastEvent string) (*upstream.Answer, *pool.Call, *attempt) {
 	now := time.Now()
-	j.askedAt = now
+	j.sentAt = now
 	call := j.Table.Begin(target, j.req.Prompt.Input, now)
-	answer, err := j.Client.Send(ctx, j.request(target, lastEvent, now))
+	answer, err := j.Client.Send(ctx, j.buildRequest(target, lastEvent, now))
 	if err != nil {
-		return nil, nil, j.unanswered(ctx, target, call, err)
+		return nil, nil, j.recordNoAnswer(ctx, target, call, err)
 	}
-	j.arrivals++
-	said := j.Codec.ReadAnswer(&answer.Header)
-	if said.Report != nil {
-		target.SetReport(*said.Report)
+	j.sends++
+	info := j.Codec.ReadAnswer(&answer.Header)
+	if info.Report != nil {
+		target.SetReport(*info.Report)
 	}
-	if said.NotRun {
-		return nil, nil, j.refusedBy(target, call, answer)
+	if info.NotRun {
+		return nil, nil, j.recordRefusal(target, call, answer)
 	}
-	j.ran++
+	j.runs++
 	return answer, call, nil
 }
 
-func (j *job) request(target *pool.Target, lastEvent string, now time.Time) *upstream.Request {
-	send := AttemptInfo{Target: target.ID, Remaining: j.deadline.Sub(now), LastEvent: lastEvent}
+func (j *job) buildRequest(target *pool.Target, lastEvent string, now time.Time) *upstream.Request {
+	info := AttemptInfo{Target: target.ID, Remaining: j.deadline.Sub(now), LastEvent: lastEvent}
 	if j.team != nil {
-		send.Team = j.team.Name
+		info.Team = j.team.Name
 	}
-	send.Rank = plan.EffectivePriority(j.route, j.team)
+	info.Rank = plan.EffectivePriority(j.route, j.team)
 	if j.inputs != nil {
-		send.Inputs = j.inputs.handles
+		info.Inputs = j.inputs.handles
 	}
 	r := &upstream.Request{
 		Address: target.Address, Method: j.req.Method, URI: j.req.URI, Host: j.req.Host,
-		Header: j.Codec.RequestHeader(j.req, send), Body: j.req.Body,
+		Header: j.Codec.RequestHeader(j.req, info), Body: j.req.Body,
 		IsOurs: func(h *fasthttp.ResponseHeader) bool {
 			id := j.Codec.ReadAnswer(h).ID
 			return id == "" || id == j.req.ID
 		},
 	}
 	if !j.route.Repeatable() {
-		r.MaxAge = freshWithin
+		r.MaxAge = maxConnIdle
 	}
-	j.keep(r)
+	j.limitIdleConns(r)
 	return r
 }
 
-// keep says how many unused connections to a target of the service this process
-// keeps: its part of half of those that a target accepts from all processes
-// together. Were more kept by the many that have nothing to send, the target
-// would reset the new connection of one that has, and nobody could say whether
-// its request ran. The other half is for connections in use, and for those of
-// processes that lost their power, which a target holds for some seconds.
-func (j *job) keep(r *upstream.Request) {
+// limitIdleConns sets how many idle connections this process keeps to a target of the
+// service. Half of the connections that a target accepts are divided among all processes.
+// If idle processes kept more, the target would reset new connections of others, and it
+// would be unknown whether their requests ran. The other half is for connections in use,
+// and for those of processes that lost power, which a target holds open for some seconds.
+func (j *job) limitIdleConns(r *upstream.Request) {
 	service := j.Plans.Service(j.service)
 	if service == nil || service.MaxConnections <= 0 || j.LeaveOut.Has(leaveout.FewKept) {
 		return
@@ -146,8 +144,8 @@
 	r.KeepNone = r.MaxKept == 0
 }
 
-// unanswered notes a try that got no answer.
-func (j *job) unanswered(ctx context.Context, target *pool.Target, call *pool.Call, err error) *attempt {
+// recordNoAnswer records an attempt that got no answer.
+func (j *job) recordNoAnswer(ctx context.Context, target *pool.Target, call *pool.Call, err error) *attempt {
 	sent := !upstream.NotSent(err)
 	outcome := pool.Failed
 	switch {
@@ -158,17 +156,17 @@
 	}
 	call.End(outcome, time.Now())
 	if sent {
-		j.arrivals++
-		j.ran++
-		j.broke(target.Address)
+		j.sends++
+		j.runs++
+		j.reportBroken(target.Address)
 	}
 	j.Log.Info("Attempt got no answer.", requestID(j.req.ID), zap.String("target", target.ID),
 		zap.Bool("sent", sent), zap.Error(err))
-	return &attempt{target: target, arrived: sent, mayHaveRun: sent, err: err}
+	return &attempt{target: target, mayHaveArrived: sent, mayHaveRun: sent, err: err}
 }
 
-// refusedBy notes a try that the target says it didn't run.
-func (j *job) refusedBy(target *pool.Target, call *pool.Call, answer *upstream.Answer) *attempt {
+// recordRefusal records an attempt that the target refused without running the request.
+func (j *job) recordRefusal(target *pool.Target, call *pool.Call, answer *upstream.Answer) *attempt {
 	status := answer.Status
 	drain(answer)
 	answer.Close()
@@ -177,22 +175,22 @@
 		j.Client.Drop(target.Address)
 	}
 	j.Log.Info("Target refused.", requestID(j.req.ID), zap.String("target", target.ID), zap.Int("status", status))
-	return &attempt{target: target, arrived: true, inputsGone: status == fasthttp.StatusConflict && j.inputs != nil}
+	return &attempt{target: target, mayHaveArrived: true, inputsLost: status == fasthttp.StatusConflict && j.inputs != nil}
 }
 
-// drain reads the rest of a short answer, so that its connection can be kept.
+// drain reads the rest of a short answer so that its connection can be reused.
 func drain(answer *upstream.Answer) {
-	// A cut answer shows in Close, which then drops the connection.
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxWhole))
+	// If the answer is truncated, Close drops the connection.
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxBuffered))
 }
 
-// whole reads an answer to its end before the caller gets any of it, so that
-// one that breaks can be had from another target.
-func (j *job) whole(target *pool.Target, answer *upstream.Answer, call *pool.Call) attempt {
-	head := &strings.Builder{}
-	_, err := io.Copy(head, io.LimitReader(answer, maxWhole))
-	if err == nil && head.Len() == maxWhole {
-		return attempt{target: target, arrived: true, reply: j.passOn(answer, call, head.String())}
+// readWhole reads the whole answer before the caller gets any of it, so that another target
+// can be asked if it breaks off.
+func (j *job) readWhole(target *pool.Target, answer *upstream.Answer, call *pool.Call) attempt {
+	buffered := &strings.Builder{}
+	_, err := io.Copy(buffered, io.LimitReader(answer, maxBuffered))
+	if err == nil && buffered.Len() == maxBuffered {
+		return attempt{target: target, mayHaveArrived: true, reply: j.relay(answer, call, buffered.String())}
 	}
 	answer.Close()
 	if err != nil {
@@ -201,9 +199,9 @@
 			outcome = pool.Abandoned
 		}
 		call.End(outcome, time.Now())
-		j.broke(target.Address)
-		j.Log.Info("Answer was cut.", requestID(j.req.ID), zap.String("target", target.ID), zap.Error(err))
-		return attempt{target: target, arrived: true, mayHaveRun: true, err: err}
+		j.reportBroken(target.Address)
+		j.Log.Info("Answer ended early.", requestID(j.req.ID), zap.String("target", target.ID), zap.Error(err))
+		return attempt{target: target, mayHaveArrived: true, mayHaveRun: true, err: err}
 	}
 	outcome := pool.Answered
 	if answer.Status >= fasthttp.StatusInternalServerError {
@@ -211,52 +209,52 @@
 	}
 	call.End(outcome, time.Now())
 	if isSuccess(answer.Status) {
-		j.noteWhole()
+		j.recordCompleteAnswer()
 	}
-	j.end()
-	return attempt{target: target, arrived: true, reply: &Reply{
+	j.cleanUp()
+	return attempt{target: target, mayHaveArrived: true, reply: &Reply{
 		Status: answer.Status,
 		Answer: &Answer{
-			Header: endToEnd(&answer.Header), Length: head.Len(),
-			Body: io.NopCloser(strings.NewReader(head.String())),
+			Header: endToEndHeaders(&answer.Header), Length: buffered.Len(),
+			Body: io.NopCloser(strings.NewReader(buffered.String())),
 		},
 	}}
 }
 
-// passOn hands on an answer that is too large to be held.
-func (j *job) passOn(answer *upstream.Answer, call *pool.Call, head string) *Reply {
-	body := &relayed{Reader: io.MultiReader(strings.NewReader(head), answer), close: func() {
+// relay streams an answer that is too large to be buffered.
+func (j *job) relay(answer *upstream.Answer, call *pool.Call, buffered string) *Reply {
+	body := &relayedBody{Reader: io.MultiReader(strings.NewReader(buffered), answer), close: func() {
 		answer.Close()
 		call.End(pool.Answered, time.Now())
-		j.end()
+		j.cleanUp()
 	}}
-	return &Reply{Status: answer.Status, Answer: &Answer{Header: endToEnd(&answer.Header), Body: body, Length: answer.Length}}
+	return &Reply{Status: answer.Status, Answer: &Answer{Header: endToEndHeaders(&answer.Header), Body: body, Length: answer.Length}}
 }
 
-// relayed is a body that gives back what it holds when it is closed.
-type relayed struct {
+// relayedBody is an answer body that releases its resources when it is closed.
+type relayedBody struct {
 	io.Reader
 	close func()
 }
 
-// Close ends the relay.
-func (r *relayed) Close() error {
+// Close releases the resources behind the body.
+func (r *relayedBody) Close() error {
 	r.close()
 	return nil
 }
 
-// hopByHop are the headers that concern one connection only.
-var hopByHop = map[string]bool{
+// hopByHopHeaders are the headers that apply to a single connection and aren't forwarded.
+var hopByHopHeaders = map[string]bool{
 	"connection": true, "keep-alive": true, "proxy-connection": true, "transfer-encoding": true,
 	"te": true, "trailer": true, "upgrade": true, "content-length": true, "proxy-authenticate": true,
 	"proxy-authorization": true,
 }
 
-// HopByHop tells whether a header concerns one connection only. connection is
-// the value of the Connection header, which may name more of them.
+// HopByHop reports whether a header applies to a single connection and must not be
+// forwarded. connection is the value of the Connection header, which may name further ones.
 func HopByHop(name, connection string) bool {
 	name = strings.ToLower(name)
-	if hopByHop[name] {
+	if hopByHopHeaders[name] {
 		return true
 	}
 	for _, listed := range strings.Split(connection, ",") {
@@ -267,8 +265,8 @@
 	return false
 }
 
-// endToEnd lists the header lines of an answer to pass on.
-func endToEnd(h *fasthttp.ResponseHeader) []upstream.Header {
+// endToEndHeaders returns the header lines of an answer that are forwarded to the caller.
+func endToEndHeaders(h *fasthttp.ResponseHeader) []upstream.Header {
 	connection := string(h.Peek(fasthttp.HeaderConnection))
 	var list []upstream.Header
 	for name, value := range h.All() {
--- a/internal/serve/run/choose.go
+++ b/internal/serve/run/choose.go
@@ -12,22 +12,21 @@
 	"github.com/vanillagate/vanillagate/internal/serve/warmup"
 )
 
-// choose picks the target of the next attempt; nil where there is none. Engines are
-// asked for by way of their trackers. A cold target gets the request only within what
-// it bears.
+// choose picks the target of the next attempt; nil if there is none. An engine is claimed
+// through its tracker. A cold target gets the request only within its rate limit.
 func (j *job) choose() *pool.Target {
 	c := j.newChoice(time.Now())
-	j.claims = claims{}
+	j.claimState = claimState{}
 	views, all := j.candidates(c.now)
-	if target := c.among(views); target != nil || all {
+	if target := c.pickFrom(views); target != nil || all {
 		return target
 	}
-	return c.among(j.Table.Views(j.service, c.now))
+	return c.pickFrom(j.Table.Views(j.service, c.now))
 }
 
-// candidates lists the targets of the service that are looked at first. Requests that share
-// a prompt look at the same ones, which the engine that has read it is among. all tells that
-// there are no others.
+// candidates returns the targets of the service to consider first. Requests that share a
+// prompt get the same candidates, among them the engine that has read the prompt. all
+// reports that the service has no other targets.
 func (j *job) candidates(now time.Time) (views []pool.View, all bool) {
 	name := j.req.Prompt.AffinityKey()
 	if name == "" {
@@ -36,14 +35,15 @@
 	return j.Table.Candidates(j.service, name, now)
 }
 
-// choice is the choice of one attempt's target.
+// choice holds the parameters for choosing the target of one attempt.
 type choice struct {
 	job *job
 	now time.Time
-	// engine tells that the service's targets are model engines, tracked that trackers keep
-	// account of them.
-	engine, tracked bool
-	// rule is what the service's cold targets bear; the zero value where nothing bounds it.
+	// isEngine means that the service's targets are model engines, tracked that their load
+	// is tracked across all processes.
+	isEngine, tracked bool
+	// rule limits the request rate of the service's cold targets; the zero value sets no
+	// limit.
 	rule warmup.Rule
 }
 
@@ -53,34 +53,34 @@
 	if service == nil {
 		return c
 	}
-	c.engine = service.Engine != nil
-	c.tracked = c.engine && j.Engines != nil
+	c.isEngine = service.Engine != nil
+	c.tracked = c.isEngine && j.Engines != nil
 	if j.Warmup != nil {
 		c.rule = warmup.Rule{PerSecond: service.ColdPerSecond, Time: service.ColdTime}
 	}
 	return c
 }
 
-// among picks a target among some; nil where none of them takes the request.
-func (c *choice) among(views []pool.View) *pool.Target {
-	views = c.open(views)
+// pickFrom picks one of the given targets; nil if none of them accepts the request.
+func (c *choice) pickFrom(views []pool.View) *pool.Target {
+	views = c.excludeCold(views)
 	for {
 		target := c.pick(views)
 		if target == nil {
 			return nil
 		}
 		switch c.allow(views, target) {
-		case accepted:
+		case claimAccepted:
 			return target
-		case overCold:
+		case claimCold:
 			views = slices.DeleteFunc(views, func(v pool.View) bool { return v.Target == target })
 		}
 	}
 }
 
-// open leaves out the cold targets at which this process has no turn, unless their tracker
-// decides.
-func (c *choice) open(views []pool.View) []pool.View {
+// excludeCold removes the cold targets to which this process may not send now. Those of
+// tracked engines stay, since their trackers decide.
+func (c *choice) excludeCold(views []pool.View) []pool.View {
 	if c.rule.PerSecond <= 0 {
 		return views
 	}
@@ -94,8 +94,8 @@
 	return kept
 }
 
-// allow asks whether a chosen target gets the request.
-func (c *choice) allow(views []pool.View, target *pool.Target) verdict {
+// allow asks whether the request may be sent to the chosen target.
+func (c *choice) allow(views []pool.View, target *pool.Target) claimResult {
 	cold := slices.ContainsFunc(views, func(v pool.View) bool { return v.Target == target && v.Cold })
 	rule := c.rule
 	if !cold {
@@ -103,25 +103,25 @@
 	}
 	if c.tracked {
 		answer := c.job.claim(views, target, rule.PerSecond)
-		if answer != unasked {
+		if answer != claimUnanswered {
 			return answer
 		}
 		rule.PerSecond *= 1 - engines.TrackerRateShare
 	}
 	if !cold || c.job.Warmup.Take(target.ID, rule, c.now) {
-		return accepted
+		return claimAccepted
 	}
-	return overCold
+	return claimCold
 }
 
 func (c *choice) pick(views []pool.View) *pool.Target {
 	j := c.job
-	wish := place.Criteria{Prompt: j.req.Prompt, Zone: j.Zone, Avoid: j.tried, NoAffinity: j.LeaveOut.Has(leaveout.Affinity)}
+	preferences := place.Criteria{Prompt: j.req.Prompt, Zone: j.Zone, Avoid: j.tried, NoAffinity: j.LeaveOut.Has(leaveout.Affinity)}
 	if j.inputs != nil {
-		wish.Bytes = j.inputs.bytes
+		preferences.Bytes = j.inputs.bytes
 	}
-	if c.engine {
-		return place.ChooseEngine(views, wish)
+	if c.isEngine {
+		return place.ChooseEngine(views, preferences)
 	}
-	return place.ChooseTarget(views, wish, rand.Float64())
+	return place.ChooseTarget(views, preferences, rand.Float64())
 }
--- a/internal/serve/run/claim.go
+++ b/internal/serve/run/claim.go
@@ -9,113 +9,117 @@
 )
 
 const (
-	// maxClaims is at how many engines a prompt is claimed before it is sent to the
-	// last one whatever the wait.
+	// maxClaims is how many engines a prompt is claimed at. The last one is asked without a
+	// limit on the wait.
 	maxClaims = 3
-	// idleWait is up to which wait an engine counts as idle.
-	idleWait = 20 * time.Millisecond
-	// leastPerToken bounds what a token takes to read, in seconds.
-	leastPerToken = 1e-6
-	// againPatience is for how many times as long as it takes to read its shared parts
-	// again a prompt with time to spare waits for the engine that has read them.
-	againPatience = 8
-	// anyWait is longer than every prompt takes.
-	anyWait = time.Hour
+	// idleThreshold is the wait up to which an engine counts as idle.
+	idleThreshold = 20 * time.Millisecond
+	// minSecondsPerToken is a lower bound for the prefill time per token.
+	minSecondsPerToken = 1e-6
+	// rereadWaitFactor limits how long a prompt with time to spare waits for the engine
+	// that has read its shared parts, as a multiple of the time it takes to read them
+	// again.
+	rereadWaitFactor = 8
+	// unlimitedWait is longer than any prompt takes.
+	unlimitedWait = time.Hour
 )
 
-// claims is how a job's prompt was claimed at engines.
-type claims struct {
-	made int
-	// toRead is what the chosen engine has to read, wait how long it reads others'
-	// prompts before; known tells whether its tracker said so.
-	toRead int
-	wait   time.Duration
-	known  bool
+// claimState records the claims of a request's prompt at engines; attempts is their number.
+type claimState struct {
+	attempts int
+	// prefillTokens is how many tokens the chosen engine has to read, wait how long it
+	// reads the prompts of other requests first. waitKnown means that its tracker reported
+	// the wait.
+	prefillTokens int
+	wait          time.Duration
+	waitKnown     bool
 }
 
-// verdict is what an engine's tracker makes of a prompt.
-type verdict int
+// claimResult is the result of claiming an engine for a prompt.
+type claimResult int
 
 const (
-	// accepted: the prompt is in the engine's account.
-	accepted verdict = iota
-	// busy: the engine reads others for longer than it is worth.
-	busy
-	// overCold: the engine is cold and gets no more for now.
-	overCold
-	// unasked: the tracker didn't answer.
-	unasked
+	// claimAccepted: the prompt was added to the engine's tracked load.
+	claimAccepted claimResult = iota
+	// claimBusy: the engine is occupied with other prompts for longer than the wait limit.
+	claimBusy
+	// claimCold: the engine is cold and accepts no more requests for now.
+	claimCold
+	// claimUnanswered: the tracker didn't answer.
+	claimUnanswered
 )
 
-// claim enters the prompt in an engine's account. A busy engine's view counts what it
-// reads, for another choice.
-func (j *job) claim(views []pool.View, target *pool.Target, coldPerSecond float64) verdict {
-	toRead := place.PrefillTokens(views, j.req.Prompt, target.ID)
-	j.claims = claims{made: j.claims.made + 1, toRead: toRead}
+// claim adds the prompt to an engine's tracked load. If the engine is busy, its view is
+// updated with its current load, so that the next choice is another one.
+func (j *job) claim(views []pool.View, target *pool.Target, coldPerSecond float64) claimResult {
+	prefillTokens := place.PrefillTokens(views, j.req.Prompt, target.ID)
+	j.claimState = claimState{attempts: j.claimState.attempts + 1, prefillTokens: prefillTokens}
 	answer, answered := j.Engines.Claim(j.ctx, engines.Claim{
-		Service: j.service, Engine: target.ID, Tokens: toRead, Limit: j.waitLimit(toRead),
+		Service: j.service, Engine: target.ID, Tokens: prefillTokens, Limit: j.waitLimit(prefillTokens),
 		ColdPerSecond: coldPerSecond,
 	})
 	switch {
 	case !answered:
-		return unasked
+		return claimUnanswered
 	case answer.Cold:
-		return overCold
+		return claimCold
 	case answer.Taken:
-		j.claims.wait, j.claims.known = answer.Wait, true
-		return accepted
+		j.claimState.wait, j.claimState.waitKnown = answer.Wait, true
+		return claimAccepted
 	}
-	// More than any affinity outweighs, so that the next choice is another one.
+	// The added tokens outweigh any affinity, so that the next choice is another engine.
 	for i := range views {
 		if views[i].Target == target {
-			views[i].Tokens += place.AffinityWeight*j.req.Prompt.SharedTokens() + j.tokensIn(answer.Wait)
+			views[i].Tokens += place.AffinityWeight*j.req.Prompt.SharedTokens() + j.tokensReadIn(answer.Wait)
 		}
 	}
-	return busy
+	return claimBusy
 }
 
-// waitLimit is how long the prompt may wait at an engine before another one is better.
-// Where it would have to read the shared parts again there, a prompt with time to spare
-// waits for some times as long as that takes.
-func (j *job) waitLimit(toRead int) time.Duration {
-	if j.claims.made >= maxClaims {
-		return anyWait
+// waitLimit returns how long the prompt may wait at an engine before another one is
+// preferred. If another engine would have to read the shared parts of the prompt again, a
+// prompt with time to spare waits for up to a multiple of the time that takes.
+func (j *job) waitLimit(prefillTokens int) time.Duration {
+	if j.claimState.attempts >= maxClaims {
+		return unlimitedWait
 	}
-	if toRead == j.req.Prompt.Input {
-		return idleWait
+	if prefillTokens == j.req.Prompt.Input {
+		return idleThreshold
 	}
 	now := time.Now()
 	curve, _ := j.Engines.Curve(j.service, now)
-	again := againPatience * float64(j.req.Prompt.SharedTokens()) * perToken(curve)
-	slack := j.req.Arrived.Add(j.route.Objective).Sub(now) - j.firstEvent()
-	return idleWait + max(min(slack/2, time.Duration(again*float64(time.Second))), 0)
+	reread := rereadWaitFactor * float64(j.req.Prompt.SharedTokens()) * secondsPerToken(curve)
+	slack := j.req.Arrived.Add(j.route.Objective).Sub(now) - j.expectedFirstEvent()
+	return idleThreshold + max(min(slack/2, time.Duration(reread*float64(time.Second))), 0)
 }
 
-// tokensIn is about how many tokens an engine reads in some time.
-func (j *job) tokensIn(d time.Duration) int {
+// tokensReadIn estimates how many tokens an engine reads in the given time.
+func (j *job) tokensReadIn(d time.Duration) int {
 	curve, _ := j.Engines.Curve(j.service, time.Now())
-	return int(d.Seconds() / perToken(curve))
+	return int(d.Seconds() / secondsPerToken(curve))
 }
 
-// perToken is what a token of a prompt of usual length takes to read, in seconds.
-func perToken(c engines.Curve) float64 {
+// secondsPerToken returns the prefill time per token for a prompt of typical length.
+func secondsPerToken(c engines.Curve) float64 {
 	const usualTokens = 5000
-	return max(c.PrefillTime(usualTokens)/usualTokens, leastPerToken)
+	return max(c.PrefillTime(usualTokens)/usualTokens, minSecondsPerToken)
 }
 
-// learn keeps how long the engine took, for all processes to learn from.
-func (j *job) learn(took time.Duration) {
-	if j.Engines != nil && j.claims.known && j.claims.wait < idleWait && j.arrivals == 1 {
-		j.Engines.RecordSample(j.service, engines.Sample{Tokens: j.claims.toRead, Seconds: took.Seconds()})
+// recordPrefill records how long the engine took to read the prompt and answer with the
+// first event, as a sample for the estimates of all processes. Requests that waited or were
+// sent more than once are left out.
+func (j *job) recordPrefill(took time.Duration) {
+	if j.Engines != nil && j.claimState.waitKnown && j.claimState.wait < idleThreshold && j.sends == 1 {
+		j.Engines.RecordSample(j.service, engines.Sample{Tokens: j.claimState.prefillTokens, Seconds: took.Seconds()})
 	}
 }
 
-// firstEvent is how long an engine is reckoned to take to the first event.
-func (j *job) firstEvent() time.Duration {
+// expectedFirstEvent estimates how long an engine takes to the first event of the answer.
+func (j *job) expectedFirstEvent() time.Duration {
 	if j.Engines != nil {
 		if curve, known := j.Engines.Curve(j.service, time.Now()); known {
-			return boundedFirstEvent(curve.FirstEvent(j.req.Prompt.UnsharedTokens()))
+			return clampFirstEvent(curve.FirstEvent(j.req.Prompt.UnsharedTokens()))
 		}
 	}
-	return j.firstEvents.expect(j.service, j.req.Prompt)
+	return j.firstEventModel.expect(j.service, j.req.Prompt)
 }
--- a/internal/serve/run/cold_test.go
+++ b/internal/serve/run/cold_test.go
@@ -17,8 +17,9 @@
 	"github.com/vanillagate/vanillagate/internal/serve/warmup"
 )
 
-// coldFleet is processes before engines, the first of which are cold.
-func coldFleet(processes, engines, cold int) []*Executor {
+// coldExecutors returns executors of several processes that share the given number of
+// engines, the first of which are cold.
+func coldExecutors(processes, engines, cold int) []*Executor {
 	cluster := &servetest.Cluster{}
 	now := time.Now()
 	var entries []pool.Entry
@@ -56,9 +57,9 @@
 	return j.choose()
 }
 
-// affineTo finds a shared prompt that has a certain affine engine.
-func affineTo(engine string, engines int) string {
-	e := coldFleet(1, engines, 0)[0]
+// promptWithAffinity finds a shared prompt whose affinity selects the given engine.
+func promptWithAffinity(engine string, engines int) string {
+	e := coldExecutors(1, engines, 0)[0]
 	for i := 0; ; i++ {
 		if prompt := fmt.Sprint("prompt-", i); e.engineFor(prompt).ID == engine {
 			return prompt
@@ -66,12 +67,12 @@
 	}
 }
 
-// placed asks each process for an engine as often as told, for one shared prompt, and
-// counts what each engine got.
-func placed(fleet []*Executor, prompt string, each int) (byEngine map[string]int, refused int) {
+// placeRequests has each process choose an engine the given number of times for the same
+// shared prompt, and counts the requests of each engine.
+func placeRequests(executors []*Executor, prompt string, each int) (byEngine map[string]int, refused int) {
 	byEngine = map[string]int{}
 	for range each {
-		for _, e := range fleet {
+		for _, e := range executors {
 			target := e.engineFor(prompt)
 			if target == nil {
 				refused++
@@ -84,25 +85,26 @@
 	return byEngine, refused
 }
 
-// A much asked prompt's engine comes back cold, and all processes send it there.
-func TestAHotPromptSparesItsColdEngine(t *testing.T) {
-	got, refused := placed(coldFleet(85, 12, 4), affineTo("engine-0", 12), 3)
+// The engine of a frequently used prompt restarts cold, and all processes send their
+// requests to it.
+func TestPopularPromptDoesNotOverloadColdEngine(t *testing.T) {
+	got, refused := placeRequests(coldExecutors(85, 12, 4), promptWithAffinity("engine-0", 12), 3)
 	assert.Equal(t, refused, 0)
 	for i := range 12 {
 		n := got[fmt.Sprintf("engine-%d", i)]
-		assert.Assert(t, i >= 4 || n <= 26, "a cold engine got %d within a moment", n)
+		assert.Assert(t, i >= 4 || n <= 26, "a cold engine got %d requests at once", n)
 	}
 }
 
-// All engines are cold: as many requests as they bear are served, and the rest learn at
-// once that there is no engine for them.
-func TestOnlyColdEnginesTakeWhatTheyBear(t *testing.T) {
-	got, refused := placed(coldFleet(85, 5, 5), "p", 4)
+// If all engines are cold, as many requests as their rate limit allows are served, and the
+// others are refused at once.
+func TestColdEnginesServeWithinRateLimit(t *testing.T) {
+	got, refused := placeRequests(coldExecutors(85, 5, 5), "p", 4)
 	served := 0
 	for id, n := range got {
-		assert.Assert(t, n <= 26, "%s got %d within a moment", id, n)
+		assert.Assert(t, n <= 26, "%s got %d requests at once", id, n)
 		served += n
 	}
-	assert.Assert(t, served >= 5*14/2, "%d served", served)
+	assert.Assert(t, served >= 5*14/2, "only %d requests were served", served)
 	assert.Equal(t, served+refused, 4*85)
 }
--- a/internal/serve/run/due_test.go
+++ b/internal/serve/run/due_test.go
@@ -9,9 +9,9 @@
 	"github.com/vanillagate/vanillagate/internal/serve/plan"
 )
 
-// A caller that was refused comes back with less time left than its route's
-// objective. Were its stages due by the objective, they would be reserved, done
-// after the caller has given up, and the caller told nothing until then.
+// A caller that was refused retries with less time left than its route's objective. If its
+// stages were due by the objective, capacity would be reserved for them, they would be
+// finished after the caller has given up, and the caller would get no answer until then.
 func TestStagesAreDueBeforeTheirCallerGivesUp(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct{ objective, left, due time.Duration }{
@@ -22,7 +22,7 @@
 			Executor: &Executor{}, req: &Request{Arrived: now, Pieces: []int{1}}, deadline: now.Add(c.left),
 			route: &plan.Route{Objective: c.objective, Stages: []plan.Stage{{Service: "s"}}},
 		}
-		first := j.firstEvents.expect(j.service, j.req.Prompt)
-		assert.Equal(t, newGraph(j).due(0), now.Add(c.due-first), "%+v", c)
+		first := j.firstEventModel.expect(j.service, j.req.Prompt)
+		assert.Equal(t, newStageGraph(j).due(0), now.Add(c.due-first), "%+v", c)
 	}
 }
--- a/internal/serve/run/evacuation_test.go
+++ b/internal/serve/run/evacuation_test.go
@@ -13,20 +13,23 @@
 	"github.com/vanillagate/vanillagate/internal/serve/servetest"
 )
 
-// hearing is within what time all processes hear of an order in these loads.
-const hearing = 600 * time.Millisecond
+// broadcastTime is the time within which all processes learn of an evacuation in these
+// tests.
+const broadcastTime = 600 * time.Millisecond
 
-// tell has all processes hear of a change of the evacuations within hearing.
-func tell(all []*Executor, change pool.EvacuationChange) {
+// broadcast delivers a change of the evacuations to all processes at random times within
+// broadcastTime.
+func broadcast(all []*Executor, change pool.EvacuationChange) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for _, e := range all {
-		time.AfterFunc(time.Duration(random.Float64()*float64(hearing)), func() {
+		time.AfterFunc(time.Duration(random.Float64()*float64(broadcastTime)), func() {
 			e.Table.ApplyEvacuations([]pool.EvacuationChange{change}, change.Revision, time.Now())
 		})
 	}
 }
 
-// threeZones is a load on pools that are divided by zone, two of which can carry it.
+// threeZones is a load on pools that are divided into three zones, two of which have enough
+// capacity for it.
 func threeZones() site {
 	load := reservoir()
 	load.vms, load.perZone, load.length = 24, []int{6, 6, 6}, 16*time.Second
@@ -36,43 +39,43 @@
 	return load
 }
 
-// A zone is evacuated while its shards are full of items. Its targets go on being
-// called, or the items wait there until their requests are late.
-func TestAnEvacuatedZonesItemsMoveToOtherShards(t *testing.T) {
+// A zone is evacuated while its shards are full of items. Its targets are still called, or
+// the items wait in these shards until their requests are late.
+func TestItemsOfEvacuatedZoneMoveToOtherShards(t *testing.T) {
 	load := threeZones()
 	load.kinds = slices.Clone(load.kinds)
 	load.kinds[1].burst = 2
-	var told, back, lastCall time.Time
-	load.orders = func(all []*Executor, pools *servetest.Pools) {
+	var evacuated, withdrawn, lastCall time.Time
+	load.withExecutors = func(all []*Executor, pools *servetest.Pools) {
 		time.Sleep(burstFrom + 2*time.Second)
-		told = time.Now()
-		tell(all, pool.EvacuationChange{Evacuation: pool.Evacuation{Zone: "a", Revision: 5}})
+		evacuated = time.Now()
+		broadcast(all, pool.EvacuationChange{Evacuation: pool.Evacuation{Zone: "a", Revision: 5}})
 		time.Sleep(4 * time.Second)
-		back, lastCall = time.Now(), pools.LastCall("a")
-		tell(all, pool.EvacuationChange{Evacuation: pool.Evacuation{Zone: "a", Revision: 9}, Withdrawn: true})
+		withdrawn, lastCall = time.Now(), pools.LastCall("a")
+		broadcast(all, pool.EvacuationChange{Evacuation: pool.Evacuation{Zone: "a", Revision: 9}, Withdrawn: true})
 	}
 	synctest.Test(t, func(t *testing.T) {
-		p := play(21, load, policy{})
+		p := simulate(21, load, policy{})
 		report(t, "zone a evacuated", p)
-		assert.Assert(t, !lastCall.After(told.Add(hearing)), "called %v after the order", lastCall.Sub(told))
-		assert.Assert(t, p.pools.LastCall("a").After(back), "not used again after the order was withdrawn")
+		assert.Assert(t, !lastCall.After(evacuated.Add(broadcastTime)), "called %v after the evacuation began", lastCall.Sub(evacuated))
+		assert.Assert(t, p.pools.LastCall("a").After(withdrawn), "not used again after the evacuation was withdrawn")
 		for name, k := range p.kinds {
 			assert.Assert(t, k.share() > 0.95, "%s: %+v", name, k)
 		}
 	})
 }
 
-// A zone is evacuated that holds most of a service: what the others can't make in time
-// is refused at once, and the rest is in time.
-func TestAnEvacuationThatLeavesTooLittleRefusesTheRest(t *testing.T) {
+// The evacuated zone has most of a service's targets. Requests that the other zones can't
+// serve in time are refused at once, and the others are served in time.
+func TestEvacuationRefusesRequestsBeyondRemainingCapacity(t *testing.T) {
 	load := threeZones()
 	load.perService = map[string][]int{"notify": {10, 2, 1}}
-	load.orders = func(all []*Executor, _ *servetest.Pools) {
+	load.withExecutors = func(all []*Executor, _ *servetest.Pools) {
 		time.Sleep(4 * time.Second)
-		tell(all, pool.EvacuationChange{Evacuation: pool.Evacuation{Zone: "a", Revision: 5}})
+		broadcast(all, pool.EvacuationChange{Evacuation: pool.Evacuation{Zone: "a", Revision: 5}})
 	}
 	synctest.Test(t, func(t *testing.T) {
-		p := play(22, load, policy{})
+		p := simulate(22, load, policy{})
 		report(t, "most of a service evacuated", p)
 		for name, k := range p.kinds {
 			assert.Assert(t, float64(k.late) < 0.15*float64(k.asked), "%s: %+v", name, k)
--- a/internal/serve/run/executor.go
+++ b/internal/serve/run/executor.go
@@ -21,23 +21,23 @@
 	"github.com/vanillagate/vanillagate/internal/suspect"
 )
 
-// ErrTimeout ends the work on a request whose time is up, ErrCallerLeft that of
-// one whose caller is gone, ErrShutdown that of those still on their way when this
-// process's grace period is over.
+// Causes for which the context of a request is cancelled: ErrTimeout when its timeout has
+// passed, ErrCallerLeft when the caller has closed the connection, ErrShutdown when the
+// grace period of this process has ended before the request was finished.
 var (
-	ErrTimeout    = errors.New("the request's time is up")
+	ErrTimeout    = errors.New("request timed out")
 	ErrCallerLeft = errors.New("the caller left")
-	ErrShutdown   = errors.New("this process ends")
+	ErrShutdown   = errors.New("process is shutting down")
 )
 
-// defaultPatience bounds requests whose route and caller set no time.
-const defaultPatience = 30 * time.Second
+// defaultTimeout applies to requests if neither the route nor the caller sets a timeout.
+const defaultTimeout = 30 * time.Second
 
-// leastStarting is the least time after which to come back to a process that doesn't know
-// the configuration or the targets yet.
-const leastStarting = 300 * time.Millisecond
+// minStartingRetry is the shortest delay after which callers are told to retry if this
+// process doesn't know the configuration or the targets yet.
+const minStartingRetry = 300 * time.Millisecond
 
-// Executor runs requests. All fields are set before the first Run.
+// Executor runs requests. All exported fields are set before the first call of Run.
 type Executor struct {
 	Log     *zap.Logger
 	Plans   *plan.Holder
@@ -48,36 +48,37 @@
 	Budget  *quota.Budget
 	Zone    string
 	Metrics *Metrics
-	// Engines keeps account of what engines read over all processes; nil for none.
+	// Engines tracks the load of model engines across all processes; nil for none.
 	Engines *engines.Tracker
-	// Warmup gives this process's turns at cold targets; nil bounds nothing.
+	// Warmup decides when this process may send requests to cold targets; nil sets no
+	// limit.
 	Warmup *warmup.Limiter
-	// LeaveOut switches mechanisms off, for measurements.
+	// LeaveOut disables individual mechanisms, for measurements.
 	LeaveOut leaveout.Set
-	// Suspicion knows the requests that crash their targets; nil for none.
+	// Suspicion finds the requests that crash their targets; nil for none.
 	Suspicion Suspicion
-	// Starting tells in about what time a process that has just started knows the
-	// configuration and the targets; nil is leastStarting.
+	// Starting estimates how long a process that has just started takes to learn the
+	// configuration and the targets; if nil, minStartingRetry is used.
 	Starting func(now time.Time) time.Duration
 
-	firstEvents firstEvents
-	answers     answers
-	// departure is nil while this process isn't shutting down.
-	departure atomic.Pointer[ShutdownSchedule]
+	firstEventModel firstEventModel
+	answerStats     answerStats
+	// shutdown is nil until this process shuts down.
+	shutdown atomic.Pointer[ShutdownSchedule]
 }
 
-// Suspicion knows the requests that crash their targets, whichever process they
-// come to.
+// Suspicion finds the requests that crash their targets, whichever process they are sent
+// to.
 type Suspicion interface {
-	// Convicted tells that a request has crashed so many targets that it gets
-	// no more.
+	// Convicted reports whether a request has crashed so many targets that it is sent to no
+	// more.
 	Convicted(suspect.Fingerprint) bool
-	// ConnectionBroke notes that a request's connection to a target broke. Whether the
-	// target died is found out meanwhile.
+	// ConnectionBroke records that a request's connection to a target broke. Whether the
+	// target crashed is checked in the background.
 	ConnectionBroke(f suspect.Fingerprint, address string)
 }
 
-// job is one request on its way.
+// job is the state of one request being processed.
 type job struct {
 	*Executor
 	ctx      context.Context
@@ -88,29 +89,30 @@
 	service  string
 	deadline time.Time
 	inputs   *inputs
-	// tried are the targets that were tried, ran how many of them may have run
-	// the request, arrivals how many it was sent to.
-	tried    map[string]bool
-	ran      int
-	arrivals int
-	// zone is where the stages are made that are divided by zone.
-	zone   string
-	claims claims
-	// held is what kept the stages from being done, restarted why they were started over.
-	held      error
-	restarted error
-	// slowest is the stage that took longest.
-	slowest stageTime
-	// preparedAt is when the stages were done, askedAt when the last target was
-	// asked; zero before.
+	// tried has the targets that were tried. runs counts the attempts that may have run the
+	// request, sends those in which the request was sent.
+	tried map[string]bool
+	runs  int
+	sends int
+	// zone is the zone in which the stages run whose services are divided by zone.
+	zone       string
+	claimState claimState
+	// stageErr is why the stages couldn't be run, restartErr why they were run again.
+	stageErr   error
+	restartErr error
+	// slowestStage is the stage that took the longest.
+	slowestStage stageTime
+	// preparedAt is when the stages were finished, sentAt when the request was last sent to
+	// a target; zero before.
 	preparedAt time.Time
-	askedAt    time.Time
-	// content identifies the request by what its target gets to see.
-	content suspect.Fingerprint
+	sentAt     time.Time
+	// contentID identifies the request by the content that its target receives.
+	contentID suspect.Fingerprint
 }
 
-// Run answers a request. The context ends with ErrCallerLeft when the caller
-// goes. The reply's body, if any, is to be read to its end or closed.
+// Run processes a request and returns the answer. The caller of Run cancels ctx with
+// ErrCallerLeft when the caller of the request disconnects. The body of the reply, if any,
+// must be read to its end or closed.
 func (e *Executor) Run(ctx context.Context, r *Request) *Reply {
 	j := &job{Executor: e, req: r, tried: map[string]bool{}}
 	reply := j.admit(ctx)
@@ -118,18 +120,18 @@
 		reply = j.run()
 	}
 	if reply.Answer == nil {
-		j.end()
+		j.cleanUp()
 	}
-	e.note(j, reply)
+	e.record(j, reply)
 	return reply
 }
 
-// admit finds out where the request goes and whether it may; nil means that it
-// may.
+// admit determines the route, team and service of the request and checks whether it may be
+// processed; nil means that it may.
 func (j *job) admit(ctx context.Context) *Reply {
 	p := j.Plans.Current()
 	if p == nil {
-		return refuse(fasthttp.StatusServiceUnavailable, NoConfiguration, j.startingRetry())
+		return refuse(fasthttp.StatusServiceUnavailable, NoConfiguration, j.startingRetryAfter())
 	}
 	j.route = p.Route(j.req.Host, j.req.Path)
 	if j.route == nil {
@@ -141,32 +143,32 @@
 			return refuse(fasthttp.StatusUnauthorized, NoKey, 0)
 		}
 	}
-	if tooMany(j.req.Pieces) {
+	if tooManyPieces(j.req.Pieces) {
 		return refuse(fasthttp.StatusBadRequest, TooManyPieces, 0)
 	}
-	j.content = j.fingerprint()
-	if j.Suspicion != nil && j.Suspicion.Convicted(j.content) {
+	j.contentID = j.fingerprint()
+	if j.Suspicion != nil && j.Suspicion.Convicted(j.contentID) {
 		return refuse(fasthttp.StatusServiceUnavailable, CrashesTargets, 0)
 	}
 	if !j.Table.Loaded() {
-		return refuse(fasthttp.StatusServiceUnavailable, NoTargetsYet, j.startingRetry())
+		return refuse(fasthttp.StatusServiceUnavailable, NoTargetsYet, j.startingRetryAfter())
 	}
 	j.service = j.route.Pick(rand.Float64())
-	if reply := j.refuseLate(); reply != nil {
+	if reply := j.refuseAfterClose(); reply != nil {
 		return reply
 	}
-	j.deadline = j.req.Arrived.Add(j.patience())
+	j.deadline = j.req.Arrived.Add(j.timeout())
 	j.ctx, j.cancel = context.WithDeadlineCause(ctx, j.deadline, ErrTimeout)
 	j.Budget.AddRequest(j.service, j.req.Arrived)
 	return nil
 }
 
-// maxPieces is the most pieces that one request's stages may have together. The
-// largest requests have some thirty; a caller's slip of a few zeros would take
-// this process's memory, and others' requests with it.
+// maxPieces is the maximum total number of pieces in the stages of one request. The largest
+// real requests have about thirty. A request with a mistyped, far larger number could use
+// up the memory of this process and fail the requests of others.
 const maxPieces = 4096
 
-func tooMany(pieces []int) bool {
+func tooManyPieces(pieces []int) bool {
 	total := 0
 	for _, n := range pieces {
 		if n > maxPieces {
@@ -177,8 +179,8 @@
 	return total > maxPieces
 }
 
-// fingerprint is the same however often, and through whichever process, a
-// caller sends the same request.
+// fingerprint is the same however often, and through whichever process, a caller sends the
+// same request.
 func (j *job) fingerprint() suspect.Fingerprint {
 	team := ""
 	if j.team != nil {
@@ -187,16 +189,17 @@
 	return suspect.Of(team, j.req.Method, j.req.Host, j.req.URI, string(j.req.Body))
 }
 
-// broke notes that a connection to a target broke under the request.
-func (j *job) broke(address string) {
+// reportBroken reports to Suspicion that a connection to a target broke while it had the
+// request.
+func (j *job) reportBroken(address string) {
 	if j.Suspicion != nil && j.ctx.Err() == nil {
-		j.Suspicion.ConnectionBroke(j.content, address)
+		j.Suspicion.ConnectionBroke(j.contentID, address)
 	}
 }
 
-// patience is the shorter of the caller's and the route's time.
-func (j *job) patience() time.Duration {
-	limit := defaultPatience
+// timeout returns the shorter of the caller's and the route's timeout.
+func (j *job) timeout() time.Duration {
+	limit := defaultTimeout
 	if j.route.Timeout > 0 {
 		limit = j.route.Timeout
 	}
@@ -206,8 +209,8 @@
 	return limit
 }
 
-// end gives back what the request holds.
-func (j *job) end() {
+// cleanUp releases the resources of the request.
+func (j *job) cleanUp() {
 	if j.inputs != nil {
 		j.inputs.release()
 	}
@@ -221,76 +224,75 @@
 		return reply
 	}
 	for {
-		if reply := j.refuseCut(); reply != nil {
+		if reply := j.refuseIfCutOff(); reply != nil {
 			return reply
 		}
 		result := j.attempt()
 		if result.reply != nil {
 			return result.reply
 		}
-		if reply := j.next(result); reply != nil {
+		if reply := j.afterFailure(result); reply != nil {
 			return reply
 		}
 	}
 }
 
-// prepare has the stages done; nil means that they are.
+// prepare runs the stages; nil means that they have finished successfully.
 func (j *job) prepare() *Reply {
 	if len(j.route.Stages) == 0 {
 		return nil
 	}
-	made, err := j.makeInputs()
+	results, err := j.runStages()
 	if err == nil {
-		j.inputs = made
+		j.inputs = results
 		j.preparedAt = time.Now()
 		return nil
 	}
-	j.held = err
-	return j.stageRefusal(err)
+	j.stageErr = err
+	return j.refuseForStages(err)
 }
 
 const (
-	// leastRetry and mostRetry bound when a refused caller is told to come back.
-	// Callers take a wait of up to a third of their remaining time.
-	leastRetry = 100 * time.Millisecond
-	mostRetry  = 2 * time.Second
+	// minRetryAfter and maxRetryAfter limit the delay after which a refused caller is told
+	// to retry. Callers accept a delay of up to a third of their remaining time.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
-// retryAfter is when a caller should come back to a queue of the given length,
-// spread by a third so that those who were refused together don't return
-// together.
+// retryAfter returns when a caller should retry if the queue takes the given time. It adds
+// up to a third at random, so that callers that were refused together don't retry together.
 func retryAfter(wait time.Duration) time.Duration {
-	wait = min(max(wait, leastRetry), mostRetry)
+	wait = min(max(wait, minRetryAfter), maxRetryAfter)
 	return wait + time.Duration(rand.Float64()*float64(wait)/3)
 }
 
-// startingRetry is when a caller should come back to a process that has just started.
-func (j *job) startingRetry() time.Duration {
+// startingRetryAfter returns when a caller should retry at a process that has just started.
+func (j *job) startingRetryAfter() time.Duration {
 	if j.Starting == nil {
-		return retryAfter(leastStarting)
+		return retryAfter(minStartingRetry)
 	}
-	return retryAfter(max(j.Starting(time.Now()), leastStarting))
+	return retryAfter(max(j.Starting(time.Now()), minStartingRetry))
 }
 
-func (j *job) stageRefusal(err error) *Reply {
+func (j *job) refuseForStages(err error) *Reply {
 	if cause := context.Cause(j.ctx); cause != nil {
-		return j.finish(fasthttp.StatusGatewayTimeout, ended(cause), 0)
+		return j.errorReply(fasthttp.StatusGatewayTimeout, endReason(cause), 0)
 	}
 	var refused *gather.RefusedError
 	if !errors.As(err, &refused) {
-		return j.finish(fasthttp.StatusBadGateway, StagesFailed, leastRetry)
+		return j.errorReply(fasthttp.StatusBadGateway, StagesFailed, minRetryAfter)
 	}
 	switch refused.Reason {
 	case gather.Late:
-		return j.finish(fasthttp.StatusBadGateway, StagesLate, retryAfter(refused.Wait))
+		return j.errorReply(fasthttp.StatusBadGateway, StagesLate, retryAfter(refused.Wait))
 	case gather.NoTarget:
-		return j.finish(fasthttp.StatusBadGateway, NoTarget, retryAfter(0))
+		return j.errorReply(fasthttp.StatusBadGateway, NoTarget, retryAfter(0))
 	default:
-		return j.finish(fasthttp.StatusBadGateway, StagesFailed, retryAfter(0))
+		return j.errorReply(fasthttp.StatusBadGateway, StagesFailed, retryAfter(0))
 	}
 }
 
-func ended(cause error) Reason {
+func endReason(cause error) Reason {
 	switch {
 	case errors.Is(cause, ErrCallerLeft):
 		return CallerLeft
@@ -301,44 +303,46 @@
 	}
 }
 
-// next decides what follows an attempt without an answer; nil means another.
-func (j *job) next(failed attempt) *Reply {
+// afterFailure decides what follows an attempt without an answer; nil means that another
+// attempt is made.
+func (j *job) afterFailure(failed attempt) *Reply {
 	if cause := context.Cause(j.ctx); cause != nil {
-		return j.giveUp(ended(cause), fasthttp.StatusGatewayTimeout)
+		return j.giveUp(endReason(cause), fasthttp.StatusGatewayTimeout)
 	}
 	if failed.target == nil {
 		return j.giveUp(NoTarget, fasthttp.StatusBadGateway)
 	}
 	j.tried[failed.target.ID] = true
-	if failed.mayHaveRun && (!j.route.Repeatable() || j.ran >= j.route.Attempts) {
+	if failed.mayHaveRun && (!j.route.Repeatable() || j.runs >= j.route.Attempts) {
 		return j.giveUp(LostAnswer, fasthttp.StatusBadGateway)
 	}
-	if j.arrivals >= maxArrivals {
+	if j.sends >= maxSends {
 		return j.giveUp(TargetsFull, fasthttp.StatusBadGateway)
 	}
-	if failed.arrived && !j.Budget.TakeRetry(j.service, time.Now()) {
+	if failed.mayHaveArrived && !j.Budget.TakeRetry(j.service, time.Now()) {
 		return j.giveUp(OverBudget, fasthttp.StatusBadGateway)
 	}
-	if failed.inputsGone {
+	if failed.inputsLost {
 		j.inputs.release()
 		return j.prepare()
 	}
 	return nil
 }
 
-// maxArrivals bounds the targets that are asked in turn when each refuses.
-const maxArrivals = 4
+// maxSends is the maximum number of targets to which a request is sent if each of them
+// refuses it.
+const maxSends = 4
 
-// giveUp is the final answer after attempts.
+// giveUp returns the final answer after failed attempts.
 func (j *job) giveUp(reason Reason, status int) *Reply {
-	return j.finish(status, reason, retryAfter(0))
+	return j.errorReply(status, reason, retryAfter(0))
 }
 
-// finish makes a final answer: 503 and when to come back for a request that
-// certainly didn't run and won't, the status for one that may have run. Its caller
-// must not be told that it hasn't.
-func (j *job) finish(status int, reason Reason, after time.Duration) *Reply {
-	if j.ran == 0 {
+// errorReply makes the final answer. It is 503 with a retry delay if the request certainly
+// didn't run and won't, and the given status if it may have run: the caller must not be
+// told that it didn't.
+func (j *job) errorReply(status int, reason Reason, after time.Duration) *Reply {
+	if j.runs == 0 {
 		return refuse(fasthttp.StatusServiceUnavailable, reason, after)
 	}
 	return refuse(status, reason, 0)
--- a/internal/serve/run/first_events_test.go
+++ b/internal/serve/run/first_events_test.go
@@ -11,31 +11,32 @@
 
 func promptOf(tokens int) place.Prompt { return place.Prompt{Input: tokens} }
 
-func near(t *testing.T, got, want time.Duration) {
+func assertNear(t *testing.T, got, want time.Duration) {
 	t.Helper()
 	assert.Assert(t, got > want*9/10 && got < want*11/10, "%v, want %v", got, want)
 }
 
-func TestFirstEventsAreLearntByTheLengthOfPrompts(t *testing.T) {
-	var f firstEvents
-	near(t, f.expect("engines", promptOf(10_000)), 200*time.Millisecond)
+func TestFirstEventEstimateDependsOnPromptLength(t *testing.T) {
+	var f firstEventModel
+	assertNear(t, f.expect("engines", promptOf(10_000)), 200*time.Millisecond)
 	for i := range 400 {
 		tokens := 500 + 3000*(i%8)
 		took := 60*time.Millisecond + time.Duration(tokens)*20*time.Microsecond
-		f.note("engines", promptOf(tokens), took)
+		f.record("engines", promptOf(tokens), took)
 	}
-	near(t, f.expect("engines", promptOf(30_000)), 660*time.Millisecond)
-	near(t, f.expect("engines", promptOf(5000)), 160*time.Millisecond)
-	assert.Equal(t, f.expect("engines", promptOf(200_000)), mostFirstEvent)
-	near(t, f.expect("others", promptOf(10_000)), 200*time.Millisecond)
+	assertNear(t, f.expect("engines", promptOf(30_000)), 660*time.Millisecond)
+	assertNear(t, f.expect("engines", promptOf(5000)), 160*time.Millisecond)
+	assert.Equal(t, f.expect("engines", promptOf(200_000)), maxFirstEvent)
+	assertNear(t, f.expect("others", promptOf(10_000)), 200*time.Millisecond)
 }
 
-// All prompts seen are alike, and some slow answers go to the shortest.
-func TestLongerPromptsNeverCountAsQuicker(t *testing.T) {
-	var f firstEvents
+// All prompts seen have the same length, so no slope can be fitted, and their answers were
+// slow.
+func TestFirstEventEstimateNeverDecreasesWithPromptLength(t *testing.T) {
+	var f firstEventModel
 	for range 100 {
-		f.note("engines", promptOf(800), 500*time.Millisecond)
+		f.record("engines", promptOf(800), 500*time.Millisecond)
 	}
 	assert.Assert(t, f.expect("engines", promptOf(20_000)) >= f.expect("engines", promptOf(800)))
-	near(t, f.expect("engines", promptOf(800)), 500*time.Millisecond)
+	assertNear(t, f.expect("engines", promptOf(800)), 500*time.Millisecond)
 }
--- a/internal/serve/run/graph.go
+++ b/internal/serve/run/graph.go
@@ -9,42 +9,43 @@
 	"github.com/vanillagate/vanillagate/internal/serve/plan"
 )
 
-// graph is a request's stages on their way.
-type graph struct {
+// stageGraph is the dependency graph of a request's stages and their progress.
+type stageGraph struct {
 	job    *job
 	stages []plan.Stage
-	// height is how many stages follow one another from this one to the end,
-	// itself included; 0 for one that is left out.
+	// height is the number of stages on the longest path from this one to the end, itself
+	// included; 0 if the stage is skipped.
 	height  []int
 	started []bool
 	done    []*gather.StageResults
 	freed   []bool
 }
 
-// handTime is what the messages to and from a gatherer are reckoned to take: the links'
-// delay, and the pauses of small VMs.
-const handTime = 16 * time.Millisecond
+// messageTime is the estimated time for the messages to and from a gatherer: the latency of
+// the network and the scheduling pauses of small VMs.
+const messageTime = 16 * time.Millisecond
 
-// turnTime is what a stage is reckoned to take besides a full call: the messages,
-// and the wait for one of its targets to fall free, half of the time between two.
-func turnTime(full time.Duration, targets int) time.Duration {
-	return handTime + full/time.Duration(2*max(targets, 1))
+// stageOverhead is the estimated time a stage takes in addition to a full call: the
+// messages, and the wait for one of its targets to become free, on average half of the
+// interval at which they do.
+func stageOverhead(full time.Duration, targets int) time.Duration {
+	return messageTime + full/time.Duration(2*max(targets, 1))
 }
 
-func newGraph(j *job) *graph {
+func newStageGraph(j *job) *stageGraph {
 	n := len(j.route.Stages)
-	g := &graph{
+	g := &stageGraph{
 		job: j, stages: j.route.Stages, height: make([]int, n),
 		started: make([]bool, n), done: make([]*gather.StageResults, n), freed: make([]bool, n),
 	}
 	for i := range g.stages {
-		g.heightOf(i)
+		g.computeHeight(i)
 	}
 	return g
 }
 
-// plans lists what the request will want of each stage.
-func (g *graph) plans() []gather.ReservationRequest {
+// wants returns what the request needs of each stage.
+func (g *stageGraph) wants() []gather.ReservationRequest {
 	var list []gather.ReservationRequest
 	for i, s := range g.stages {
 		if g.pieces(i) == 0 {
@@ -58,8 +59,8 @@
 	return list
 }
 
-// services lists those that the stages need.
-func (g *graph) services() []string {
+// services returns the names of the services that the stages use.
+func (g *stageGraph) services() []string {
 	var list []string
 	for i, s := range g.stages {
 		if g.pieces(i) > 0 {
@@ -69,22 +70,22 @@
 	return list
 }
 
-// alone tells whether a stage's results go to the engine and it has no inputs:
-// then it is best made where the engine will be.
-func (g *graph) alone(i int) bool {
+// isSingle reports whether a stage has no input stages and only the engine reads its
+// results. Such a stage is best run in the zone of the engine.
+func (g *stageGraph) isSingle(i int) bool {
 	return len(g.stages[i].After) == 0 && len(g.followers(i)) == 0
 }
 
-// zoneOf is where a stage is made if its service is divided by zone.
-func (g *graph) zoneOf(i int) string {
-	if g.alone(i) {
+// zoneOf returns the zone in which a stage runs if its service is divided by zone.
+func (g *stageGraph) zoneOf(i int) string {
+	if g.isSingle(i) {
 		return g.engineZone()
 	}
 	return g.job.zone
 }
 
-// engineZone is where the request will probably run; empty for anywhere.
-func (g *graph) engineZone() string {
+// engineZone returns the zone in which the request will probably run; empty if any.
+func (g *stageGraph) engineZone() string {
 	j := g.job
 	if j.LeaveOut.Has(leaveout.Affinity) || j.req.Prompt.AffinityKey() == "" {
 		return ""
@@ -93,28 +94,28 @@
 	return place.AffinityZone(views, j.req.Prompt)
 }
 
-// pieces is how many pieces a stage has.
-func (g *graph) pieces(i int) int {
+// pieces returns how many pieces a stage has.
+func (g *stageGraph) pieces(i int) int {
 	if i >= len(g.job.req.Pieces) {
 		return 0
 	}
 	return g.job.req.Pieces[i]
 }
 
-func (g *graph) heightOf(i int) int {
+func (g *stageGraph) computeHeight(i int) int {
 	if g.pieces(i) == 0 || g.height[i] > 0 {
 		return g.height[i]
 	}
 	highest := 0
 	for _, next := range g.followers(i) {
-		highest = max(highest, g.heightOf(next))
+		highest = max(highest, g.computeHeight(next))
 	}
 	g.height[i] = highest + 1
 	return g.height[i]
 }
 
-// followers are the stages that need a stage's results.
-func (g *graph) followers(i int) []int {
+// followers returns the stages that use a stage's results.
+func (g *stageGraph) followers(i int) []int {
 	var list []int
 	for k, s := range g.stages {
 		for _, a := range s.After {
@@ -126,10 +127,10 @@
 	return list
 }
 
-// ready lists the stages to start now. A stage whose result would only wait
-// for others is started when those are as far: results take space in small
-// buffers, and a large one made a second early keeps others out.
-func (g *graph) ready() []int {
+// ready returns the stages to start now. A stage is delayed while another unfinished one
+// has a longer path to the end, since its results would only wait: they take up space in
+// small buffers, and a large result made a second early blocks other requests.
+func (g *stageGraph) ready() []int {
 	highest := 0
 	for i := range g.stages {
 		if g.done[i] == nil {
@@ -148,7 +149,7 @@
 	return list
 }
 
-func (g *graph) inputsDone(i int) bool {
+func (g *stageGraph) inputsDone(i int) bool {
 	for _, a := range g.stages[i].After {
 		if g.pieces(a) > 0 && g.done[a] == nil {
 			return false
@@ -157,7 +158,7 @@
 	return true
 }
 
-func (g *graph) work(i int) gather.StageWork {
+func (g *stageGraph) work(i int) gather.StageWork {
 	j := g.job
 	s := g.stages[i]
 	var from []string
@@ -177,16 +178,16 @@
 		if len(s.After) == 0 {
 			item.Source = j.req.PieceKey
 		}
-		item.InputAllocator, item.LastReader = g.lastUse(i)
+		item.InputAllocator, item.LastReader = g.lastReader(i)
 		items = append(items, item)
 	}
 	return gather.StageWork{Service: s.Service, Items: items, Due: g.due(i), Expires: j.deadline, Zone: g.zoneOf(i)}
 }
 
-// bestZone is where a stage is best made, and about how many bytes an item saves
-// there: where most of its inputs lie, or, for one that only the engine reads,
-// where that will be.
-func (g *graph) bestZone(i int) (string, int) {
+// bestZone returns the preferred zone of a stage and about how many bytes of transfer
+// between zones an item saves there: the zone with most of its inputs, or, for a stage that
+// only the engine reads, the zone of the engine.
+func (g *stageGraph) bestZone(i int) (string, int) {
 	bytes := map[string]int{}
 	for _, a := range g.stages[i].After {
 		if g.done[a] == nil {
@@ -196,7 +197,7 @@
 			bytes[r.Zone] += g.stages[a].ResultBytes
 		}
 	}
-	if g.alone(i) {
+	if g.isSingle(i) {
 		bytes[g.engineZone()] = g.stages[i].ResultBytes
 	}
 	best, most := "", 0
@@ -208,9 +209,10 @@
 	return best, most
 }
 
-// lastUse tells whether a stage's inputs have all the same allocator and are of no use to
-// any other stage; then they are given back as soon as they have been read.
-func (g *graph) lastUse(i int) (gather.Allocator, bool) {
+// lastReader returns the allocator of a stage's inputs, and reports whether all inputs have
+// the same one and no other stage reads them. Such inputs are freed as soon as the stage
+// has read them.
+func (g *stageGraph) lastReader(i int) (gather.Allocator, bool) {
 	var allocator gather.Allocator
 	for _, a := range g.stages[i].After {
 		if g.done[a] == nil {
@@ -230,10 +232,10 @@
 	return allocator, allocator != (gather.Allocator{})
 }
 
-// due is when a stage must be done for the answer to be in time. A caller that comes
-// back may have less time left than the objective.
-func (g *graph) due(i int) time.Time {
-	first := g.job.firstEvent()
+// due returns when a stage must be finished for the answer to be in time. A caller that
+// retries may have less time left than the objective.
+func (g *stageGraph) due(i int) time.Time {
+	first := g.job.expectedFirstEvent()
 	due := g.job.req.Arrived.Add(g.job.route.Objective)
 	if g.job.deadline.Before(due) {
 		due = g.job.deadline
@@ -247,30 +249,30 @@
 	return due
 }
 
-func (g *graph) callTime(i int) time.Duration {
+func (g *stageGraph) callTime(i int) time.Duration {
 	service := g.job.Plans.Service(g.stages[i].Service)
 	if service == nil || service.Batch == nil {
 		return 0
 	}
 	full := service.Batch.MaxCallTime()
-	return full + turnTime(full, g.job.Stages.MeanShardTargets(service.Name))
+	return full + stageOverhead(full, g.job.Stages.MeanShardTargets(service.Name))
 }
 
-// freeUsed gives back the results that all their followers have read. Those
-// with one follower are given back by who gathers for it.
-func (g *graph) freeUsed() {
+// freeConsumed frees the results that all following stages have read. Results that are used
+// by a single stage are freed by its gatherer.
+func (g *stageGraph) freeConsumed() {
 	for i := range g.stages {
 		followers := g.followers(i)
 		if g.done[i] == nil || g.freed[i] || len(followers) == 0 {
 			continue
 		}
-		read, given := true, false
+		read, freedByGatherer := true, false
 		for _, next := range followers {
 			read = read && g.done[next] != nil
-			_, last := g.lastUse(next)
-			given = given || last
+			_, last := g.lastReader(next)
+			freedByGatherer = freedByGatherer || last
 		}
-		if read && given {
+		if read && freedByGatherer {
 			g.freed[i] = true
 		}
 		if read {
@@ -279,7 +281,7 @@
 	}
 }
 
-func (g *graph) free(i int) {
+func (g *stageGraph) free(i int) {
 	if g.freed[i] || g.done[i] == nil {
 		return
 	}
@@ -287,7 +289,7 @@
 	g.job.Stages.Free(g.done[i].Shard, g.done[i].Results)
 }
 
-func (g *graph) freeAll() {
+func (g *stageGraph) freeAll() {
 	for i := range g.stages {
 		g.free(i)
 	}
--- a/internal/serve/run/keep_test.go
+++ b/internal/serve/run/idle_conns_test.go
@@ -11,10 +11,10 @@
 	"github.com/vanillagate/vanillagate/internal/serve/upstream"
 )
 
-// Many processes share the connections that a target accepts. Each that keeps one
-// too many unused makes the target reset another's booking, whose outcome nobody
-// knows then.
-func TestUnusedConnectionsAreShared(t *testing.T) {
+// The processes share the connections that a target accepts. If each keeps one idle
+// connection too many, the target resets a booking of another process, and it is unknown
+// whether the booking was made.
+func TestIdleConnectionLimitIsDividedAmongProcesses(t *testing.T) {
 	for _, tc := range []struct {
 		accepted, processes int
 		most                int
@@ -33,7 +33,7 @@
 		plans.Apply(&plan.Plan{Version: 1, Services: []plan.Service{{Name: "desk", MaxConnections: tc.accepted}}})
 		j := &job{Executor: &Executor{Plans: plans, Budget: budget}, service: "desk"}
 		var r upstream.Request
-		j.keep(&r)
+		j.limitIdleConns(&r)
 		assert.Equal(t, r.MaxKept, tc.most, "%+v", tc)
 		assert.Equal(t, r.KeepNone, tc.none, "%+v", tc)
 	}
--- a/internal/serve/run/shapes_test.go
+++ b/internal/serve/run/load_shapes_test.go
@@ -12,18 +12,19 @@
 	"github.com/vanillagate/vanillagate/internal/serve/plan"
 )
 
-// These loads have shapes that no site of today has, beside one that has: whatever
-// is reckoned with has to follow from the configuration and from what is seen, not
-// from the sites on which it was measured.
+// These loads include shapes that no existing deployment has: every estimate has to follow
+// from the configuration and from measurements at run time, not from the deployments on
+// which it was tuned.
 
-// batch describes a pool whose targets make size items in call plus item each.
+// batch describes a pool whose targets run a call of up to size items in the time call plus
+// item for each of them.
 func batch(name string, size int, call, item time.Duration, bufferMB float64) plan.Service {
 	return plan.Service{Name: name, Batch: &plan.Batch{
 		Size: size, CallTime: call, ItemTime: item, BufferBytes: int(bufferMB * 1e6), Keep: 4 * time.Second, Queue: 2,
 	}}
 }
 
-// chain is three stages one after the other, with small results.
+// chain is three consecutive stages with small results.
 func chain(first, second, third string) []plan.Stage {
 	return []plan.Stage{
 		{Service: first, ResultBytes: 8000},
@@ -36,8 +37,8 @@
 	return func(*rand.Rand) []int { return pieces }
 }
 
-// registration is the load of a site with short calls, large batches, and large
-// results for its most valuable kind of request.
+// registration is the load of a deployment with short calls, large batches, and large
+// results for its most important kind of request.
 func registration() site {
 	large := []plan.Stage{{Service: "payments", ResultBytes: 3_000_000}}
 	return site{
@@ -47,7 +48,7 @@
 			batch("places", 58, 150*time.Millisecond, 2200*time.Microsecond, 10),
 			batch("results", 96, 150*time.Millisecond, 1300*time.Microsecond, 1.7),
 		},
-		kinds: []kind{
+		kinds: []requestKind{
 			{name: "bulk", perSecond: 40.9, route: streamRoute("bulk", 0, 690, large), pieces: func(r *rand.Rand) []int {
 				if r.Float64() > 0.7 {
 					return []int{0}
@@ -64,8 +65,8 @@
 	}
 }
 
-// uniform is a chain over three pools of calls of a given length, with objectives
-// of so many calls.
+// uniform is a chain over three pools with the same call length, with objectives that are a
+// multiple of it.
 func uniform(call time.Duration, size int, perSecond float64) site {
 	item := call / time.Duration(2*size)
 	s := site{
@@ -74,15 +75,15 @@
 	}
 	objective := int((9*call + 2*engineTime).Milliseconds())
 	for i, name := range []string{"first", "second"} {
-		s.kinds = append(s.kinds, kind{
+		s.kinds = append(s.kinds, requestKind{
 			name: name, perSecond: perSecond / 2, route: streamRoute(name, i, objective, chain("a", "b", "c")), pieces: fixed(1, 1, 1),
 		})
 	}
 	return s
 }
 
-// shapes are loads of all kinds of sites, with the part of each kind's requests
-// that must be in time and a mechanism without which fewer are.
+// shapes are loads of different deployments, each with the minimum share of each kind's
+// requests that must be in time and a mechanism without which fewer are.
 func shapes() map[string]shape {
 	grown := registration()
 	grown.vms, grown.perZone, grown.perService = 80, []int{4, 4, 4, 4}, nil
@@ -103,68 +104,68 @@
 	long := uniform(600*time.Millisecond, 20, 80)
 	long.kinds[1].burst, long.length = 3.5, 16*time.Second
 	return map[string]shape{
-		"short calls and large results": {site: registration(), least: 0.95, without: leaveout.Sharing},
-		"the same three times as large": {site: grown, least: 0.95, without: leaveout.Sharing},
-		"calls of 50 ms":                {site: uniform(50*time.Millisecond, 20, 200), least: 0.95, without: leaveout.Sharing},
-		"calls of 600 ms":               {site: uniform(600*time.Millisecond, 20, 20), least: 0.95, without: leaveout.Sharing},
-		"batches of 2":                  {site: uniform(200*time.Millisecond, 2, 24), least: 0.95, without: leaveout.Sharing},
-		"batches of 200":                {site: uniform(200*time.Millisecond, 200, 200), least: 0.95, without: leaveout.Sharing},
-		"six zones of one target each":  {site: sixZones, least: 0.95, without: leaveout.Sharing},
-		"two zones and three VMs":       {site: twoZones, least: 0.95, without: leaveout.Sharing},
-		"pools of two targets":          {site: twoTargets, least: 0.95, without: leaveout.Sharing},
-		"a burst of short calls":        {site: burst, least: 0.6, without: leaveout.Reservations},
-		"a burst of calls of 600 ms":    {site: long, least: 0.5, without: leaveout.Reservations},
-		"a kind that is 1% of all":      {site: rare, least: 0.9, without: leaveout.Sharing},
+		"short calls and large results": {site: registration(), minShare: 0.95, without: leaveout.Sharing},
+		"the same three times as large": {site: grown, minShare: 0.95, without: leaveout.Sharing},
+		"calls of 50 ms":                {site: uniform(50*time.Millisecond, 20, 200), minShare: 0.95, without: leaveout.Sharing},
+		"calls of 600 ms":               {site: uniform(600*time.Millisecond, 20, 20), minShare: 0.95, without: leaveout.Sharing},
+		"batches of 2":                  {site: uniform(200*time.Millisecond, 2, 24), minShare: 0.95, without: leaveout.Sharing},
+		"batches of 200":                {site: uniform(200*time.Millisecond, 200, 200), minShare: 0.95, without: leaveout.Sharing},
+		"six zones of one target each":  {site: sixZones, minShare: 0.95, without: leaveout.Sharing},
+		"two zones and three VMs":       {site: twoZones, minShare: 0.95, without: leaveout.Sharing},
+		"pools of two targets":          {site: twoTargets, minShare: 0.95, without: leaveout.Sharing},
+		"a burst of short calls":        {site: burst, minShare: 0.6, without: leaveout.Reservations},
+		"a burst of calls of 600 ms":    {site: long, minShare: 0.5, without: leaveout.Reservations},
+		"a kind that is 1% of all":      {site: rare, minShare: 0.9, without: leaveout.Sharing},
 	}
 }
 
 type shape struct {
-	site  site
-	least float64
-	// without is what the baseline leaves out.
+	site     site
+	minShare float64
+	// without is the mechanism that is disabled in the baseline.
 	without leaveout.Mechanism
 }
 
-// ordinaryTime is how long a load without a burst is played.
+// ordinaryTime is the simulated duration of a load without a burst.
 const ordinaryTime = 5 * time.Second
 
-// A site is set up whose calls, batches, zones or pools are unlike those of the
-// sites before. If anything were reckoned in their figures, its callers would be
-// refused or wait on an ordinary day, with its pools half idle.
-func TestOrdinaryLoadsOfAnyShapeAreServedInTime(t *testing.T) {
+// The calls, batches, zones or pools of a new deployment differ from those of earlier ones.
+// If any estimate were tuned to the earlier ones, callers would be refused or wait under an
+// ordinary load, while the pools are half idle.
+func TestLoadsOfAllShapesAreServedInTime(t *testing.T) {
 	for name, s := range shapes() {
 		t.Run(name, func(t *testing.T) {
 			if s.site.length == 0 && s.without != leaveout.Reservations {
 				s.site.length = ordinaryTime
 			}
-			present, without := map[string]tally{}, map[string]tally{}
+			with, without := map[string]tally{}, map[string]tally{}
 			synctest.Test(t, func(t *testing.T) {
-				p := play(21, s.site, policy{})
-				reportKinds(t, "present", p)
-				add(present, p)
-				assert.Equal(t, p.held, 0, "results were left behind")
+				p := simulate(21, s.site, policy{})
+				reportKinds(t, "all mechanisms", p)
+				addTallies(with, p)
+				assert.Equal(t, p.held, 0, "results were not freed")
 			})
 			synctest.Test(t, func(t *testing.T) {
-				p := play(21, s.site, leaving(s.without))
+				p := simulate(21, s.site, disabling(s.without))
 				reportKinds(t, "without "+string(s.without), p)
-				add(without, p)
+				addTallies(without, p)
 			})
-			for kind, sum := range present {
-				assert.Check(t, sum.share() > s.least, "%s: %+v", kind, sum)
+			for kind, sum := range with {
+				assert.Check(t, sum.share() > s.minShare, "%s: %+v", kind, sum)
 			}
-			assert.Check(t, inTimeOf(present) > inTimeOf(without), "%s is worth nothing: %+v %+v", s.without, present, without)
+			assert.Check(t, inTimeOf(with) > inTimeOf(without), "%s has no effect: %+v %+v", s.without, with, without)
 		})
 	}
 }
 
-func reportKinds(t *testing.T, name string, p played) {
+func reportKinds(t *testing.T, name string, p simulated) {
 	t.Helper()
 	for kind, sum := range p.kinds {
 		t.Logf("%s: %s asked %d, in time %.3f, late %d, refused %d", name, kind, sum.asked, sum.share(), sum.late, sum.refused)
 	}
 }
 
-// inTimeOf is how many answers of all kinds were in time.
+// inTimeOf returns how many answers of all kinds were in time.
 func inTimeOf(sums map[string]tally) int {
 	total := 0
 	for _, sum := range sums {
--- a/internal/serve/run/metrics.go
+++ b/internal/serve/run/metrics.go
@@ -10,17 +10,16 @@
 	"github.com/vanillagate/vanillagate/internal/serve/leaveout"
 )
 
-// Metrics counts requests by their outcome and keeps a histogram of the time to
-// the answer's head for each kind of route and each team.
+// Metrics counts requests by outcome and keeps a histogram of the time to the answer's
+// header for each kind of route and each team.
 type Metrics struct{ Registry metrics.Registry }
 
-// series names a metric with one label.
+// series returns the name of a metric with one label.
 func series(name, label, value string) string {
 	return name + "{" + label + "=" + strconv.Quote(value) + "}"
 }
 
-// sampleSize of the histograms, and how much the newest values count; the
-// library's usual figures.
+// Size of the histograms' samples and weight of recent values, as the library recommends.
 const (
 	sampleSize  = 512
 	sampleAlpha = 0.015
@@ -49,30 +48,30 @@
 	m.count("streams.cut")
 }
 
-// late tells where the time of an answer went that came after its objective.
-func (e *Executor) late(j *job, took time.Duration) {
+// logLate logs where the time went for an answer that came after its objective.
+func (e *Executor) logLate(j *job, took time.Duration) {
 	e.Metrics.count("answers.late")
 	fields := []zap.Field{
 		requestID(j.req.ID), zap.String("route", j.route.Name), zap.String("service", j.service),
 		zap.Duration("after", took), zap.Duration("objective", j.route.Objective),
-		zap.Duration("target_took", time.Since(j.askedAt)), zap.Int("arrivals", j.arrivals),
-		zap.Duration("claimed_wait", j.claims.wait), zap.Int("claims", j.claims.made),
+		zap.Duration("target_took", time.Since(j.sentAt)), zap.Int("arrivals", j.sends),
+		zap.Duration("claimed_wait", j.claimState.wait), zap.Int("claims", j.claimState.attempts),
 		zap.Int("prompt_tokens", j.req.Prompt.Input), zap.Int("own_tokens", j.req.Prompt.UnsharedTokens()),
 	}
 	if !j.preparedAt.IsZero() {
 		fields = append(fields, zap.Duration("stages_took", j.preparedAt.Sub(j.req.Arrived)),
-			zap.String("slowest_stage", j.slowest.service), zap.Duration("slowest_took", j.slowest.took))
+			zap.String("slowest_stage", j.slowestStage.service), zap.Duration("slowest_took", j.slowestStage.took))
 	}
-	if j.restarted != nil {
-		fields = append(fields, zap.NamedError("stages_restarted", j.restarted))
+	if j.restartErr != nil {
+		fields = append(fields, zap.NamedError("stages_restarted", j.restartErr))
 	}
 	e.Log.Info("Answer came late.", fields...)
 }
 
-// note records what became of a request. Answers of our own get a line in the
-// log with what decided them; targets' answers only at debug level, since
-// there are as many as requests.
-func (e *Executor) note(j *job, reply *Reply) {
+// record records the outcome of a request. Every answer made by this process is logged with
+// what determined it. Answers of targets are only counted, since there are as many as
+// requests; those after their objective are logged too.
+func (e *Executor) record(j *job, reply *Reply) {
 	took := time.Since(j.req.Arrived)
 	if reply.Answer != nil {
 		e.Metrics.count("vanillagate_answers{by=\"target\"}")
@@ -81,11 +80,11 @@
 			e.Metrics.observe(series("vanillagate_answer_us", "team", j.team.Name), took)
 		}
 		if !j.preparedAt.IsZero() && !e.LeaveOut.Has(leaveout.LearntEngines) {
-			e.firstEvents.note(j.service, j.req.Prompt, time.Since(j.askedAt))
-			j.learn(time.Since(j.askedAt))
+			e.firstEventModel.record(j.service, j.req.Prompt, time.Since(j.sentAt))
+			j.recordPrefill(time.Since(j.sentAt))
 		}
 		if j.route.Objective > 0 && took > j.route.Objective {
-			e.late(j, took)
+			e.logLate(j, took)
 		}
 		return
 	}
@@ -94,14 +93,14 @@
 	fields := []zap.Field{
 		requestID(j.req.ID), zap.Int("status", reply.Status), zap.String("reason", string(reply.Reason)),
 		zap.Duration("after", took), zap.Duration("retry_after", reply.RetryAfter),
-		zap.Int("arrivals", j.arrivals), zap.Int("ran", j.ran), zap.Uint64("plan", e.Plans.Version()),
+		zap.Int("arrivals", j.sends), zap.Int("ran", j.runs), zap.Uint64("plan", e.Plans.Version()),
 	}
-	if j.held != nil {
-		fields = append(fields, zap.Error(j.held))
+	if j.stageErr != nil {
+		fields = append(fields, zap.Error(j.stageErr))
 	}
 	if j.route != nil {
 		fields = append(fields, zap.String("route", j.route.Name), zap.String("service", j.service),
-			zap.Duration("patience", j.patience()))
+			zap.Duration("patience", j.timeout()))
 	}
 	e.Log.Info("Answered by ourselves.", fields...)
 }
--- a/internal/serve/run/refusal_test.go
+++ b/internal/serve/run/refusal_test.go
@@ -15,26 +15,26 @@
 	"github.com/vanillagate/vanillagate/internal/serve/quota"
 )
 
-// A target took a request and its answer was lost, the next one found that the
-// inputs are gone, and the stages can't be done again in time. A caller that is told
-// that nothing ran may book elsewhere, although the first target has worked for it.
-func TestARefusalOfStagesIsTrueAfterAnAttempt(t *testing.T) {
+// The answer of the first target was lost, the second target reported that the inputs are
+// gone, and the stages can't be run again in time. If the caller were told that the request
+// didn't run, it might book elsewhere although the first target has run it.
+func TestStageRefusalAfterAttemptSaysItMayHaveRun(t *testing.T) {
 	for _, reason := range []gather.Reason{gather.Late, gather.NoTarget, gather.TargetFailed} {
-		for ran, status := range map[int]int{0: fasthttp.StatusServiceUnavailable, 1: fasthttp.StatusBadGateway} {
-			j := &job{ctx: context.Background(), ran: ran}
-			reply := j.stageRefusal(&gather.RefusedError{Reason: reason})
-			assert.Equal(t, reply.Status, status, "%s after %d that may have run", reason, ran)
+		for runs, status := range map[int]int{0: fasthttp.StatusServiceUnavailable, 1: fasthttp.StatusBadGateway} {
+			j := &job{ctx: context.Background(), runs: runs}
+			reply := j.refuseForStages(&gather.RefusedError{Reason: reason})
+			assert.Equal(t, reply.Status, status, "%s after %d attempts that may have run", reason, runs)
 		}
 	}
 	ended, cancel := context.WithCancelCause(context.Background())
 	cancel(ErrTimeout)
-	j := &job{ctx: ended, ran: 1}
-	assert.Equal(t, j.stageRefusal(context.Canceled).Status, fasthttp.StatusGatewayTimeout)
+	j := &job{ctx: ended, runs: 1}
+	assert.Equal(t, j.refuseForStages(context.Canceled).Status, fasthttp.StatusGatewayTimeout)
 }
 
-// A process that has just started has the configuration and no targets yet. It can't serve,
-// and must say when it probably can: callers come back once.
-func TestAProcessWithoutTargetsSaysWhenItWillHaveThem(t *testing.T) {
+// A process that has just started has the configuration but no targets yet. It can't serve,
+// and must tell callers when it probably can, since they retry only once.
+func TestProcessWithoutTargetsSetsRetryAfter(t *testing.T) {
 	const soon = 1700 * time.Millisecond
 	plans := &plan.Holder{}
 	plans.Apply(&plan.Plan{Version: 1, Routes: []plan.Route{{
--- a/internal/serve/run/request.go
+++ b/internal/serve/run/request.go
@@ -1,6 +1,6 @@
-// Package run takes one request through its stages to a target and back. It
-// knows what may be repeated, when to give up, and what to tell the caller
-// then; what the wire looks like on either side it doesn't know.
+// Package run processes one request: it runs the stages, sends the request to a target and
+// returns the answer. It decides what may be retried, when to give up, and what the caller
+// is told then. It doesn't know the wire formats of callers and targets; see Codec.
 package run
 
 import (
@@ -14,74 +14,73 @@
 	"github.com/vanillagate/vanillagate/internal/serve/upstream"
 )
 
-// Request is a caller's request as a front has read it.
+// Request is a caller's request as parsed by the front end.
 type Request struct {
-	// ID names this attempt of the caller's.
+	// ID identifies this attempt of the caller.
 	ID     string
 	Method string
-	// URI is path and query, Path the path alone, both as the caller sent them.
+	// URI is the path with the query, Path the path alone, both as sent by the caller.
 	URI  string
 	Path string
 	Host string
-	// Header has the lines to pass on.
+	// Header has the header lines to forward.
 	Header []upstream.Header
 	Body   []byte
-	// Key is the caller's key; empty for none.
+	// Key is the caller's API key; empty if none.
 	Key     string
 	Arrived time.Time
-	// Patience is how long the caller waits from Arrived on; 0 where it didn't
-	// say.
+	// Patience is how long the caller waits after Arrived; 0 if it didn't say.
 	Patience time.Duration
-	// Pieces is how many pieces each stage has, 0 for a stage left out, and
-	// PieceKey names what they are made from.
+	// Pieces is the number of pieces of each stage, 0 for a skipped stage. PieceKey
+	// identifies the data from which they are made.
 	Pieces   []int
 	PieceKey string
 	Prompt   place.Prompt
-	// LastEvent is the id of the last event that the caller has of this stream.
+	// LastEvent is the id of the last event of this stream that the caller has received.
 	LastEvent string
 }
 
-// AttemptInfo is what an attempt at a target tells it besides the request itself.
+// AttemptInfo is what a target is told with an attempt in addition to the request itself.
 type AttemptInfo struct {
-	// Target is the ID of the one that is meant.
+	// Target is the ID of the target that the attempt is meant for.
 	Target string
 	// Team is the customer's name; empty on public routes.
 	Team string
-	// Remaining is how long the answer is waited for.
+	// Remaining is how long the answer is awaited.
 	Remaining time.Duration
-	// Inputs are the results of the stages.
+	// Inputs are the handles of the stages' results.
 	Inputs []string
-	// LastEvent is the id of the last event that arrived, if this goes on with
-	// a stream.
+	// LastEvent is the id of the last event received, if the attempt resumes a stream.
 	LastEvent string
 	// Rank is the request's priority.
 	Rank int
 }
 
-// AnswerInfo is what a target says of itself with an answer.
+// AnswerInfo is what a target reports about itself and the request in the header of an
+// answer.
 type AnswerInfo struct {
-	// ID of the request that the answer belongs to; empty where it isn't said.
+	// ID is the ID of the request that the answer belongs to; empty if it isn't given.
 	ID string
 	// NotRun means that the target certainly didn't run the request.
 	NotRun bool
-	// Signed means that the answer bears the target's signature.
+	// Signed means that the answer has the target's signature.
 	Signed bool
-	// Report is the target's load; nil without one.
+	// Report is the target's load; nil if it isn't given.
 	Report *pool.Report
 }
 
-// Codec translates between this package and the wire of the targets.
+// Codec translates between this package and the wire format of the targets.
 type Codec interface {
-	// RequestHeader gives the header lines of an attempt.
-	RequestHeader(r *Request, s AttemptInfo) []upstream.Header
-	// ReadAnswer tells what an answer's header says.
+	// RequestHeader returns the header lines of an attempt.
+	RequestHeader(r *Request, info AttemptInfo) []upstream.Header
+	// ReadAnswer parses the header of an answer.
 	ReadAnswer(h *fasthttp.ResponseHeader) AnswerInfo
 }
 
-// Reason says why a request got an answer of our own.
+// Reason says why this process answered a request itself.
 type Reason string
 
-// The reasons.
+// Reasons for answers made by this process.
 const (
 	NoConfiguration Reason = "no configuration yet"
 	NoTargetsYet    Reason = "targets aren't known yet"
@@ -103,20 +102,21 @@
 // Reply is the answer to a caller.
 type Reply struct {
 	Status int
-	// Target's answer, to be passed on as it is; nil for one of our own.
+	// Answer is the target's answer, to be forwarded unchanged; nil if this process made
+	// the answer.
 	Answer *Answer
-	// Reason of an answer of our own.
+	// Reason says why this process made the answer.
 	Reason Reason
-	// RetryAfter is when to come back; 0 says nothing.
+	// RetryAfter is when the caller should retry; 0 if unspecified.
 	RetryAfter time.Duration
 }
 
 // Answer is a target's answer.
 type Answer struct {
 	Header []upstream.Header
-	// Body ends with io.EOF only if it is whole. Close it always.
+	// Body returns io.EOF only if the answer is complete. It must always be closed.
 	Body io.ReadCloser
-	// Length in bytes; -1 where it isn't known.
+	// Length is the length in bytes; -1 if unknown.
 	Length int
 }
 
--- a/internal/serve/run/play_test.go
+++ b/internal/serve/run/simulation_test.go
@@ -23,76 +23,76 @@
 	"github.com/vanillagate/vanillagate/internal/serve/servetest"
 )
 
-// These tests play the load of a whole deployment's stage pools in virtual
-// time: processes, gatherers and reservations are the product's, the pools a model
-// with the figures of today's sites.
+// These tests simulate the load on the stage pools of a whole deployment in virtual time.
+// Processes, gatherers and reservations are the real code; the pools are a model with
+// parameters of existing deployments.
 
-// kind is one kind of request of a played load.
-type kind struct {
+// requestKind is one kind of request of a simulated load.
+type requestKind struct {
 	name      string
 	perSecond float64
 	route     plan.Route
-	// pieces draws how many pieces each stage has.
+	// pieces draws the number of pieces of each stage.
 	pieces func(*rand.Rand) []int
 	// burst multiplies perSecond from burstFrom to burstTo.
 	burst float64
-	// engine is how long an engine takes to the first event; 0 is engineTime.
+	// engine is how long an engine takes to the first event; 0 means engineTime.
 	engine time.Duration
-	// prompt is the length of its prompts in tokens.
+	// prompt is the length of the prompts in tokens.
 	prompt int
 }
 
 const (
-	playTime  = 24 * time.Second
+	loadTime  = 24 * time.Second
 	burstFrom = 8 * time.Second
 	burstTo   = 14 * time.Second
-	// engineTime is how long results are held after the stages, unless a kind
-	// has another time: reading the prompt.
+	// engineTime is how long an engine takes to read the prompt after the stages, unless
+	// the kind sets another time. The results of the stages are held for that time.
 	engineTime = 150 * time.Millisecond
 )
 
-// site is what a load is played on.
+// site is a simulated deployment and its load.
 type site struct {
 	services []plan.Service
-	kinds    []kind
+	kinds    []requestKind
 	vms      int
-	// perZone is how many targets each service has in each zone; perService
-	// overrides it by service.
+	// perZone is how many targets each service has in each zone; perService overrides it by
+	// service.
 	perZone    []int
 	perService map[string][]int
-	// away are targets that are gone, by service.
-	away map[string]int
-	slow map[string]float64
-	fail func(gather.Item) bool
-	// stall is how long a call takes to be written.
+	// missing is the number of targets that are not available, by service.
+	missing map[string]int
+	slow    map[string]float64
+	fail    func(gather.Item) bool
+	// stall is the delay before a call is written to the connection.
 	stall time.Duration
-	// behind are how many processes know none of the services yet.
-	behind int
-	// length of the load; 0 is playTime.
+	// unconfigured is how many processes don't know any of the services yet.
+	unconfigured int
+	// length is the duration of the load; 0 means loadTime.
 	length time.Duration
-	// meanwhile is called beside the load with the processes' networks.
-	meanwhile func([]*servetest.Node)
-	// orders is called beside the load with the processes and the pools.
-	orders func([]*Executor, *servetest.Pools)
+	// withNodes runs concurrently with the load and gets the processes' network nodes.
+	withNodes func([]*servetest.Node)
+	// withExecutors runs concurrently with the load and gets the processes and the pools.
+	withExecutors func([]*Executor, *servetest.Pools)
 }
 
-// policy is how the stages are run: what is left out of it.
+// policy says which mechanisms are disabled in a simulation.
 type policy struct{ leaveOut leaveout.Set }
 
-// leaving is the policy without some mechanisms.
-func leaving(names ...leaveout.Mechanism) policy { return policy{leaveOut: leaveout.Of(names...)} }
+// disabling returns a policy that disables the given mechanisms.
+func disabling(names ...leaveout.Mechanism) policy { return policy{leaveOut: leaveout.Of(names...)} }
 
-// tally counts what callers of one kind got.
+// tally counts the outcomes of the requests of one kind.
 type tally struct{ asked, inTime, late, refused int }
 
 func (t tally) share() float64 { return float64(t.inTime) / float64(max(t.asked, 1)) }
 
-// played is the outcome of a played load.
-type played struct {
+// simulated is the result of a simulation.
+type simulated struct {
 	kinds map[string]tally
 	pools *servetest.Pools
 	held  int
-	// refused are the requests that were given up.
+	// refused has the requests that got no answer from an engine.
 	refused map[string]bool
 }
 
@@ -103,7 +103,7 @@
 	}}
 }
 
-// reservoir is the load of a site whose second stage binds.
+// reservoir is the load of a deployment whose second stage is the bottleneck.
 func reservoir() site {
 	chain := []plan.Stage{
 		{Service: "intake", ResultBytes: 8000},
@@ -121,7 +121,7 @@
 		services: []plan.Service{
 			batchService("intake", 8, 26, 9.6), batchService("notify", 34, 6.1, 3.7), batchService("ops", 26, 7.9, 0.28),
 		},
-		kinds: []kind{
+		kinds: []requestKind{
 			{name: "notice", perSecond: 9.2, route: streamRoute("notice", 0, 2700, withBig), pieces: func(r *rand.Rand) []int {
 				big := 0
 				if r.Float64() < 0.4 {
@@ -150,23 +150,23 @@
 	}
 }
 
-// play plays a load. Run it in a synctest bubble.
-func play(seed uint64, s site, p policy) played {
-	life, stop := context.WithCancel(context.Background())
+// simulate runs a load. It must be called in a synctest bubble.
+func simulate(seed uint64, s site, p policy) simulated {
+	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	pools := &servetest.Pools{Services: map[string]*plan.Batch{}, Slow: s.slow, Fail: s.fail, Stall: s.stall}
 	for _, service := range s.services {
 		pools.Services[service.Name] = service.Batch
 	}
-	executors, nodes := s.start(life, p, pools)
+	executors, nodes := s.start(runCtx, p, pools)
 	time.Sleep(3 * time.Second)
-	if s.meanwhile != nil {
-		go s.meanwhile(nodes)
+	if s.withNodes != nil {
+		go s.withNodes(nodes)
 	}
-	if s.orders != nil {
-		go s.orders(executors, pools)
+	if s.withExecutors != nil {
+		go s.withExecutors(executors, pools)
 	}
-	out := played{kinds: map[string]tally{}, pools: pools, refused: map[string]bool{}}
+	out := simulated{kinds: map[string]tally{}, pools: pools, refused: map[string]bool{}}
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for i, k := range s.kinds {
@@ -180,12 +180,12 @@
 				}
 				time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 				at := executors[random.IntN(len(executors))]
-				if i := slices.Index(executors, at); i < s.behind || !nodes[i].Living() {
-					continue // its callers go elsewhere
+				if i := slices.Index(executors, at); i < s.unconfigured || !nodes[i].Living() {
+					continue // its callers use other processes
 				}
 				pieces, id := k.pieces(random), fmt.Sprintf("%s-%d", k.name, n)
 				all.Go(func() {
-					got := ask(life, at, k, id, pieces)
+					got := ask(runCtx, at, k, id, pieces)
 					mu.Lock()
 					defer mu.Unlock()
 					sum := out.kinds[k.name]
@@ -218,8 +218,8 @@
 	inTime
 )
 
-// ask sends one request through its stages.
-func ask(life context.Context, e *Executor, k kind, id string, pieces []int) outcome {
+// ask runs the stages of one request and waits for the engine.
+func ask(runCtx context.Context, e *Executor, k requestKind, id string, pieces []int) outcome {
 	start := time.Now()
 	route := k.route
 	j := &job{
@@ -228,14 +228,14 @@
 			ID: id, Pieces: pieces, PieceKey: "k", Arrived: start, Prompt: place.Prompt{Input: k.prompt},
 		},
 	}
-	j.ctx, j.cancel = context.WithDeadlineCause(life, j.deadline, ErrTimeout)
-	defer j.end()
+	j.ctx, j.cancel = context.WithDeadlineCause(runCtx, j.deadline, ErrTimeout)
+	defer j.cleanUp()
 	if j.prepare() != nil {
 		return refused
 	}
 	engine := cmp.Or(k.engine, engineTime)
 	time.Sleep(engine)
-	e.firstEvents.note(j.service, j.req.Prompt, engine)
+	e.firstEventModel.record(j.service, j.req.Prompt, engine)
 	if time.Since(start) <= route.Objective {
 		return inTime
 	}
@@ -246,15 +246,15 @@
 	if s.length > 0 {
 		return s.length
 	}
-	return playTime
+	return loadTime
 }
 
-// start makes the processes.
-func (s site) start(life context.Context, p policy, pools *servetest.Pools) (executors []*Executor, nodes []*servetest.Node) {
+// start creates the processes.
+func (s site) start(runCtx context.Context, p policy, pools *servetest.Pools) (executors []*Executor, nodes []*servetest.Node) {
 	cluster := &servetest.Cluster{Delay: time.Millisecond}
 	for i := range s.vms {
 		node := cluster.Add(fmt.Sprintf("vm-%d", i), zoneName(i%len(s.perZone)))
-		executors = append(executors, s.process(life, p, node, pools, i < s.behind))
+		executors = append(executors, s.process(runCtx, p, node, pools, i < s.unconfigured))
 		nodes = append(nodes, node)
 	}
 	return executors, nodes
@@ -262,12 +262,12 @@
 
 func zoneName(i int) string { return string(rune('a' + i)) }
 
-func (s site) process(life context.Context, p policy, node *servetest.Node, pools *servetest.Pools, behind bool) *Executor {
+func (s site) process(runCtx context.Context, p policy, node *servetest.Node, pools *servetest.Pools, unconfigured bool) *Executor {
 	table := pool.New(zap.NewNop())
 	table.Reset(s.entries(), 1, time.Now())
 	plans := &plan.Holder{}
 	services := []plan.Service{{Name: "engines"}}
-	if !behind {
+	if !unconfigured {
 		services = append(services, s.services...)
 	}
 	plans.Apply(&plan.Plan{Version: 1, Services: services})
@@ -276,7 +276,7 @@
 		Budget: quota.New(quota.Rule{}, time.Now()), LeaveOut: p.leaveOut,
 		Stages: gather.New(gather.Options{
 			Log: zap.NewNop(), Network: node, Table: table, LeaveOut: p.leaveOut,
-			Gatherer: gather.NewGatherer(life, zap.NewNop(), table, plans, pools),
+			Gatherer: gather.NewGatherer(runCtx, zap.NewNop(), table, plans, pools),
 		}),
 	}
 }
@@ -292,7 +292,7 @@
 		for zone, count := range perZone {
 			for range count {
 				n++
-				if n <= s.away[service.Name] {
+				if n <= s.missing[service.Name] {
 					continue
 				}
 				list = append(list, pool.Entry{
@@ -305,7 +305,7 @@
 	return list
 }
 
-func report(t *testing.T, name string, p played) {
+func report(t *testing.T, name string, p simulated) {
 	t.Helper()
 	for _, k := range []string{"notice", "explain", "label"} {
 		sum := p.kinds[k]
@@ -316,58 +316,59 @@
 	}
 }
 
-// Eight processes see a few requests a second each. If each sends its own items
-// to the stage targets, the calls carry one request's items and the pools are
-// overloaded on an ordinary day: callers wait for seconds or are refused.
-func TestGatheringOverAllProcessesServesAnOrdinaryLoad(t *testing.T) {
+// Each of eight processes gets a few requests a second. If each sends its own items to the
+// stage targets, every call carries the items of one request only and the pools are
+// overloaded under an ordinary load: callers wait for seconds or are refused.
+func TestGatheringAcrossProcessesServesOrdinaryLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gathered := play(1, reservoir(), policy{})
-		report(t, "gathered", gathered)
+		gathered := simulate(1, reservoir(), policy{})
+		report(t, "with sharing", gathered)
 		for name, sum := range gathered.kinds {
 			assert.Assert(t, sum.share() > 0.97, "%s: %+v", name, sum)
 		}
-		assert.Equal(t, gathered.held, 0, "results were left behind")
+		assert.Equal(t, gathered.held, 0, "results were not freed")
 	})
 	synctest.Test(t, func(t *testing.T) {
-		alone := play(1, reservoir(), leaving(leaveout.Sharing))
-		report(t, "alone", alone)
-		assert.Assert(t, alone.kinds["explain"].share() < 0.85, "alone serves as well: %+v", alone.kinds)
+		alone := simulate(1, reservoir(), disabling(leaveout.Sharing))
+		report(t, "without sharing", alone)
+		assert.Assert(t, alone.kinds["explain"].share() < 0.85, "as many are in time without sharing: %+v", alone.kinds)
 	})
 }
 
-// A burst of three times the requests of one kind meets a pool with one target of
-// five away. If all of them are taken, all wait for one another: for ten seconds
-// three of four answers come late, those of the other kinds too. A caller that
-// is refused at once can come back or ask elsewhere.
-func TestBurstOnAWeakenedPoolLeavesWhatItCanServeInTime(t *testing.T) {
+// A burst of three times the requests of one kind meets a pool with one of five targets
+// missing. If all requests are accepted, they delay one another: for ten seconds three of
+// four answers are late, including those of the other kinds. A caller that is refused at
+// once can retry or ask elsewhere.
+func TestBurstOnReducedPoolServesWhatFitsInTime(t *testing.T) {
 	load := reservoir()
 	load.kinds[1].burst = 3
-	load.away = map[string]int{"notify": 1}
-	present, without := map[string]tally{}, map[string]tally{}
+	load.missing = map[string]int{"notify": 1}
+	with, without := map[string]tally{}, map[string]tally{}
 	for seed := range uint64(3) {
 		synctest.Test(t, func(t *testing.T) {
-			p := play(seed, load, policy{})
-			report(t, "present", p)
-			add(present, p)
-			assert.Equal(t, p.held, 0, "results were left behind")
+			p := simulate(seed, load, policy{})
+			report(t, "with reservations", p)
+			addTallies(with, p)
+			assert.Equal(t, p.held, 0, "results were not freed")
 		})
 		synctest.Test(t, func(t *testing.T) {
-			p := play(seed, load, leaving(leaveout.Reservations))
-			report(t, "asks nobody", p)
-			add(without, p)
+			p := simulate(seed, load, disabling(leaveout.Reservations))
+			report(t, "without reservations", p)
+			addTallies(without, p)
 		})
 	}
-	assert.Assert(t, present["notice"].share() > 0.9, "%+v", present)
-	assert.Assert(t, present["label"].share() > 0.95, "%+v", present)
-	assert.Assert(t, present["explain"].share() > without["explain"].share()+0.06, "%+v %+v", present, without)
-	assert.Assert(t, present["explain"].late < without["explain"].late/2, "%+v %+v", present, without)
+	assert.Assert(t, with["notice"].share() > 0.9, "%+v", with)
+	assert.Assert(t, with["label"].share() > 0.95, "%+v", with)
+	assert.Assert(t, with["explain"].share() > without["explain"].share()+0.06, "%+v %+v", with, without)
+	assert.Assert(t, with["explain"].late < without["explain"].late/2, "%+v %+v", with, without)
 }
 
-// playAll plays a load in which of each kind more than a share is to be in time.
-func playAll(t *testing.T, name string, seed uint64, load site, share float64) {
+// simulateAll runs a load and checks that more than the given share of each kind's requests
+// is answered in time.
+func simulateAll(t *testing.T, name string, seed uint64, load site, share float64) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		p := play(seed, load, policy{})
+		p := simulate(seed, load, policy{})
 		report(t, name, p)
 		for kind, k := range p.kinds {
 			assert.Assert(t, k.share() > share, "%s: %+v", kind, k)
@@ -375,19 +376,19 @@
 	})
 }
 
-func add(sums map[string]tally, p played) {
+func addTallies(sums map[string]tally, p simulated) {
 	for name, k := range p.kinds {
 		sum := sums[name]
 		sums[name] = tally{sum.asked + k.asked, sum.inTime + k.inTime, sum.late + k.late, sum.refused + k.refused}
 	}
 }
 
-// The process that gathers for a pool stands still for three seconds while its
-// peers still take it for alive: its VM was paused. Items that were handed to it
-// would wait with it, and every request with them.
-func TestAFrozenGathererIsFailedOver(t *testing.T) {
+// The VM of a process that gathers for a pool is paused for three seconds while its peers
+// still consider it alive. Items that were sent to it would wait with it, and so would all
+// requests.
+func TestPausedGathererFailsOver(t *testing.T) {
 	load := reservoir()
-	load.meanwhile = func(nodes []*servetest.Node) {
+	load.withNodes = func(nodes []*servetest.Node) {
 		time.Sleep(8 * time.Second)
 		for _, n := range nodes[:2] {
 			n.Freeze()
@@ -397,48 +398,48 @@
 			n.Thaw()
 		}
 	}
-	playAll(t, "two of eight frozen", 4, load, 0.85)
+	simulateAll(t, "two of eight paused", 4, load, 0.85)
 }
 
-// Processes die with what they gathered, one after the other. The owners of the
-// items hand them to the next.
-func TestItemsOfADeadGathererAreHandedOn(t *testing.T) {
+// Processes that gather items are killed one after the other. The owners of the items
+// submit them to the next gatherer.
+func TestItemsOfDeadGathererAreResubmitted(t *testing.T) {
 	load := reservoir()
-	load.meanwhile = func(nodes []*servetest.Node) {
+	load.withNodes = func(nodes []*servetest.Node) {
 		for _, n := range nodes[:3] {
 			time.Sleep(4 * time.Second)
 			n.Kill()
 		}
 	}
-	playAll(t, "three of eight killed", 5, load, 0.85)
+	simulateAll(t, "three of eight killed", 5, load, 0.85)
 }
 
-// A new configuration has reached some processes and not yet others. The ones
-// that gather for a new service know nothing of it; its requests would be
-// refused until the last process has heard.
-func TestAGathererThatDoesNotKnowTheServiceIsFailedOver(t *testing.T) {
+// A new configuration has reached some processes but not yet others. The gatherers of a new
+// service that don't know it would refuse its requests until the last process has received
+// the configuration.
+func TestGathererWithoutTheServiceFailsOver(t *testing.T) {
 	load := reservoir()
-	load.behind, load.length = 3, 6*time.Second
-	playAll(t, "three of eight behind", 9, load, 0.9)
+	load.unconfigured, load.length = 3, 6*time.Second
+	simulateAll(t, "three of eight without the services", 9, load, 0.9)
 }
 
-// One stage target of five works four times as slowly. Whoever is in its call
-// waits a second and a half.
-func TestASlowStageTargetHurtsFew(t *testing.T) {
+// One stage target of five is four times slower. The items in its calls wait for a second
+// and a half.
+func TestSlowStageTargetAffectsFewRequests(t *testing.T) {
 	load := reservoir()
 	load.slow = map[string]float64{"notify-1": 4}
 	synctest.Test(t, func(t *testing.T) {
-		p := play(6, load, policy{})
-		report(t, "one slow", p)
+		p := simulate(6, load, policy{})
+		report(t, "one slow target", p)
 		assert.Assert(t, p.kinds["notice"].share() > 0.9, "%+v", p.kinds)
 		assert.Assert(t, p.kinds["explain"].share() > 0.85, "%+v", p.kinds)
 	})
 }
 
-// All targets of a stage take twice and a half as long as their settings say:
-// the pool is under strain, or the settings are wrong. There is no sounder
-// target to wait for; passing all of them over would refuse every request.
-func TestAPoolThatIsSlowAltogetherIsUsed(t *testing.T) {
+// All targets of a stage take two and a half times as long as configured: the pool is
+// overloaded, or the configuration is wrong. There is no faster target to wait for;
+// avoiding all of them would refuse every request.
+func TestPoolOfSlowTargetsIsUsed(t *testing.T) {
 	load := reservoir()
 	load.length = 8 * time.Second
 	load.slow = map[string]float64{}
@@ -449,8 +450,8 @@
 		load.kinds[i].perSecond /= 3
 	}
 	synctest.Test(t, func(t *testing.T) {
-		p := play(10, load, policy{})
-		report(t, "all slow", p)
+		p := simulate(10, load, policy{})
+		report(t, "all targets slow", p)
 		for name, k := range p.kinds {
 			assert.Assert(t, k.refused*10 < k.asked, "%s: %+v", name, k)
 		}
@@ -458,9 +459,9 @@
 	})
 }
 
-// One item in a hundred fails at its target. Its request isn't lost with it: the
-// item is made again elsewhere.
-func TestItemsThatFailAreMadeElsewhere(t *testing.T) {
+// One item in a hundred fails at its target. Its request doesn't fail: the item is run
+// again at another target.
+func TestFailedItemsAreRetriedElsewhere(t *testing.T) {
 	load := reservoir()
 	n := 0
 	load.fail = func(gather.Item) bool {
@@ -468,7 +469,7 @@
 		return n%100 == 0
 	}
 	synctest.Test(t, func(t *testing.T) {
-		p := play(7, load, policy{})
+		p := simulate(7, load, policy{})
 		report(t, "one in a hundred fails", p)
 		for name, k := range p.kinds {
 			assert.Assert(t, k.share() > 0.84, "%s: %+v", name, k)
@@ -477,24 +478,24 @@
 	})
 }
 
-// A site ten times as large: sixty processes, and pools that are divided into
-// shards by zone, so that nobody gathers for all of a large pool.
-func TestALargeSiteIsServedAlike(t *testing.T) {
+// A deployment ten times as large: sixty processes, and pools that are divided into shards
+// by zone, so that no process gathers for a whole large pool.
+func TestLargeDeploymentIsServedInTime(t *testing.T) {
 	load := reservoir()
 	load.length = 5 * time.Second
 	load.vms, load.perZone = 60, []int{18, 18, 14}
 	for i := range load.kinds {
 		load.kinds[i].perSecond *= 10
 	}
-	playAll(t, "ten times", 8, load, 0.95)
+	simulateAll(t, "ten times as large", 8, load, 0.95)
 }
 
-// All processes start at the same moment, after a loss of power. For some
-// hundred ms each knows no other; if each gathered for itself then, every target
+// All processes start at the same moment, after a loss of power. For some hundred
+// milliseconds none knows any other. If each gathered for itself in that time, every target
 // would be called by all of them, and most calls would find it full.
-func TestAProcessThatHasJustStartedWaitsForPeers(t *testing.T) {
+func TestNewProcessWaitsForPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		life, stop := context.WithCancel(context.Background())
+		runCtx, stop := context.WithCancel(context.Background())
 		defer stop()
 		load := reservoir()
 		pools := &servetest.Pools{Services: map[string]*plan.Batch{}}
@@ -502,54 +503,54 @@
 			pools.Services[service.Name] = service.Batch
 		}
 		cluster := &servetest.Cluster{Delay: time.Millisecond}
-		e := load.process(life, policy{}, cluster.Add("first", "a"), pools, false)
+		e := load.process(runCtx, policy{}, cluster.Add("first", "a"), pools, false)
 		got := make(chan outcome, 1)
-		go func() { got <- ask(life, e, load.kinds[1], "r", []int{1, 8, 6}) }()
+		go func() { got <- ask(runCtx, e, load.kinds[1], "r", []int{1, 8, 6}) }()
 		time.Sleep(200 * time.Millisecond)
 		assert.Equal(t, pools.CallsOf("intake"), 0)
-		load.process(life, policy{}, cluster.Add("second", "a"), pools, false)
+		load.process(runCtx, policy{}, cluster.Add("second", "a"), pools, false)
 		time.Sleep(100 * time.Millisecond)
 		assert.Equal(t, pools.CallsOf("intake"), 1)
 		assert.Equal(t, <-got, inTime)
 		time.Sleep(time.Second)
 
-		alone := load.process(life, policy{}, (&servetest.Cluster{}).Add("alone", "a"), pools, false)
-		assert.Equal(t, ask(life, alone, load.kinds[1], "s", []int{1, 8, 6}), inTime)
+		alone := load.process(runCtx, policy{}, (&servetest.Cluster{}).Add("alone", "a"), pools, false)
+		assert.Equal(t, ask(runCtx, alone, load.kinds[1], "s", []int{1, 8, 6}), inTime)
 	})
 }
 
-// The gatherers' VMs are small and stand still for a tenth of a second between
-// deciding on a call and writing it. Inputs that were given back meanwhile are
-// gone when the call arrives, and each such request starts its stages over.
-func TestInputsOutliveASlowGatherer(t *testing.T) {
+// The gatherers' VMs are small and pause for 100 ms between preparing a call and writing
+// it. If inputs are freed in that time, they are gone when the call arrives, and each such
+// request runs its stages again.
+func TestInputsAreKeptForSlowGatherer(t *testing.T) {
 	load := reservoir()
 	load.stall = 100 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		p := play(12, load, policy{})
+		p := simulate(12, load, policy{})
 		report(t, "calls written late", p)
-		// What was still on its way for a request that was given up may miss its
-		// inputs: nobody waits for it.
+		// Items of requests that were refused may still be processed and miss their inputs.
+		// Nobody waits for them.
 		for request, items := range p.pools.Gone {
 			assert.Check(t, p.refused[request], "%s: the inputs of %d items were gone", request, items)
 		}
 	})
 }
 
-// Engines take half a second to the first event of the kind with the longest
-// prompts. If its stages are done as if it were a fifth, then in a burst, when
-// everything is done just in time, its answers come late one and all.
-func TestStagesLeaveEnginesTheirTime(t *testing.T) {
+// Engines take half a second to the first event of the kind with the longest prompts. If
+// its stages were scheduled for a fifth of a second, all its answers would be late in a
+// burst, when everything finishes just in time.
+func TestStageDeadlinesAllowForEngineTime(t *testing.T) {
 	load := reservoir()
 	load.kinds = slices.Clone(load.kinds)
 	load.kinds[0].engine = 500 * time.Millisecond
 	load.kinds[0].prompt = 20_000
 	load.kinds[0].burst = 3
 	synctest.Test(t, func(t *testing.T) {
-		p := play(14, load, policy{})
+		p := simulate(14, load, policy{})
 		report(t, "slow engines", p)
-		// 0.78 to 0.79 with one figure for all engines and nearly all of a shard's
-		// rate reserved, 0.90 to 0.93 with engines' times learnt by route and four
-		// fifths reserved, 0.95 to 0.96 with times learnt by length.
+		// Measured shares: 0.78 to 0.79 with one estimate for all engines and nearly all of
+		// a shard's rate reserved, 0.90 to 0.93 with estimates by route and four fifths
+		// reserved, 0.95 to 0.96 with estimates by length of the prompt.
 		assert.Assert(t, p.kinds["notice"].share() > 0.92)
 	})
 }
--- a/internal/serve/run/stages.go
+++ b/internal/serve/run/stages.go
@@ -8,22 +8,23 @@
 	"github.com/vanillagate/vanillagate/internal/serve/gather"
 )
 
-// inputs are the results of a request's stages.
+// inputs are the results of a request's stages that are sent to the target.
 type inputs struct {
-	// handles of all pieces of the stages that no other stage follows, in order.
+	// handles identify the results of all pieces of the stages that no other stage follows,
+	// in order.
 	handles []string
-	// bytes of these by zone.
+	// bytes is the size of these results by zone.
 	bytes map[string]int
 	free  func()
 }
 
-// stageTime is how long one stage of a request took, its wait included.
+// stageTime is how long one stage of a request took, including its wait.
 type stageTime struct {
 	service string
 	took    time.Duration
 }
 
-// release gives back their space; calling it again does nothing.
+// release frees the results; further calls do nothing.
 func (in *inputs) release() {
 	if in.free != nil {
 		in.free()
@@ -31,49 +32,50 @@
 	}
 }
 
-// makeInputs has all stages done. Stages that lose an input start over once.
-func (j *job) makeInputs() (*inputs, error) {
-	asked, err := j.askStages()
+// runStages reserves capacity for all stages and runs them. If a stage loses an input, all
+// of them are run once more.
+func (j *job) runStages() (*inputs, error) {
+	reserved, err := j.reserveStages()
 	if err != nil {
 		return nil, err
 	}
-	made, err := j.tryStages()
+	results, err := j.runStagesOnce()
 	var refused *gather.RefusedError
 	if errors.As(err, &refused) && refused.Reason == gather.InputGone {
-		j.restarted = err
-		made, err = j.tryStages()
+		j.restartErr = err
+		results, err = j.runStagesOnce()
 	}
 	if err != nil {
-		j.Stages.CancelReservations(j.req.ID, asked)
+		j.Stages.CancelReservations(j.req.ID, reserved)
 	}
-	return made, err
+	return results, err
 }
 
-// zonesAsked is in how many zones a request's stages are asked for before it is
-// refused: the least busy of two hashed choices is nearly the least busy of all.
-const zonesAsked = 2
+// maxZonesAsked is in how many zones capacity for the stages is requested before the
+// request is refused: the less busy of two hashed choices is nearly the least busy of all.
+const maxZonesAsked = 2
 
-// askStages asks whether the stages can be done in time, and settles where.
-func (j *job) askStages() ([]gather.Shard, error) {
-	g := newGraph(j)
+// reserveStages asks whether the stages can be finished in time, and determines their zone.
+func (j *job) reserveStages() ([]gather.Shard, error) {
+	g := newStageGraph(j)
 	zones := j.Stages.Zones(g.services(), j.req.ID)
 	if len(zones) == 0 {
-		return j.Stages.ReserveStages(j.ctx, j.req.ID, g.plans())
+		return j.Stages.ReserveStages(j.ctx, j.req.ID, g.wants())
 	}
 	var refused error
-	for _, zone := range zones[:min(len(zones), zonesAsked)] {
+	for _, zone := range zones[:min(len(zones), maxZonesAsked)] {
 		j.zone = zone
-		asked, err := j.Stages.ReserveStages(j.ctx, j.req.ID, g.plans())
+		reserved, err := j.Stages.ReserveStages(j.ctx, j.req.ID, g.wants())
 		if err == nil {
-			return asked, nil
+			return reserved, nil
 		}
 		refused = err
 	}
 	return nil, refused
 }
 
-func (j *job) tryStages() (*inputs, error) {
-	g := newGraph(j)
+func (j *job) runStagesOnce() (*inputs, error) {
+	g := newStageGraph(j)
 	ctx, cancel := context.WithCancel(j.ctx)
 	defer cancel()
 	type outcome struct {
@@ -110,11 +112,11 @@
 			cancel()
 			continue
 		}
-		if o.took > j.slowest.took {
-			j.slowest = stageTime{service: g.stages[o.stage].Service, took: o.took}
+		if o.took > j.slowestStage.took {
+			j.slowestStage = stageTime{service: g.stages[o.stage].Service, took: o.took}
 		}
 		g.done[o.stage] = o.done
-		g.freeUsed()
+		g.freeConsumed()
 	}
 	if failure != nil {
 		g.freeAll()
@@ -123,7 +125,7 @@
 	return g.inputs(), nil
 }
 
-func (g *graph) inputs() *inputs {
+func (g *stageGraph) inputs() *inputs {
 	in := &inputs{bytes: map[string]int{}, free: g.freeAll}
 	for i, s := range g.stages {
 		if g.done[i] == nil || len(g.followers(i)) > 0 {
--- a/internal/serve/run/stream.go
+++ b/internal/serve/run/stream.go
@@ -15,102 +15,103 @@
 	"github.com/vanillagate/vanillagate/internal/serve/upstream"
 )
 
-// readBytes is how much of a stream is read at once; an event is far smaller.
-const readBytes = 2048
+// readSize is the size of the read buffer; events are far smaller.
+const readSize = 2048
 
-// stream passes events on as they come. One that may be resumed hands out
-// whole events only: what a target leaves half said when it breaks is said
-// again by the next one, from the last event on that the caller has.
+// stream forwards events as they come. A resumable stream forwards complete events only: if
+// a target fails in the middle of an event, the next one sends it again, starting after the
+// last event that the caller has.
 type stream struct {
 	job    *job
 	target *pool.Target
 	answer *upstream.Answer
 	call   *pool.Call
 
-	out     []byte // to be handed out
-	part    []byte // of an event that isn't whole
-	last    string // id of the last event handed out
-	begun   bool
-	resumed bool
-	ended   bool
-	failure error
-	// heard is when bytes came last, longest the longest pause between them.
-	heard   time.Time
-	longest time.Duration
-	buffer  [readBytes]byte
+	pending     []byte // to be returned by Read
+	partial     []byte // incomplete event
+	lastEventID string // id of the last event returned
+	started     bool
+	resumed     bool
+	hasEnded    bool
+	failure     error
+	// lastRead is when data was last received, longestPause the longest time between two
+	// reads that returned data.
+	lastRead     time.Time
+	longestPause time.Duration
+	buffer       [readSize]byte
 }
 
 func (j *job) stream(target *pool.Target, answer *upstream.Answer, call *pool.Call) *Reply {
-	s := &stream{job: j, target: target, answer: answer, call: call, last: j.req.LastEvent}
+	s := &stream{job: j, target: target, answer: answer, call: call, lastEventID: j.req.LastEvent}
 	length := answer.Length
 	if j.route.Resumable {
 		length = -1 // the rest may come from another target
 	}
-	return &Reply{Status: answer.Status, Answer: &Answer{Header: endToEnd(&answer.Header), Body: s, Length: length}}
+	return &Reply{Status: answer.Status, Answer: &Answer{Header: endToEndHeaders(&answer.Header), Body: s, Length: length}}
 }
 
-// Read gives the next bytes of the stream.
+// Read returns the next bytes of the stream.
 func (s *stream) Read(p []byte) (int, error) {
-	for len(s.out) == 0 {
+	for len(s.pending) == 0 {
 		if s.failure != nil {
 			return 0, s.failure
 		}
 		s.fill()
 	}
-	n := copy(p, s.out)
-	s.out = s.out[n:]
+	n := copy(p, s.pending)
+	s.pending = s.pending[n:]
 	return n, nil
 }
 
-// fill reads more from the target.
+// fill reads more data from the target.
 func (s *stream) fill() {
 	n, err := s.answer.Read(s.buffer[:])
 	if n > 0 {
-		s.arrived(s.buffer[:n])
+		s.receive(s.buffer[:n])
 	}
 	if err == nil {
 		return
 	}
 	if errors.Is(err, io.EOF) {
-		s.out = append(s.out, s.part...)
-		s.part = nil
-		s.finish(io.EOF, pool.Answered)
+		s.pending = append(s.pending, s.partial...)
+		s.partial = nil
+		s.end(io.EOF, pool.Answered)
 		return
 	}
-	s.broken(err)
+	s.failOver(err)
 }
 
-func (s *stream) arrived(data []byte) {
+func (s *stream) receive(data []byte) {
 	now := time.Now()
-	if !s.heard.IsZero() {
-		s.longest = max(s.longest, now.Sub(s.heard))
+	if !s.lastRead.IsZero() {
+		s.longestPause = max(s.longestPause, now.Sub(s.lastRead))
 	}
-	s.heard = now
-	if !s.begun {
-		s.begun = true
+	s.lastRead = now
+	if !s.started {
+		s.started = true
 		s.call.ResponseStarted()
 		if s.job.inputs != nil {
 			s.job.inputs.release()
 		}
 	}
 	if !s.job.route.Resumable {
-		s.out = append(s.out[:0], data...)
+		s.pending = append(s.pending[:0], data...)
 		return
 	}
-	s.part = append(s.part, data...)
-	s.out = s.out[:0]
+	s.partial = append(s.partial, data...)
+	s.pending = s.pending[:0]
 	for {
-		end := eventEnd(s.part)
+		end := eventEnd(s.partial)
 		if end == 0 {
 			return
 		}
-		s.take(s.part[:end])
-		s.part = s.part[end:]
+		s.emit(s.partial[:end])
+		s.partial = s.partial[end:]
 	}
 }
 
-// eventEnd is where the first event ends, after its empty line; 0 while it
-// isn't whole.
+// eventEnd returns the end of the first event, after its empty line; 0 if the event is
+// incomplete.
 func eventEnd(data []byte) int {
 	end := 0
 	for _, mark := range []string{"\n\n", "\r\n\r\n"} {
@@ -121,16 +122,16 @@
 	return end
 }
 
-// take hands out an event, unless the caller has it already.
-func (s *stream) take(event []byte) {
+// emit adds an event to the output, unless the caller already has it.
+func (s *stream) emit(event []byte) {
 	id := eventID(event)
-	if s.resumed && id != "" && !later(id, s.last) {
+	if s.resumed && id != "" && !isLater(id, s.lastEventID) {
 		return
 	}
 	if id != "" {
-		s.last = id
+		s.lastEventID = id
 	}
-	s.out = append(s.out, event...)
+	s.pending = append(s.pending, event...)
 }
 
 func eventID(event []byte) string {
@@ -142,8 +143,8 @@
 	return ""
 }
 
-// later tells whether event a comes after event b. Ids are numbers that grow.
-func later(a, b string) bool {
+// isLater reports whether event a comes after event b. Ids are increasing numbers.
+func isLater(a, b string) bool {
 	x, errX := strconv.ParseInt(a, 10, 64)
 	y, errY := strconv.ParseInt(b, 10, 64)
 	if errX != nil || errY != nil {
@@ -152,8 +153,8 @@
 	return x > y
 }
 
-// broken goes on at another target, if the stream may.
-func (s *stream) broken(err error) {
+// failOver resumes the stream at another target, if the route allows it, or ends it.
+func (s *stream) failOver(err error) {
 	j := s.job
 	from := s.target.ID
 	outcome := pool.Failed
@@ -162,35 +163,34 @@
 	}
 	s.answer.Close()
 	s.call.End(outcome, time.Now())
-	j.broke(s.target.Address)
+	j.reportBroken(s.target.Address)
 	j.tried[s.target.ID] = true
-	for j.ctx.Err() == nil && j.route.Resumable && j.ran < j.route.Attempts && j.arrivals < maxArrivals {
+	for j.ctx.Err() == nil && j.route.Resumable && j.runs < j.route.Attempts && j.sends < maxSends {
 		if !j.Budget.TakeRetry(j.service, time.Now()) {
 			break
 		}
 		if s.resume() {
 			j.Log.Info("Stream goes on at another target.", requestID(j.req.ID), zap.String("from", from),
-				zap.String("to", s.target.ID), zap.String("after_event", s.last), zap.Error(err))
+				zap.String("to", s.target.ID), zap.String("after_event", s.lastEventID), zap.Error(err))
 			return
 		}
 	}
 	j.Log.Warn("Stream broke.", requestID(j.req.ID), zap.String("target", from),
-		zap.String("after_event", s.last), zap.Duration("after", time.Since(j.req.Arrived)), zap.Error(err),
+		zap.String("after_event", s.lastEventID), zap.Duration("after", time.Since(j.req.Arrived)), zap.Error(err),
 		zap.NamedError("cause", context.Cause(j.ctx)))
-	s.part = nil
-	s.finish(cutError(j.ctx, err), outcome)
+	s.partial = nil
+	s.end(truncationError(j.ctx, err), outcome)
 }
 
-// cutError is never io.EOF: a stream that broke must not look whole.
-func cutError(ctx context.Context, err error) error {
+// truncationError is never io.EOF: a stream that broke must not look complete.
+func truncationError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
 	return errors.Join(io.ErrUnexpectedEOF, err)
 }
 
-// resume has the stages done once more and asks another target to go on after
-// the last event.
+// resume runs the stages again and asks another target to continue after the last event.
 func (s *stream) resume() bool {
 	j := s.job
 	if j.inputs != nil {
@@ -204,7 +204,7 @@
 		return false
 	}
 	j.tried[target.ID] = true
-	answer, call, failed := j.send(j.ctx, target, s.last)
+	answer, call, failed := j.send(j.ctx, target, s.lastEventID)
 	if failed != nil {
 		return false
 	}
@@ -214,34 +214,34 @@
 		return false
 	}
 	s.target, s.answer, s.call = target, answer, call
-	s.part = nil
-	s.begun = false
-	s.resumed = s.last != ""
+	s.partial = nil
+	s.started = false
+	s.resumed = s.lastEventID != ""
 	return true
 }
 
-func (s *stream) finish(failure error, outcome pool.Outcome) {
+func (s *stream) end(failure error, outcome pool.Outcome) {
 	s.failure = failure
-	if s.ended {
+	if s.hasEnded {
 		return
 	}
-	s.ended = true
+	s.hasEnded = true
 	s.answer.Close()
 	s.call.End(outcome, time.Now())
-	s.job.end()
-	if s.job.route.Gap > 0 && s.longest > s.job.route.Gap {
+	s.job.cleanUp()
+	if s.job.route.Gap > 0 && s.longestPause > s.job.route.Gap {
 		s.job.Log.Info("Stream had a long pause.", requestID(s.job.req.ID), zap.String("target", s.target.ID),
-			zap.Duration("pause", s.longest), zap.Duration("objective", s.job.route.Gap), zap.Bool("resumed", s.resumed))
+			zap.Duration("pause", s.longestPause), zap.Duration("objective", s.job.route.Gap), zap.Bool("resumed", s.resumed))
 	}
 	whole := errors.Is(failure, io.EOF)
 	if whole {
-		s.job.noteWhole()
+		s.job.recordCompleteAnswer()
 	}
 	s.job.Metrics.streamEnded(s.job, whole)
 }
 
-// Close ends the stream; the target's work ends with its connection.
+// Close ends the stream. The target stops its work when the connection is closed.
 func (s *stream) Close() error {
-	s.finish(io.ErrClosedPipe, pool.Abandoned)
+	s.end(io.ErrClosedPipe, pool.Abandoned)
 	return nil
 }
