--- a/internal/serve/run/attempt.go
+++ b/internal/serve/run/attempt.go
@@ -44,7 +44,7 @@
 	if target == nil {
 		return attempt{}
 	}
-	answer, call, failed := j.send(j.ctx, target, j.req.LastEvent)
+	answer, call, failed := j.send(j.ctx, target, j.req.LastEventID)
 	if failed != nil {
 		return *failed
 	}
@@ -107,7 +107,7 @@
 }
 
 func (j *job) buildRequest(target *pool.Target, lastEvent string, now time.Time) *upstream.Request {
-	info := AttemptInfo{Target: target.ID, Remaining: j.deadline.Sub(now), LastEvent: lastEvent}
+	info := AttemptInfo{Target: target.ID, Remaining: j.deadline.Sub(now), LastEventID: lastEvent}
 	if j.team != nil {
 		info.Team = j.team.Name
 	}
--- a/internal/serve/run/executor.go
+++ b/internal/serve/run/executor.go
@@ -57,9 +57,9 @@
 	LeaveOut leaveout.Set
 	// Suspicion finds the requests that crash their targets; nil for none.
 	Suspicion Suspicion
-	// Starting estimates how long a process that has just started takes to learn the
+	// TimeToReady estimates how long a process that has just started takes to learn the
 	// configuration and the targets; if nil, minStartingRetry is used.
-	Starting func(now time.Time) time.Duration
+	TimeToReady func(now time.Time) time.Duration
 
 	firstEventModel firstEventModel
 	answerStats     answerStats
@@ -203,8 +203,8 @@
 	if j.route.Timeout > 0 {
 		limit = j.route.Timeout
 	}
-	if j.req.Patience > 0 {
-		limit = min(limit, j.req.Patience)
+	if j.req.Timeout > 0 {
+		limit = min(limit, j.req.Timeout)
 	}
 	return limit
 }
@@ -268,10 +268,10 @@
 
 // startingRetryAfter returns when a caller should retry at a process that has just started.
 func (j *job) startingRetryAfter() time.Duration {
-	if j.Starting == nil {
+	if j.TimeToReady == nil {
 		return retryAfter(minStartingRetry)
 	}
-	return retryAfter(max(j.Starting(time.Now()), minStartingRetry))
+	return retryAfter(max(j.TimeToReady(time.Now()), minStartingRetry))
 }
 
 func (j *job) refuseForStages(err error) *Reply {
--- a/internal/serve/run/refusal_test.go
+++ b/internal/serve/run/refusal_test.go
@@ -42,7 +42,7 @@
 	}}})
 	e := &Executor{
 		Log: zap.NewNop(), Plans: plans, Table: pool.New(zap.NewNop()), Budget: quota.New(quota.Rule{}, time.Now()),
-		Starting: func(time.Time) time.Duration { return soon },
+		TimeToReady: func(time.Time) time.Duration { return soon },
 	}
 	reply := e.Run(t.Context(), &Request{ID: "x", Host: "h", Path: "/a/", Arrived: time.Now()})
 	assert.Equal(t, reply.Status, 503)
--- a/internal/serve/run/request.go
+++ b/internal/serve/run/request.go
@@ -29,15 +29,15 @@
 	// Key is the caller's API key; empty if none.
 	Key     string
 	Arrived time.Time
-	// Patience is how long the caller waits after Arrived; 0 if it didn't say.
-	Patience time.Duration
+	// Timeout is how long the caller waits after Arrived; 0 if it didn't say.
+	Timeout time.Duration
 	// Pieces is the number of pieces of each stage, 0 for a skipped stage. PieceKey
 	// identifies the data from which they are made.
 	Pieces   []int
 	PieceKey string
 	Prompt   place.Prompt
-	// LastEvent is the id of the last event of this stream that the caller has received.
-	LastEvent string
+	// LastEventID is the id of the last event of this stream that the caller has received.
+	LastEventID string
 }
 
 // AttemptInfo is what a target is told with an attempt in addition to the request itself.
@@ -50,8 +50,8 @@
 	Remaining time.Duration
 	// Inputs are the handles of the stages' results.
 	Inputs []string
-	// LastEvent is the id of the last event received, if the attempt resumes a stream.
-	LastEvent string
+	// LastEventID is the id of the last event received, if the attempt resumes a stream.
+	LastEventID string
 	// Rank is the request's priority.
 	Rank int
 }
--- a/internal/serve/run/shutdown.go
+++ b/internal/serve/run/shutdown.go
@@ -24,8 +24,8 @@
 	AcceptUntil, End time.Time
 }
 
-// Leave limits the processing of requests according to the schedule of the shutdown.
-func (e *Executor) Leave(d ShutdownSchedule) { e.shutdown.Store(&d) }
+// StartShutdown limits the processing of requests according to the schedule of the shutdown.
+func (e *Executor) StartShutdown(d ShutdownSchedule) { e.shutdown.Store(&d) }
 
 // AcceptFor returns how long this process may go on accepting requests and still finish all
 // of them if it exits after the given time. It returns the whole time if no answers have
--- a/internal/serve/run/shutdown_test.go
+++ b/internal/serve/run/shutdown_test.go
@@ -56,7 +56,7 @@
 				e.answerStats.record("route", took, took)
 			}
 			if c.left > 0 {
-				e.Leave(ShutdownSchedule{AcceptUntil: time.Now(), End: time.Now().Add(c.left)})
+				e.StartShutdown(ShutdownSchedule{AcceptUntil: time.Now(), End: time.Now().Add(c.left)})
 			}
 			j := &job{Executor: e, route: &plan.Route{Name: "route"}, runs: c.runs}
 			reply := j.refuseIfCutOff()
@@ -75,9 +75,9 @@
 func TestShutdownRefusesRequestsAfterAcceptUntil(t *testing.T) {
 	j := &job{Executor: &Executor{}}
 	assert.Assert(t, j.refuseAfterClose() == nil)
-	j.Leave(ShutdownSchedule{AcceptUntil: time.Now().Add(time.Hour), End: time.Now().Add(2 * time.Hour)})
+	j.StartShutdown(ShutdownSchedule{AcceptUntil: time.Now().Add(time.Hour), End: time.Now().Add(2 * time.Hour)})
 	assert.Assert(t, j.refuseAfterClose() == nil)
-	j.Leave(ShutdownSchedule{AcceptUntil: time.Now(), End: time.Now().Add(time.Hour)})
+	j.StartShutdown(ShutdownSchedule{AcceptUntil: time.Now(), End: time.Now().Add(time.Hour)})
 	reply := j.refuseAfterClose()
 	assert.Equal(t, reply.Status, fasthttp.StatusServiceUnavailable)
 	assert.Equal(t, reply.Reason, ShuttingDown)
--- a/internal/serve/run/stream.go
+++ b/internal/serve/run/stream.go
@@ -42,7 +42,7 @@
 }
 
 func (j *job) stream(target *pool.Target, answer *upstream.Answer, call *pool.Call) *Reply {
-	s := &stream{job: j, target: target, answer: answer, call: call, lastEventID: j.req.LastEvent}
+	s := &stream{job: j, target: target, answer: answer, call: call, lastEventID: j.req.LastEventID}
 	length := answer.Length
 	if j.route.Resumable {
 		length = -1 // the rest may come from another target
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -119,7 +119,7 @@
 	s.executor = &run.Executor{
 		Log: logging.Part(o.Log, "request"), Plans: s.plans, Table: s.table, Client: s.client, Codec: o.Codec,
 		Stages: s.stages, Budget: s.budget, Zone: o.Zone, Metrics: &run.Metrics{Registry: o.Metrics},
-		LeaveOut: o.LeaveOut, Starting: s.starting,
+		LeaveOut: o.LeaveOut, TimeToReady: s.starting,
 	}
 	if !o.LeaveOut.Has(leaveout.EngineAccounts) {
 		s.engines = engines.New(logging.Part(o.Log, "engines"), network)
@@ -268,7 +268,7 @@
 func (s *Server) StartLeaving(d run.ShutdownSchedule) {
 	now := time.Now()
 	s.leavingSince.Store(&now)
-	s.executor.Leave(d)
+	s.executor.StartShutdown(d)
 	s.stages.Leave()
 	s.network.AnnounceLeave()
 }
