--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -264,7 +264,7 @@
 		Zone:          r.Zone,
 		Region:        r.Region,
 		State:         memberStates[r.State],
-		CPUPercent:         r.Power,
+		CPUPercent:    r.Power,
 	}
 }
 
