--- a/internal/entry/command.go
+++ b/internal/entry/command.go
@@ -135,7 +135,7 @@
 		ConfigPeriod: c.Duration(flagConfigPeriod),
 		VMListPeriod: c.Duration(flagVMListPeriod),
 		CostPeriod:   c.Duration(flagCostPeriod),
-		KeepEntries:  c.Duration(flagKeepEntries),
+		EntriesTTL:   c.Duration(flagKeepEntries),
 		RetryWindow:  c.Duration(flagRetryWindow),
 		MaxBody:      c.Int(flagMaxBody),
 		MaxInFlight:  c.Int(flagMaxInFlight),
@@ -147,7 +147,7 @@
 	check.Between(flagConfigPeriod, opts.ConfigPeriod, 100*time.Millisecond, time.Minute)
 	check.Between(flagVMListPeriod, opts.VMListPeriod, 100*time.Millisecond, time.Minute)
 	check.Between(flagCostPeriod, opts.CostPeriod, 100*time.Millisecond, time.Minute)
-	check.Between(flagKeepEntries, opts.KeepEntries, 100*time.Millisecond, time.Hour)
+	check.Between(flagKeepEntries, opts.EntriesTTL, 100*time.Millisecond, time.Hour)
 	check.Between(flagRetryWindow, opts.RetryWindow, time.Second, 24*time.Hour)
 	check.IntBetween(flagMaxBody, opts.MaxBody, 1<<10, 1<<30)
 	check.IntBetween(flagMaxInFlight, opts.MaxInFlight, 1, 1<<20)
--- a/internal/entry/entries.go
+++ b/internal/entry/entries.go
@@ -101,7 +101,7 @@
 	if zone == "" {
 		zone = s.opts.Zone
 	}
-	writeJSON(ctx, Entries{Entries: s.entries(zone), KeepMS: s.opts.KeepEntries.Milliseconds()})
+	writeJSON(ctx, Entries{Entries: s.entries(zone), KeepMS: s.opts.EntriesTTL.Milliseconds()})
 }
 
 // entries lists the entry VMs to use: the zone's first, by lot within a zone.
--- a/internal/entry/observer.go
+++ b/internal/entry/observer.go
@@ -95,8 +95,8 @@
 		Update(took.Microseconds())
 }
 
-// Failed is part of pipeline.Observer.
-func (o *observer) Failed(requestID, stage, address string, err error) {
+// CallFailed is part of pipeline.Observer.
+func (o *observer) CallFailed(requestID, stage, address string, err error) {
 	o.count(series("target_failures_total", `stage="`+stage+`"`), 1)
 	o.log.Info("Call failed.", logging.RequestID(requestID), zap.String("stage", stage),
 		zap.String("target", address), zap.String("kind", kindOf(err)), zap.Error(err))
--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -46,8 +46,8 @@
 	// CostPeriod is how often cost rows are written. A killed process loses
 	// what it gathered since.
 	CostPeriod time.Duration
-	// KeepEntries is how long callers keep the answer of /v1/entries.
-	KeepEntries time.Duration
+	// EntriesTTL is how long callers keep the answer of /v1/entries.
+	EntriesTTL time.Duration
 	// RetryWindow is how long after a submission its caller may ask again
 	// under the same Idempotency-Key.
 	RetryWindow time.Duration
--- a/internal/entry/pipelines.go
+++ b/internal/entry/pipelines.go
@@ -64,7 +64,7 @@
 		s.refuse(ctx, r, contract.Customer, prob)
 		return
 	}
-	c := &call{received: r, contract: contract, name: name, need: s.executor.Clock.Rest(p, 0)}
+	c := &call{received: r, contract: contract, name: name, need: s.executor.Latencies.ExpectedRemaining(p, 0)}
 	c.tokens = mostTokens(p, body.MaxTokens)
 	req := &pipeline.Request{
 		ID: r.id, Customer: contract.Customer, Pipeline: p, Pools: state.Pools, Input: body.Input,
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -109,7 +109,7 @@
 	s.certain = newCertainty(s)
 	s.executor = &pipeline.Executor{
 		Targets: s.targets, Client: s.client, Budgets: &retry.Budgets{Unlimited: opts.Policy.RetryWithoutBudget},
-		Clock: pipeline.NewClock(), Observer: s.observer, Suspicion: s.suspects,
+		Latencies: pipeline.NewLatencyTracker(), Observer: s.observer, Suspicion: s.suspects,
 	}
 	if !opts.Policy.NoAffinity {
 		s.prefixes = prefix.New(s.observer.rates.PromptPrice)
@@ -233,7 +233,7 @@
 // waitForOldCallers waits until the last answer of /v1/entries that named this
 // VM has run out, also one that a peer gave before it heard of the leave.
 func (s *Server) waitForOldCallers(ctx context.Context) {
-	timer := time.NewTimer(s.opts.KeepEntries + newsMargin)
+	timer := time.NewTimer(s.opts.EntriesTTL + newsMargin)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -379,7 +379,7 @@
 	}
 	lease.Done(resultOf(ctx, f), now.Sub(since), now)
 	sc.failed = append(sc.failed, lease.Address)
-	s.observer.Failed(sc.id, sc.name, lease.Address, f)
+	s.observer.CallFailed(sc.id, sc.name, lease.Address, f)
 	if f.Execution != problem.NotRun {
 		sc.sent = true
 		charge.Waste = pipeline.WasteFailed
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -40,7 +40,7 @@
 	st := &streaming{
 		server: s, call: c, req: req, ctx: runCtx, cancel: cancel, words: make(chan string, streamBuffer),
 	}
-	req.Words = st.put
+	req.OnText = st.put
 	go st.run()
 	first, open := <-st.words
 	if !open && st.prob != nil {
--- a/internal/entry/suspicion.go
+++ b/internal/entry/suspicion.go
@@ -35,8 +35,8 @@
 	sp.server.publish(peer.TopicSuspect, string(e.Fingerprint), suspect.Memory, e)
 }
 
-// Crashed is part of pipeline.Suspicion.
-func (sp *suspicion) Crashed(f suspect.Fingerprint, address string) {
+// RecordCrash is part of pipeline.Suspicion.
+func (sp *suspicion) RecordCrash(f suspect.Fingerprint, address string) {
 	if sp.server.opts.Policy.NoSuspicion {
 		return
 	}
@@ -44,16 +44,16 @@
 	sp.tell(sp.table.Crashed(f, address, time.Now()))
 }
 
-// Cleared is part of pipeline.Suspicion.
-func (sp *suspicion) Cleared(f suspect.Fingerprint) { sp.tell(sp.table.Cleared(f, time.Now())) }
+// RecordSuccess is part of pipeline.Suspicion.
+func (sp *suspicion) RecordSuccess(f suspect.Fingerprint) { sp.tell(sp.table.Cleared(f, time.Now())) }
 
 // Check is part of pipeline.Suspicion.
 func (sp *suspicion) Check(f suspect.Fingerprint) suspect.Verdict {
 	return sp.table.Check(f, time.Now())
 }
 
-// Ask is part of pipeline.Suspicion.
-func (sp *suspicion) Ask(f suspect.Fingerprint) suspect.Leave {
+// RequestPermission is part of pipeline.Suspicion.
+func (sp *suspicion) RequestPermission(f suspect.Fingerprint) suspect.Leave {
 	leave, news := sp.table.Ask(f, time.Now())
 	if news != nil {
 		sp.tell(*news)
@@ -61,15 +61,15 @@
 	return leave
 }
 
-// Done is part of pipeline.Suspicion.
-func (sp *suspicion) Done(f suspect.Fingerprint, leave suspect.Leave) {
+// ReleasePermission is part of pipeline.Suspicion.
+func (sp *suspicion) ReleasePermission(f suspect.Fingerprint, leave suspect.Leave) {
 	if leave == suspect.Alone {
 		sp.table.Done(f)
 	}
 }
 
-// MayGoOn is part of pipeline.Suspicion.
-func (sp *suspicion) MayGoOn(f suspect.Fingerprint, leave suspect.Leave) bool {
+// MayContinue is part of pipeline.Suspicion.
+func (sp *suspicion) MayContinue(f suspect.Fingerprint, leave suspect.Leave) bool {
 	return sp.table.MayGoOn(f, leave, time.Now())
 }
 
--- a/internal/pipeline/acquire.go
+++ b/internal/pipeline/acquire.go
@@ -41,7 +41,7 @@
 		lease = r.alone(ctx, pool, want)
 	}
 	if lease == nil {
-		r.x.Suspicion.Done(r.w.req.Fingerprint(), leave)
+		r.x.Suspicion.ReleasePermission(r.w.req.Fingerprint(), leave)
 		return nil
 	}
 	r.attempts++
@@ -53,7 +53,7 @@
 // mayRun waits until a request may run, or gives why it may not.
 func (r *stageRun) mayRun(ctx context.Context) suspect.Leave {
 	for {
-		leave := r.x.Suspicion.Ask(r.w.req.Fingerprint())
+		leave := r.x.Suspicion.RequestPermission(r.w.req.Fingerprint())
 		if leave != suspect.Wait || !wait.For(ctx, quarantineWait) {
 			return leave
 		}
@@ -79,7 +79,7 @@
 		if lease := pool.Acquire(want, time.Now()); lease != nil {
 			return lease
 		}
-		goOn := r.x.Suspicion.MayGoOn(r.w.req.Fingerprint(), suspect.Alone)
+		goOn := r.x.Suspicion.MayContinue(r.w.req.Fingerprint(), suspect.Alone)
 		if !goOn || !wait.For(ctx, quarantineWait) {
 			return nil
 		}
@@ -98,7 +98,7 @@
 	fingerprint := r.w.req.Fingerprint()
 	ctx, cancel := context.WithCancel(ctx)
 	look := func() {
-		if !r.x.Suspicion.MayGoOn(fingerprint, leave) {
+		if !r.x.Suspicion.MayContinue(fingerprint, leave) {
 			cancel()
 		}
 	}
@@ -108,7 +108,7 @@
 	a.release = func() {
 		stop()
 		cancel()
-		r.x.Suspicion.Done(fingerprint, leave)
+		r.x.Suspicion.ReleasePermission(fingerprint, leave)
 	}
 }
 
@@ -130,7 +130,7 @@
 	died := f.Kind == target.FailedBroken && f.Execution != problem.NotRun && ctx.Err() == nil && !standing(address)
 	fingerprint := r.w.req.Fingerprint()
 	if died {
-		r.x.Suspicion.Crashed(fingerprint, address)
+		r.x.Suspicion.RecordCrash(fingerprint, address)
 	}
 	return r.x.Suspicion.Check(fingerprint) != suspect.Convicted
 }
--- a/internal/pipeline/attempts.go
+++ b/internal/pipeline/attempts.go
@@ -127,7 +127,7 @@
 
 // mayRetry waits out the backoff, or says why there is no other try.
 func (r *stageRun) mayRetry(ctx context.Context, f *target.Failure) *problem.Problem {
-	expected := r.x.Clock.Rest(r.w.req.Pipeline, r.index)
+	expected := r.x.Latencies.ExpectedRemaining(r.w.req.Pipeline, r.index)
 	verdict := retry.Decide(retry.Situation{
 		Tries: r.attempts, Idempotent: true, NotRun: f.Execution == problem.NotRun,
 		Remaining: remaining(ctx), Expected: expected,
@@ -288,7 +288,7 @@
 	f := asFailure(o.err)
 	o.attempt.lease.Done(resultOf(f, took > slowAfter), took, now)
 	if f.Kind != target.FailedCancelled {
-		r.x.Observer.Failed(r.w.req.ID, r.stage.Name, o.attempt.lease.Address, f)
+		r.x.Observer.CallFailed(r.w.req.ID, r.stage.Name, o.attempt.lease.Address, f)
 	}
 	if f.Execution != problem.NotRun {
 		r.x.Observer.Charged(r.charge(o, wasteOf(o.attempt, f)))
--- a/internal/pipeline/clock.go
+++ b/internal/pipeline/clock.go
@@ -14,8 +14,8 @@
 // refreshEvery is after how many new durations the figures are taken anew.
 const refreshEvery = 8
 
-// Clock knows what each stage takes now.
-type Clock struct {
+// LatencyTracker knows what each stage takes now.
+type LatencyTracker struct {
 	mu     sync.Mutex // guards stages and what is in them; a leaf
 	stages map[stageKey]*durations
 }
@@ -26,7 +26,7 @@
 	ring  [window]time.Duration
 	count int
 	last  time.Time
-	figs  Figures
+	figs  Percentiles
 }
 
 // forget is the age at which figures count no longer. Without it a pool that
@@ -34,21 +34,21 @@
 // figure.
 const forget = 3 * time.Second
 
-func (d *durations) current(now time.Time) Figures {
+func (d *durations) current(now time.Time) Percentiles {
 	if now.Sub(d.last) > forget {
-		return Figures{}
+		return Percentiles{}
 	}
 	return d.figs
 }
 
-// Figures are what a stage takes; zero where nothing is known.
-type Figures struct{ P50, P95 time.Duration }
+// Percentiles are what a stage takes; zero where nothing is known.
+type Percentiles struct{ P50, P95 time.Duration }
 
-// NewClock makes a clock that knows nothing.
-func NewClock() *Clock { return &Clock{stages: map[stageKey]*durations{}} }
+// NewLatencyTracker makes a clock that knows nothing.
+func NewLatencyTracker() *LatencyTracker { return &LatencyTracker{stages: map[stageKey]*durations{}} }
 
 // Observe takes in a stage that ended well.
-func (c *Clock) Observe(pipeline, stage string, took time.Duration) {
+func (c *LatencyTracker) Observe(pipeline, stage string, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	key := stageKey{pipeline, stage}
@@ -65,26 +65,26 @@
 	}
 }
 
-func (d *durations) figures() Figures {
+func (d *durations) figures() Percentiles {
 	n := min(d.count, window)
 	sorted := append([]time.Duration(nil), d.ring[:n]...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i] < sorted[j] })
-	return Figures{P50: sorted[n/2], P95: sorted[n*95/100]}
+	return Percentiles{P50: sorted[n/2], P95: sorted[n*95/100]}
 }
 
-// Stage gives a stage's figures.
-func (c *Clock) Stage(pipeline, stage string) Figures {
+// StagePercentiles gives a stage's figures.
+func (c *LatencyTracker) StagePercentiles(pipeline, stage string) Percentiles {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if d := c.stages[stageKey{pipeline, stage}]; d != nil {
 		return d.current(time.Now())
 	}
-	return Figures{}
+	return Percentiles{}
 }
 
-// Rest is what the stages of a pipeline from the given one on take together, at
+// ExpectedRemaining is what the stages of a pipeline from the given one on take together, at
 // the median. Zero where nothing is known.
-func (c *Clock) Rest(p config.Pipeline, from int) time.Duration {
+func (c *LatencyTracker) ExpectedRemaining(p config.Pipeline, from int) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
--- a/internal/pipeline/generate.go
+++ b/internal/pipeline/generate.go
@@ -49,7 +49,7 @@
 func (r *stageRun) generate(ctx context.Context) *problem.Problem {
 	g := &generation{prompt: r.w.prompt(r.stage), maxTokens: r.maxTokens()}
 	if r.last() {
-		g.forward = r.w.req.Words
+		g.forward = r.w.req.OnText
 	}
 	for {
 		a := r.acquire(ctx, false, g.maxTokens-g.tokens, r.saved(g.prompt))
--- a/internal/pipeline/generate_test.go
+++ b/internal/pipeline/generate_test.go
@@ -25,14 +25,14 @@
 // quiet observes nothing and suspects nobody.
 type quiet struct{ Suspicion }
 
-func (quiet) Charged(Charge)                                  {}
-func (quiet) StageDone(string, string, string, time.Duration) {}
-func (quiet) Failed(string, string, string, error)            {}
-func (quiet) Check(suspect.Fingerprint) suspect.Verdict       { return "" }
-func (quiet) Ask(suspect.Fingerprint) suspect.Leave           { return suspect.Free }
-func (quiet) MayGoOn(suspect.Fingerprint, suspect.Leave) bool { return true }
-func (quiet) Watch(suspect.Fingerprint, func()) func()        { return func() {} }
-func (quiet) Done(suspect.Fingerprint, suspect.Leave)         {}
+func (quiet) Charged(Charge)                                       {}
+func (quiet) StageDone(string, string, string, time.Duration)      {}
+func (quiet) CallFailed(string, string, string, error)             {}
+func (quiet) Check(suspect.Fingerprint) suspect.Verdict            { return "" }
+func (quiet) RequestPermission(suspect.Fingerprint) suspect.Leave  { return suspect.Free }
+func (quiet) MayContinue(suspect.Fingerprint, suspect.Leave) bool  { return true }
+func (quiet) Watch(suspect.Fingerprint, func()) func()             { return func() {} }
+func (quiet) ReleasePermission(suspect.Fingerprint, suspect.Leave) {}
 
 // executorWith runs requests at one engine.
 func executorWith(t *testing.T, engine http.HandlerFunc) *Executor {
@@ -46,7 +46,7 @@
 		Address: strings.TrimPrefix(server.URL, "http://"), Role: backing.RoleTarget, Pool: "llm", Zone: "a", State: backing.VMLive,
 	}}, time.Now())
 	return &Executor{
-		Targets: targets, Client: target.NewClient(1 << 20), Budgets: &retry.Budgets{}, Clock: NewClock(),
+		Targets: targets, Client: target.NewClient(1 << 20), Budgets: &retry.Budgets{}, Latencies: NewLatencyTracker(),
 		Observer: quiet{}, Suspicion: quiet{},
 	}
 }
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -30,9 +30,9 @@
 	// Pack says how far generations are put together on few engines, which
 	// costs less and takes longer: 0 not at all, 1 as far as the deadline allows.
 	Pack float64
-	// Words, where not nil, gets the generated text piece by piece. An error
+	// OnText, where not nil, gets the generated text piece by piece. An error
 	// says that the caller left.
-	Words func(text string) error
+	OnText func(text string) error
 }
 
 // Fingerprint identifies the request by what its targets do for it.
@@ -85,22 +85,22 @@
 	Charged(Charge)
 	// StageDone is called for each stage that ended well.
 	StageDone(customer, pipeline, stage string, took time.Duration)
-	// Failed is called for each failed call at a target.
-	Failed(requestID, stage, address string, err error)
+	// CallFailed is called for each failed call at a target.
+	CallFailed(requestID, stage, address string, err error)
 }
 
 // Suspicion knows of requests that are suspected of crashing targets, and
 // tells the peers.
 type Suspicion interface {
-	Crashed(f suspect.Fingerprint, address string)
-	Cleared(f suspect.Fingerprint)
+	RecordCrash(f suspect.Fingerprint, address string)
+	RecordSuccess(f suspect.Fingerprint)
 	Check(f suspect.Fingerprint) suspect.Verdict
-	// Ask says how a request may run now; Done ends what it gave.
-	Ask(f suspect.Fingerprint) suspect.Leave
-	Done(f suspect.Fingerprint, leave suspect.Leave)
-	// MayGoOn says whether what Ask gave still stands; Watch has fn called when
+	// RequestPermission says how a request may run now; Done ends what it gave.
+	RequestPermission(f suspect.Fingerprint) suspect.Leave
+	ReleasePermission(f suspect.Fingerprint, leave suspect.Leave)
+	// MayContinue says whether what Ask gave still stands; Watch has fn called when
 	// it may have changed, until stop is called.
-	MayGoOn(f suspect.Fingerprint, leave suspect.Leave) bool
+	MayContinue(f suspect.Fingerprint, leave suspect.Leave) bool
 	Watch(f suspect.Fingerprint, fn func()) (stop func())
 	// Quarantine says on which of a pool's targets a suspect may run.
 	Quarantine(pool string) func(address string) bool
@@ -111,7 +111,7 @@
 	Targets   *directory.Table
 	Client    *target.Client
 	Budgets   *retry.Budgets
-	Clock     *Clock
+	Latencies *LatencyTracker
 	Observer  Observer
 	Suspicion Suspicion
 	// Prefixes may be nil: no prefix-cache affinity.
@@ -154,7 +154,7 @@
 		result.Stages = append(result.Stages, report)
 	}
 	if x.Suspicion.Check(req.Fingerprint()) == suspect.Suspected {
-		x.Suspicion.Cleared(req.Fingerprint())
+		x.Suspicion.RecordSuccess(req.Fingerprint())
 	}
 	result.Output = w.output
 	result.Usage = w.usage
@@ -188,7 +188,7 @@
 		Millis: float64(time.Since(run.since).Microseconds()) / 1000,
 	}
 	if p == nil {
-		x.Clock.Observe(w.req.Pipeline.Name, stage.Name, time.Since(run.since))
+		x.Latencies.Observe(w.req.Pipeline.Name, stage.Name, time.Since(run.since))
 		x.Observer.StageDone(w.req.Customer, w.req.Pipeline.Name, stage.Name, time.Since(run.since))
 	}
 	return report, p
--- a/internal/pipeline/race.go
+++ b/internal/pipeline/race.go
@@ -77,7 +77,7 @@
 
 // hedgeAfter is when a slow stage gets a hedge: after what 95 in 100 take.
 func (r *stageRun) hedgeAfter() time.Duration {
-	p95 := r.x.Clock.Stage(r.w.req.Pipeline.Name, r.stage.Name).P95
+	p95 := r.x.Latencies.StagePercentiles(r.w.req.Pipeline.Name, r.stage.Name).P95
 	if p95 == 0 || r.w.req.Hedge <= 0 || r.suspected() {
 		return never
 	}
@@ -95,7 +95,7 @@
 // beside it if the budget allows. The slow one is not given up: where all are
 // slow, or the budget is used up, it may be the one that answers.
 func (r *stageRun) slowAfter(ctx context.Context) time.Duration {
-	p95 := r.x.Clock.Stage(r.w.req.Pipeline.Name, r.stage.Name).P95
+	p95 := r.x.Latencies.StagePercentiles(r.w.req.Pipeline.Name, r.stage.Name).P95
 	if p95 == 0 {
 		return max(remaining(ctx)/2, shortestSlow)
 	}
--- a/internal/pipeline/race_test.go
+++ b/internal/pipeline/race_test.go
@@ -36,8 +36,8 @@
 
 func (m *meeting) Charged(c Charge) { m.charges <- c }
 
-// Ask holds the third attempt, and the stage with it, until two have ended.
-func (m *meeting) Ask(suspect.Fingerprint) suspect.Leave {
+// RequestPermission holds the third attempt, and the stage with it, until two have ended.
+func (m *meeting) RequestPermission(suspect.Fingerprint) suspect.Leave {
 	if m.asked.Add(1) <= 2 {
 		return suspect.Free
 	}
@@ -48,7 +48,7 @@
 	return suspect.Never
 }
 
-func (m *meeting) Done(_ suspect.Fingerprint, leave suspect.Leave) {
+func (m *meeting) ReleasePermission(_ suspect.Fingerprint, leave suspect.Leave) {
 	if leave == suspect.Free {
 		m.ended <- struct{}{}
 	}
@@ -67,7 +67,7 @@
 		_, _ = w.Write([]byte(`{"data":[{"index":0,"embedding":[0.5]}]}`))
 	})
 	x.Observer, x.Suspicion = m, m
-	x.Clock.Observe("p", "encode", time.Millisecond) // so that hedges come soon
+	x.Latencies.Observe("p", "encode", time.Millisecond) // so that hedges come soon
 	ctx, cancel := context.WithTimeout(t.Context(), enoughForTest)
 	defer cancel()
 	_, prob := x.Run(ctx, &Request{
