--- a/internal/command/change/change.go
+++ b/internal/command/change/change.go
@@ -83,7 +83,7 @@
 // New builds a Submitter. current gives the state in force in this process; it
 // only saves reading the changes from the first one on.
 func New(table backing.Table, current func() *config.State) *Submitter {
-	return &Submitter{table: table, current: current, now: time.Now, wait: wait.Around}
+	return &Submitter{table: table, current: current, now: time.Now, wait: wait.Jittered}
 }
 
 // Submit has a change accepted or says why not. It returns by the context's
--- a/internal/command/claim/claims.go
+++ b/internal/command/claim/claims.go
@@ -96,7 +96,7 @@
 		if !again {
 			return out
 		}
-		if !wait.Around(ctx, pause) {
+		if !wait.Jittered(ctx, pause) {
 			return try.gaveUp()
 		}
 	}
@@ -222,7 +222,7 @@
 // a holder's silence is noticed.
 func (c *Claims) waitForChange(ctx context.Context, req Request) bool {
 	for range pollsPerClaim {
-		if !wait.Around(ctx, pollPeriod) {
+		if !wait.Jittered(ctx, pollPeriod) {
 			return false
 		}
 		row, err := c.table.Get(ctx, req.rowKey())
--- a/internal/command/claim/finish.go
+++ b/internal/command/claim/finish.go
@@ -74,7 +74,7 @@
 		if result.err == nil {
 			return settled(result, grant, row.State)
 		}
-		if !wait.Around(ctx, pause) {
+		if !wait.Jittered(ctx, pause) {
 			return Unrecorded
 		}
 	}
@@ -119,7 +119,7 @@
 		if write, done = gaveUp(c.batches.write(ctx, write), write, req); done {
 			return
 		}
-		if !wait.Around(ctx, pause) {
+		if !wait.Jittered(ctx, pause) {
 			return
 		}
 	}
@@ -180,7 +180,7 @@
 		if c.objects.Put(ctx, name, body) == nil {
 			return true
 		}
-		if !wait.Around(ctx, pause) {
+		if !wait.Jittered(ctx, pause) {
 			return false
 		}
 	}
--- a/internal/command/order/order_test.go
+++ b/internal/command/order/order_test.go
@@ -15,20 +15,20 @@
 	old := targetapi.ModelCard{ID: "m", Version: "1", Role: "decode"}
 	quotes := targetapi.ModelCard{ID: "quotes", Parent: "m"}
 	other := targetapi.ModelCard{ID: "other", Parent: "m"}
-	adapter := func(name string) *targetapi.AdapterOrder { return &targetapi.AdapterOrder{LoraName: name} }
+	adapter := func(name string) *targetapi.AdapterRequest { return &targetapi.AdapterRequest{LoraName: name} }
 	cases := []struct {
 		name   string
 		pool   config.Pool
 		report []targetapi.ModelCard
 		want   Order
 	}{
-		{"nothing loaded", pool, nil, Order{SetModel: &targetapi.ModelOrder{Model: "m", Version: "2"}}},
-		{"old version keeps its role", pool, []targetapi.ModelCard{old, quotes}, Order{SetModel: &targetapi.ModelOrder{Model: "m", Version: "2", Role: "decode"}}},
+		{"nothing loaded", pool, nil, Order{SetModel: &targetapi.SetModelRequest{Model: "m", Version: "2"}}},
+		{"old version keeps its role", pool, []targetapi.ModelCard{old, quotes}, Order{SetModel: &targetapi.SetModelRequest{Model: "m", Version: "2", Role: "decode"}}},
 		{"adapter is missing", pool, []targetapi.ModelCard{base, other}, Order{LoadAdapter: adapter("quotes")}},
 		{"adapter too many", pool, []targetapi.ModelCard{base, quotes, other}, Order{UnloadAdapter: adapter("other")}},
 		{"all as wanted", pool, []targetapi.ModelCard{base, quotes}, Order{}},
 		{"any version", config.Pool{Kind: config.TargetEngine, Model: "m"}, []targetapi.ModelCard{old}, Order{}},
-		{"role", config.Pool{Kind: config.TargetEngine, Model: "m", Role: "prefill"}, []targetapi.ModelCard{old}, Order{SetModel: &targetapi.ModelOrder{Model: "m", Version: "1", Role: "prefill"}}},
+		{"role", config.Pool{Kind: config.TargetEngine, Model: "m", Role: "prefill"}, []targetapi.ModelCard{old}, Order{SetModel: &targetapi.SetModelRequest{Model: "m", Version: "1", Role: "prefill"}}},
 		{"pool is not steered", config.Pool{Kind: config.TargetEngine}, nil, Order{}},
 		{"no engines", config.Pool{Kind: config.TargetEncoder, Model: "m"}, nil, Order{}},
 	}
@@ -38,8 +38,8 @@
 }
 
 func TestChoose(t *testing.T) {
-	load := Order{SetModel: &targetapi.ModelOrder{Model: "m"}}
-	unload := Order{UnloadAdapter: &targetapi.AdapterOrder{LoraName: "a"}}
+	load := Order{SetModel: &targetapi.SetModelRequest{Model: "m"}}
+	unload := Order{UnloadAdapter: &targetapi.AdapterRequest{LoraName: "a"}}
 	all := []Candidate{
 		{Address: "e", Next: load},
 		{Address: "d", Next: load},
--- a/internal/command/order/plan.go
+++ b/internal/command/order/plan.go
@@ -14,9 +14,9 @@
 // Order is one call to an engine. Exactly one field is set, except in the
 // zero value, which orders nothing.
 type Order struct {
-	SetModel      *targetapi.ModelOrder
-	LoadAdapter   *targetapi.AdapterOrder
-	UnloadAdapter *targetapi.AdapterOrder
+	SetModel      *targetapi.SetModelRequest
+	LoadAdapter   *targetapi.AdapterRequest
+	UnloadAdapter *targetapi.AdapterRequest
 }
 
 // None says that nothing is to be ordered.
@@ -43,11 +43,11 @@
 		return Order{}
 	}
 	if !slices.Contains(adapters, pool.Adapter) {
-		return Order{LoadAdapter: &targetapi.AdapterOrder{LoraName: pool.Adapter}}
+		return Order{LoadAdapter: &targetapi.AdapterRequest{LoraName: pool.Adapter}}
 	}
 	for _, adapter := range adapters {
 		if adapter != pool.Adapter {
-			return Order{UnloadAdapter: &targetapi.AdapterOrder{LoraName: adapter}}
+			return Order{UnloadAdapter: &targetapi.AdapterRequest{LoraName: adapter}}
 		}
 	}
 	return Order{}
@@ -65,8 +65,8 @@
 }
 
 // wantedModel fills what the pool leaves open with what the engine has.
-func wantedModel(pool config.Pool, base *targetapi.ModelCard) targetapi.ModelOrder {
-	wanted := targetapi.ModelOrder{Model: pool.Model, Version: pool.Version, Role: pool.Role}
+func wantedModel(pool config.Pool, base *targetapi.ModelCard) targetapi.SetModelRequest {
+	wanted := targetapi.SetModelRequest{Model: pool.Model, Version: pool.Version, Role: pool.Role}
 	if base == nil {
 		return wanted
 	}
@@ -79,6 +79,6 @@
 	return wanted
 }
 
-func differs(base targetapi.ModelCard, wanted targetapi.ModelOrder) bool {
+func differs(base targetapi.ModelCard, wanted targetapi.SetModelRequest) bool {
 	return base.ID != wanted.Model || base.Version != wanted.Version || base.Role != wanted.Role
 }
--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -15,7 +15,7 @@
 const (
 	// DefaultIdle is how long an unused connection is kept where the target
 	// doesn't say. It stays below the idle timeouts that servers usually have.
-	DefaultIdle = 4 * time.Second
+	DefaultIdleTimeout = 4 * time.Second
 	// maxIdle bounds the unused connections kept to one target.
 	maxIdle = 64
 	// dialTimeout bounds the time until a connection stands.
@@ -41,24 +41,24 @@
 	R *bufio.Reader
 	W *bufio.Writer
 	// Idle is how long the connection may stay unused; 0 is DefaultIdle.
-	Idle time.Duration
+	IdleTimeout time.Duration
 	// Most is how many unused connections to the same target are kept at most,
 	// this one among them; 0 is maxIdle.
-	Most int
-	used time.Time
+	MaxIdle int
+	used    time.Time
 }
 
 func (c *Conn) most() int {
-	if c.Most > 0 {
-		return min(c.Most, maxIdle)
+	if c.MaxIdle > 0 {
+		return min(c.MaxIdle, maxIdle)
 	}
 	return maxIdle
 }
 
 func (c *Conn) expired(now time.Time) bool {
-	idle := c.Idle
+	idle := c.IdleTimeout
 	if idle == 0 {
-		idle = DefaultIdle
+		idle = DefaultIdleTimeout
 	}
 	return now.Sub(c.used) >= idle
 }
@@ -119,7 +119,7 @@
 }
 
 // Drop closes the unused connections to an address: another target may get it.
-func (p *Pool) Drop(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.byAddress[address]
 	delete(p.byAddress, address)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -292,7 +292,7 @@
 	switch {
 	case e.down:
 		return "refuses connections"
-	case now.Before(e.health.OutUntil):
+	case now.Before(e.health.EjectedUntil):
 		return string(e.reason)
 	default:
 		return ""
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -20,7 +20,7 @@
 }
 
 func newTable() *Table {
-	policy, _ := routing.New(routing.Present)
+	policy, _ := routing.New(routing.Default)
 	return New(Options{Node: "n", Zone: "a", Policy: policy, Ejection: routing.DefaultEjection()})
 }
 
--- a/internal/directory/lease.go
+++ b/internal/directory/lease.go
@@ -77,7 +77,7 @@
 
 func (p *Pool) pick(candidates []routing.Candidate, want Want) int {
 	if want.Pack > 0 {
-		packing := routing.Packing{Degree: want.Pack, Full: max(p.full, leastFull), Within: want.Within}
+		packing := routing.Packing{Degree: want.Pack, Concurrency: max(p.full, leastFull), MaxCallTime: want.Within}
 		if chosen := packing.Pick(candidates); chosen >= 0 {
 			return chosen
 		}
@@ -127,12 +127,12 @@
 		Weight:   max(p.weight(e, now), 0.01),
 	}
 	if e.report != nil {
-		c.Reported = e.report.Named.Running + e.report.Named.Waiting - float64(e.ownAtRep)
+		c.ReportedLoad = e.report.Named.Running + e.report.Named.Waiting - float64(e.ownAtRep)
 		c.ReportAge = now.Sub(e.reportAt)
 	}
 	if want.PrefillSaved != nil {
 		c.PrefillSaved = want.PrefillSaved(e.vm.Address)
-		c.Full = max(p.full, leastFull)
+		c.Concurrency = max(p.full, leastFull)
 	}
 	return c
 }
@@ -186,11 +186,11 @@
 }
 
 func (p *Pool) judge(e *entry, now time.Time) {
-	if p.opts.NoEjection || now.Before(e.health.OutUntil) {
+	if p.opts.NoEjection || now.Before(e.health.EjectedUntil) {
 		return
 	}
 	median, out := p.survey(now)
-	reason := p.opts.Ejection.Judge(e.health, median, out, len(p.usable))
+	reason := p.opts.Ejection.EjectReason(e.health, median, out, len(p.usable))
 	if reason == routing.ReasonNone {
 		return
 	}
@@ -203,7 +203,7 @@
 func (p *Pool) survey(now time.Time) (median time.Duration, out int) {
 	times := make([]time.Duration, 0, len(p.usable))
 	for _, e := range p.usable {
-		if now.Before(e.health.OutUntil) {
+		if now.Before(e.health.EjectedUntil) {
 			out++
 		}
 		if e.health.CallTime > 0 {
--- a/internal/directory/probe.go
+++ b/internal/directory/probe.go
@@ -61,7 +61,7 @@
 		e.health.FailuresInRow = 0
 		e.health.Calls = 0
 		e.health.CallTime = 0
-		e.health.BackSince = now
+		e.health.ReturnedAt = now
 	}
 }
 
@@ -85,11 +85,11 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	answer, err := client.Do(ctx, target.Call{
-		Address: address, Method: "GET", Path: targetapi.PathLoad, Fresh: true,
+		Address: address, Method: "GET", Path: targetapi.PathLoad, NewConnection: true,
 	})
 	if err != nil || answer.Status != 200 {
 		return nil, false
 	}
-	report := target.ReadLoad(answer.Body)
+	report := target.ParseLoadJSON(answer.Body)
 	return report, report != nil
 }
--- a/internal/entry/certainty.go
+++ b/internal/entry/certainty.go
@@ -37,8 +37,8 @@
 // certainty finds out whether "not run" is true of an idempotency key.
 type certainty struct {
 	server *Server
-	memory *submissions.Memory
-	roster *submissions.Roster
+	memory *submissions.History
+	roster *submissions.PeerHistory
 	checks chan struct{} // one for each check under way
 	// settled is closed once the other entry processes know this one.
 	settled chan struct{}
@@ -47,8 +47,8 @@
 func newCertainty(s *Server) *certainty {
 	c := &certainty{
 		server: s,
-		memory: submissions.NewMemory(s.opts.RetryWindow),
-		roster: submissions.NewRoster(s.opts.RetryWindow, time.Now()),
+		memory: submissions.NewHistory(s.opts.RetryWindow),
+		roster: submissions.NewPeerHistory(s.opts.RetryWindow, time.Now()),
 		checks: make(chan struct{}, maxChecks), settled: make(chan struct{}),
 	}
 	s.opts.Network.Handle(methodSubmissions, c.answer)
@@ -57,7 +57,7 @@
 
 func (c *certainty) run(ctx context.Context) {
 	c.settle(ctx)
-	for wait.Around(ctx, rosterPeriod) {
+	for wait.Jittered(ctx, rosterPeriod) {
 		c.peers()
 	}
 }
@@ -69,7 +69,7 @@
 	defer close(c.settled)
 	until := time.Now().Add(settleTime)
 	for time.Now().Before(until) && !c.knownToAll() {
-		if !wait.Around(ctx, settlePoll) {
+		if !wait.Jittered(ctx, settlePoll) {
 			return
 		}
 	}
@@ -116,8 +116,8 @@
 
 // peers are the other entry processes now; the roster sees them too.
 func (c *certainty) peers() []peer.Member {
-	entries := submissions.Entries(c.server.opts.Network.Members())
-	c.roster.See(entries, time.Now())
+	entries := submissions.EntryProcesses(c.server.opts.Network.Members())
+	c.roster.Update(entries, time.Now())
 	return entries
 }
 
@@ -156,15 +156,15 @@
 // claimed in between is still under way there, or was sent.
 func (c *certainty) facts(ctx context.Context, r refused) submissions.Facts {
 	facts := submissions.Facts{Claim: c.claimOf(ctx, r)}
-	if facts.Claim == submissions.Finished || facts.Claim == submissions.Held {
+	if facts.Claim == submissions.ClaimFinished || facts.Claim == submissions.ClaimHeld {
 		return facts
 	}
 	now := time.Now()
 	key := submissions.KeyOf(r.customer, r.key)
 	members := c.peers()
-	facts.Unseen = c.unseen(members)
-	facts.Known, facts.Silent = c.ask(members, key)
-	facts.Known = append(facts.Known, c.roster.Tell(c.memory.Knows(key, r.submission, now), now))
+	facts.PeerUnknown = c.unseen(members)
+	facts.Reports, facts.PeerSilent = c.ask(members, key)
+	facts.Reports = append(facts.Reports, c.roster.Annotate(c.memory.Lookup(key, r.submission, now), now))
 	return facts
 }
 
@@ -172,13 +172,13 @@
 	row, err := c.server.claims.Look(ctx, claim.Identity{Customer: r.customer, IdempotencyKey: r.key})
 	switch {
 	case err != nil:
-		return submissions.Unread
+		return submissions.ClaimUnknown
 	case row == nil || row.State == claim.Released || row.RequestID == r.requestID:
-		return submissions.Free
+		return submissions.ClaimFree
 	case row.State == claim.Finished:
-		return submissions.Finished
+		return submissions.ClaimFinished
 	default:
-		return submissions.Held
+		return submissions.ClaimHeld
 	}
 }
 
@@ -187,13 +187,13 @@
 }
 
 // ask asks all peers; silent says that one of them did not answer.
-func (c *certainty) ask(members []peer.Member, key submissions.Key) (known []submissions.Knowledge, silent bool) {
+func (c *certainty) ask(members []peer.Member, key submissions.Key) (known []submissions.KeyHistory, silent bool) {
 	if len(members) > maxAsked {
 		return nil, true
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 	defer cancel()
-	answers := make([]submissions.Knowledge, len(members))
+	answers := make([]submissions.KeyHistory, len(members))
 	group, ctx := errgroup.WithContext(ctx)
 	for i, m := range members {
 		group.Go(func() error {
@@ -213,7 +213,7 @@
 		return nil, err
 	}
 	now := time.Now()
-	return c.roster.Tell(c.memory.Knows(question.Key, nil, now), now), nil
+	return c.roster.Annotate(c.memory.Lookup(question.Key, nil, now), now), nil
 }
 
 // unseen says that the VM list has a live entry VM that isn't among the
--- a/internal/entry/entries.go
+++ b/internal/entry/entries.go
@@ -45,7 +45,7 @@
 		if failing && !s.vms.known() {
 			s.askForVMs(ctx)
 		}
-		if !wait.Around(ctx, s.opts.VMListPeriod) {
+		if !wait.Jittered(ctx, s.opts.VMListPeriod) {
 			return
 		}
 	}
--- a/internal/entry/loops.go
+++ b/internal/entry/loops.go
@@ -23,7 +23,7 @@
 )
 
 func (s *Server) runProbes(ctx context.Context) {
-	for wait.Around(ctx, probePeriod) {
+	for wait.Jittered(ctx, probePeriod) {
 		s.targets.Probe(ctx, s.client)
 		s.client.Prune(time.Now())
 	}
@@ -33,7 +33,7 @@
 // VM's parts of the contracts' limits from them.
 func (s *Server) runDemands(ctx context.Context) {
 	told := false
-	for wait.Around(ctx, demandPeriod) {
+	for wait.Jittered(ctx, demandPeriod) {
 		own := s.customers.Demands(time.Now())
 		if len(own) > 0 || told {
 			s.publish(peer.TopicDemand, demandKey, demandTTL, own)
@@ -46,7 +46,7 @@
 // rebalance takes this VM's parts of the contracts' limits anew.
 func (s *Server) rebalance() {
 	peers, rank := s.peerDemands()
-	s.customers.Rebalance(limit.View{Peers: peers, Rank: rank, Unknown: s.silentEntries(len(peers))}, time.Now())
+	s.customers.Rebalance(limit.PeerView{Peers: peers, Rank: rank, Unknown: s.silentEntries(len(peers))}, time.Now())
 }
 
 // peerDemands gives what the other entry VMs told, by incarnation, and how many
--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -69,7 +69,7 @@
 // Policy chooses between the product's own decisions and the baselines that it
 // is measured against.
 type Policy struct {
-	Routing routing.Name
+	Routing routing.PolicyName
 	// NoAdmission lets every request in that its contract allows.
 	NoAdmission bool
 	// RetryWithoutBudget tries again as often as the tries allow.
@@ -94,23 +94,23 @@
 func ParsePolicy(name string) (Policy, error) {
 	switch name {
 	case "present":
-		return Policy{Routing: routing.Present}, nil
+		return Policy{Routing: routing.Default}, nil
 	case "better-of-two", "with-reports":
-		return Policy{Routing: routing.Name(name)}, nil
+		return Policy{Routing: routing.PolicyName(name)}, nil
 	case "no-hedge":
-		return Policy{Routing: routing.Present, NoHedge: true}, nil
+		return Policy{Routing: routing.Default, NoHedge: true}, nil
 	case "no-ejection":
-		return Policy{Routing: routing.Present, NoEjection: true}, nil
+		return Policy{Routing: routing.Default, NoEjection: true}, nil
 	case "no-affinity":
-		return Policy{Routing: routing.Present, NoAffinity: true}, nil
+		return Policy{Routing: routing.Default, NoAffinity: true}, nil
 	case "even-split":
-		return Policy{Routing: routing.Present, EvenSplit: true}, nil
+		return Policy{Routing: routing.Default, EvenSplit: true}, nil
 	case "random", "round-robin", "least-in-flight":
-		return Policy{Routing: routing.Name(name), NoEjection: true, NoHedge: true, NoAffinity: true}, nil
+		return Policy{Routing: routing.PolicyName(name), NoEjection: true, NoHedge: true, NoAffinity: true}, nil
 	case "no-admission":
-		return Policy{Routing: routing.Present, NoAdmission: true}, nil
+		return Policy{Routing: routing.Default, NoAdmission: true}, nil
 	case "retry-without-budget":
-		return Policy{Routing: routing.Present, RetryWithoutBudget: true}, nil
+		return Policy{Routing: routing.Default, RetryWithoutBudget: true}, nil
 	default:
 		return Policy{}, errors.New("entry: unknown policy " + name)
 	}
--- a/internal/entry/pipelines.go
+++ b/internal/entry/pipelines.go
@@ -141,11 +141,11 @@
 type admitted struct {
 	server *Server
 	grant  limit.Grant
-	pass   *limit.Pass
+	pass   *limit.Permit
 }
 
 func (a *admitted) end(tokens int, counts bool) {
-	a.pass.End(counts)
+	a.pass.Release(counts)
 	a.server.customers.Done(a.grant, tokens, time.Now())
 }
 
@@ -167,8 +167,8 @@
 		return nil, problem.New(503, "too-late", "Can't be done in time",
 			"The stages take longer now than the request has time.", problem.NotRun).WithRetryAfter(c.need)
 	}
-	pass, refusal := s.gates.of(c.name).Enter(ctx, limit.Entering{
-		Customer: c.contract.Customer, Weight: c.contract.Share, Deadline: c.deadline, Need: c.need,
+	pass, refusal := s.gates.of(c.name).Acquire(ctx, limit.AcquireRequest{
+		Customer: c.contract.Customer, Weight: c.contract.Share, Deadline: c.deadline, ServiceTime: c.need,
 	})
 	if pass != nil {
 		return &admitted{server: s, grant: grant, pass: pass}, nil
@@ -178,7 +178,7 @@
 		return nil, nil
 	}
 	return nil, problem.New(503, "overload", "Can't be done in time",
-		"Too many requests wait for "+c.name+".", problem.NotRun).WithRetryAfter(refusal.After)
+		"Too many requests wait for "+c.name+".", problem.NotRun).WithRetryAfter(refusal.RetryAfter)
 }
 
 const (
--- a/internal/entry/prefixes.go
+++ b/internal/entry/prefixes.go
@@ -27,7 +27,7 @@
 	if s.prefixes == nil {
 		return
 	}
-	for wait.Around(ctx, eventsPeriod) {
+	for wait.Jittered(ctx, eventsPeriod) {
 		listed := map[string]bool{}
 		for _, t := range s.targets.Status(time.Now()) {
 			listed[t.Address] = true
@@ -53,7 +53,7 @@
 func (s *Server) readCacheEvents(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, eventsTimeout)
 	defer cancel()
-	after := strconv.FormatUint(s.prefixes.After(address), 10)
+	after := strconv.FormatUint(s.prefixes.LastEvent(address), 10)
 	answer, err := s.client.Do(ctx, target.Call{
 		Address: address, Method: "GET", Path: targetapi.PathCacheEvents + "?after=" + after,
 	})
@@ -61,5 +61,5 @@
 	if err != nil || answer.Status != 200 || json.Unmarshal(answer.Body, &events) != nil {
 		return
 	}
-	s.prefixes.Heard(address, events)
+	s.prefixes.ApplyEvents(address, events)
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -99,7 +99,7 @@
 	})
 	s.client = target.NewClient(maxAnswerBytes)
 	s.customers = limit.NewCustomers(opts.Policy.split())
-	s.gates = gates{open: opts.Policy.NoAdmission, byName: map[string]*limit.Gate{}}
+	s.gates = gates{open: opts.Policy.NoAdmission, byName: map[string]*limit.ConcurrencyLimiter{}}
 	s.claims = claim.New(opts.Table, opts.Objects)
 	s.changes = change.New(opts.Table, s.keeper.State)
 	s.hangups = hangup.New(errCallerLeft)
@@ -253,15 +253,15 @@
 type gates struct {
 	open   bool
 	mu     sync.Mutex // guards byName; a leaf
-	byName map[string]*limit.Gate
+	byName map[string]*limit.ConcurrencyLimiter
 }
 
-func (g *gates) of(name string) *limit.Gate {
+func (g *gates) of(name string) *limit.ConcurrencyLimiter {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	gate := g.byName[name]
 	if gate == nil {
-		gate = limit.NewGate(g.open)
+		gate = limit.NewConcurrencyLimiter(g.open)
 		g.byName[name] = gate
 	}
 	return gate
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -304,18 +304,18 @@
 // the try certainly did not run.
 func (s *Server) dispatch(ctx context.Context, sc *serviceCall, under sending) (*target.Answer, *problem.Problem) {
 	budget := retry.BudgetKey{Customer: sc.contract.Customer, Pool: sc.service.Pool}
-	s.executor.Budgets.For(budget).First()
+	s.executor.Budgets.For(budget).RecordFirstTry()
 	for {
 		answer, failure := s.try(ctx, sc, under)
 		if failure == nil {
-			s.executor.Budgets.For(budget).Succeeded()
+			s.executor.Budgets.For(budget).RecordSuccess()
 			return answer, nil
 		}
-		verdict := retry.Decide(retry.Situation{
+		verdict := retry.Decide(retry.FailedCall{
 			Tries: sc.attempts, Idempotent: !sc.route.NonIdempotent,
 			NotRun: failure.Execution == problem.NotRun, Remaining: time.Until(sc.deadline),
 		})
-		if verdict != retry.Again || ctx.Err() != nil || failure.Kind == target.FailedTimeout {
+		if verdict != retry.Retry || ctx.Err() != nil || failure.Kind == target.FailedTimeout {
 			return nil, sc.giveUp(ctx, string(verdict), failure)
 		}
 		if failure.Kind != target.FailedConnect && !s.executor.Budgets.Allow(budget, time.Now()) {
@@ -339,7 +339,7 @@
 		Address: lease.Address, Method: sc.method, Path: "/" + sc.name + sc.path,
 		Identity: target.Identity{Request: sc.id, Stage: sc.name, Attempt: sc.attempts},
 		Customer: sc.contract.Customer, IdempotencyKey: sc.key, FencingToken: under.token,
-		ContentType: sc.header, Body: sc.body, Fresh: sc.route.NonIdempotent, SendBefore: under.before,
+		ContentType: sc.header, Body: sc.body, NewConnection: sc.route.NonIdempotent, SendBefore: under.before,
 	})
 	return s.settle(ctx, sc, lease, since, answer, err)
 }
@@ -395,9 +395,9 @@
 // after which nobody knows. The service's own answers are the caller's.
 func (sc *serviceCall) refusedBy(answer *target.Answer) error {
 	execution := problem.Unknown
-	if answer.SaysNotRun() {
+	if answer.ConfirmsNotRun() {
 		execution = problem.NotRun
-	} else if answer.Own {
+	} else if answer.HasIdentity {
 		return nil
 	}
 	return &target.Failure{Kind: target.FailedStatus, Execution: execution, Status: answer.Status, Err: errRefused}
--- a/internal/entry/stops.go
+++ b/internal/entry/stops.go
@@ -227,7 +227,7 @@
 // store has accepted or refused them. It refreshes too, as no message tells
 // that an announcement's time is up.
 func (st *stops) run(ctx context.Context) {
-	for wait.Around(ctx, stopPeriod) {
+	for wait.Jittered(ctx, stopPeriod) {
 		for _, a := range st.pending() {
 			if st.responsible(a.origin) {
 				st.lookAfter(ctx, a)
--- a/internal/limit/adaptive.go
+++ b/internal/limit/adaptive.go
@@ -10,13 +10,13 @@
 // requests differ too much in length to tell a queue from a long answer by how
 // long they take, and engines that batch take longer for each the more they
 // serve, while they serve more in all.
-type Adaptive struct {
+type AdaptiveLimit struct {
 	// Low and High bound the limit.
-	Low, High float64
+	Min, Max float64
 	// Calm and Tight are shares of a request's time: where nine in ten
 	// requests needed less than Calm the limit grows, where one in ten needed
 	// more than Tight it shrinks.
-	Calm, Tight float64
+	GrowBelow, ShrinkAbove float64
 
 	limit float64
 	used  [observations]float64
@@ -36,16 +36,16 @@
 )
 
 // NewAdaptive has the settings of the product.
-func NewAdaptive() *Adaptive {
-	return &Adaptive{Low: 8, High: 4096, Calm: 0.55, Tight: 0.75, limit: 64}
+func NewAdaptiveLimit() *AdaptiveLimit {
+	return &AdaptiveLimit{Min: 8, Max: 4096, GrowBelow: 0.55, ShrinkAbove: 0.75, limit: 64}
 }
 
 // Limit is how many requests may be in service now.
-func (a *Adaptive) Limit() int { return int(a.limit) }
+func (a *AdaptiveLimit) Limit() int { return int(a.limit) }
 
 // Observe takes in a request that took so long of the time that it had, while
 // inService requests, itself counted, were in service.
-func (a *Adaptive) Observe(took, had time.Duration, inService int) {
+func (a *AdaptiveLimit) Observe(took, had time.Duration, inService int) {
 	a.used[a.count] = shareOf(took, had)
 	a.count++
 	a.peak = max(a.peak, inService)
@@ -64,13 +64,13 @@
 	return float64(took) / float64(had)
 }
 
-func (a *Adaptive) step() {
+func (a *AdaptiveLimit) step() {
 	sort.Float64s(a.used[:])
 	high := a.used[observations*9/10]
 	switch {
-	case high > a.Tight:
-		a.limit = max(a.Low, min(a.limit, float64(a.peak))*shrink)
-	case high < a.Calm && float64(a.peak) >= nearLimit*a.limit:
-		a.limit = min(a.High, a.limit*grow+1)
+	case high > a.ShrinkAbove:
+		a.limit = max(a.Min, min(a.limit, float64(a.peak))*shrink)
+	case high < a.GrowBelow && float64(a.peak) >= nearLimit*a.limit:
+		a.limit = min(a.Max, a.limit*grow+1)
 	}
 }
--- a/internal/limit/customer.go
+++ b/internal/limit/customer.go
@@ -10,15 +10,15 @@
 )
 
 // Verdict says whether a contract lets a request in.
-type Verdict string
+type Decision string
 
 // The verdicts.
 const (
-	Admitted       Verdict = "admitted"
-	OverRate       Verdict = "over the contract's requests per second"
-	OverInFlight   Verdict = "over the contract's requests in flight"
-	OverTokenRate  Verdict = "over the contract's tokens per second"
-	demandHalfLife         = time.Second
+	Admitted       Decision = "admitted"
+	OverRate       Decision = "over the contract's requests per second"
+	OverInFlight   Decision = "over the contract's requests in flight"
+	OverTokenRate  Decision = "over the contract's tokens per second"
+	demandHalfLife          = time.Second
 	// inFlightRetry is when to come back after OverInFlight.
 	inFlightRetry = 250 * time.Millisecond
 	// smallestBurst is what each entry VM may let in at once however small its
@@ -33,7 +33,7 @@
 
 	mu     sync.Mutex // guards byName and all fields of the customers; a leaf
 	byName map[string]*customer
-	view   View
+	view   PeerView
 }
 
 type customer struct {
@@ -70,7 +70,7 @@
 // Admit counts a request that may generate so many tokens, 0 for one that
 // generates none, and says whether the contract lets it in, and if not when to
 // come back. An admitted one must be ended by Done.
-func (c *Customers) Admit(contract config.Contract, most int, now time.Time) (Grant, Verdict, time.Duration) {
+func (c *Customers) Admit(contract config.Contract, most int, now time.Time) (Grant, Decision, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cu := c.get(contract, now)
@@ -129,7 +129,7 @@
 	return math.Min(cu.meanTokens, float64(most))
 }
 
-func (cu *customer) admit(tokens float64, now time.Time) (Verdict, time.Duration) {
+func (cu *customer) admit(tokens float64, now time.Time) (Decision, time.Duration) {
 	if cu.contract.InFlight > 0 && cu.inFlight >= cu.inFlightPart {
 		return OverInFlight, inFlightRetry
 	}
@@ -174,7 +174,7 @@
 }
 
 // wanted says that other entry VMs may have callers of a customer.
-func (v View) wanted(name string) bool {
+func (v PeerView) wanted(name string) bool {
 	return v.Unknown > 0 || slices.ContainsFunc(v.Peers, func(p PeerDemand) bool { return p[name] != Demand{} })
 }
 
@@ -219,7 +219,7 @@
 type PeerDemand map[string]Demand
 
 // View is what this process knows of the other entry VMs.
-type View struct {
+type PeerView struct {
 	// Peers told their demands. They are in an order that all entry VMs share,
 	// and Rank is how many of them stand before this one.
 	Peers []PeerDemand
@@ -230,7 +230,7 @@
 
 // Rebalance takes this process's part of each contract's limits anew from its
 // own demand and the peers'.
-func (c *Customers) Rebalance(view View, now time.Time) {
+func (c *Customers) Rebalance(view PeerView, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.view = view
@@ -239,7 +239,7 @@
 	}
 }
 
-func (cu *customer) rebalance(split Split, view View, now time.Time) {
+func (cu *customer) rebalance(split Split, view PeerView, now time.Time) {
 	own := cu.demand(now)
 	name := cu.contract.Customer
 	requests := make([]float64, len(view.Peers))
@@ -257,7 +257,7 @@
 		cu.tokens.Set(rate, rate, now)
 	}
 	if cu.contract.InFlight > 0 {
-		cu.inFlightPart = WholeShare(split, cu.contract.InFlight, own.InFlight, inFlight, view.Rank, view.Unknown)
+		cu.inFlightPart = IntegerShare(split, cu.contract.InFlight, own.InFlight, inFlight, view.Rank, view.Unknown)
 	}
 }
 
--- a/internal/limit/gate.go
+++ b/internal/limit/gate.go
@@ -13,30 +13,30 @@
 const shortestRetry = 100 * time.Millisecond
 
 // Entering is a request that wants to pass a gate.
-type Entering struct {
+type AcquireRequest struct {
 	Customer string
 	// Weight is the customer's share, at least 1.
 	Weight   int
 	Deadline time.Time
 	// Need is how long the request takes once it is let in; zero where unknown.
-	Need time.Duration
+	ServiceTime time.Duration
 }
 
 // Refusal says that a request can't be served in time.
 type Refusal struct {
 	// After is when to come back.
-	After time.Duration
+	RetryAfter time.Duration
 	// Queued is how many requests wait.
-	Queued int
+	QueueLength int
 }
 
 // Gate lets requests through as fast as the targets behind it can take them.
-type Gate struct {
+type ConcurrencyLimiter struct {
 	// Open lets everything through at once: a baseline for measurements.
 	open bool
 
 	mu        sync.Mutex // guards what follows; a leaf
-	adaptive  *Adaptive
+	adaptive  *AdaptiveLimit
 	queue     *fairQueue
 	inService int
 	// serving counts the requests in service of each customer, with weights.
@@ -47,20 +47,20 @@
 }
 
 // NewGate makes a gate; an open one refuses nothing.
-func NewGate(open bool) *Gate {
-	return &Gate{open: open, adaptive: NewAdaptive(), queue: newFairQueue(), serving: map[string]*served{}}
+func NewConcurrencyLimiter(open bool) *ConcurrencyLimiter {
+	return &ConcurrencyLimiter{open: open, adaptive: NewAdaptiveLimit(), queue: newFairQueue(), serving: map[string]*served{}}
 }
 
 // Enter waits until the request is let in, and gives the Pass to end. A
 // request that can't be in time is refused at once, whether it has waited or
 // not. When ctx ends first, both results are nil.
-func (g *Gate) Enter(ctx context.Context, e Entering) (*Pass, *Refusal) {
+func (g *ConcurrencyLimiter) Acquire(ctx context.Context, e AcquireRequest) (*Permit, *Refusal) {
 	now := time.Now()
 	g.mu.Lock()
 	if g.free() {
 		over := g.serve(e.Customer, float64(max(e.Weight, 1)))
 		g.mu.Unlock()
-		return &Pass{gate: g, customer: e.Customer, since: now, allowed: e.Deadline.Sub(now), OverShare: over}, nil
+		return &Permit{gate: g, customer: e.Customer, since: now, allowed: e.Deadline.Sub(now), OverShare: over}, nil
 	}
 	if r := g.refuse(e, now); r != nil {
 		g.mu.Unlock()
@@ -75,7 +75,7 @@
 	return g.wait(ctx, w)
 }
 
-func (g *Gate) wait(ctx context.Context, w *waiter) (*Pass, *Refusal) {
+func (g *ConcurrencyLimiter) wait(ctx context.Context, w *waiter) (*Permit, *Refusal) {
 	latest := time.NewTimer(time.Until(w.deadline) - w.need)
 	defer latest.Stop()
 	select {
@@ -96,30 +96,30 @@
 	return g.decided(w, <-w.decided)
 }
 
-func (g *Gate) decided(w *waiter, in bool) (*Pass, *Refusal) {
+func (g *ConcurrencyLimiter) decided(w *waiter, in bool) (*Permit, *Refusal) {
 	if in {
-		return &Pass{gate: g, customer: w.customer, since: time.Now(), allowed: w.allowed, OverShare: w.overShare}, nil
+		return &Permit{gate: g, customer: w.customer, since: time.Now(), allowed: w.allowed, OverShare: w.overShare}, nil
 	}
 	return nil, g.refusal(w)
 }
 
-func (g *Gate) free() bool {
+func (g *ConcurrencyLimiter) free() bool {
 	return g.open || (g.inService < g.adaptive.Limit() && g.queue.size == 0)
 }
 
 // refuse says no to a request whose expected wait leaves too little time.
-func (g *Gate) refuse(e Entering, now time.Time) *Refusal {
+func (g *ConcurrencyLimiter) refuse(e AcquireRequest, now time.Time) *Refusal {
 	wait := g.expectedWait(e.Customer, float64(max(e.Weight, 1)))
 	if g.queue.size < maxWaiting && now.Add(wait+e.need()).Before(e.Deadline) {
 		return nil
 	}
-	return &Refusal{After: max(wait, shortestRetry), Queued: g.queue.size}
+	return &Refusal{RetryAfter: max(wait, shortestRetry), QueueLength: g.queue.size}
 }
 
 // need is Need with a margin: half of the requests take longer than usual, and
 // one that is let in with just the usual time left is lost work as often as not.
-func (e Entering) need() time.Duration {
-	return time.Duration(needMargin * float64(e.Need))
+func (e AcquireRequest) need() time.Duration {
+	return time.Duration(needMargin * float64(e.ServiceTime))
 }
 
 const needMargin = 1.25
@@ -127,24 +127,24 @@
 // expectedWait of a customer's next request. It follows from the customer's own
 // queue and share: behind another's burst it stands only as far as it has to
 // share places with it.
-func (g *Gate) expectedWait(customer string, weight float64) time.Duration {
+func (g *ConcurrencyLimiter) expectedWait(customer string, weight float64) time.Duration {
 	return time.Duration(g.queue.before(customer, weight) * float64(g.pace))
 }
 
-func (g *Gate) refusal(w *waiter) *Refusal {
+func (g *ConcurrencyLimiter) refusal(w *waiter) *Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return &Refusal{After: max(g.expectedWait(w.customer, w.weight), shortestRetry), Queued: g.queue.size}
+	return &Refusal{RetryAfter: max(g.expectedWait(w.customer, w.weight), shortestRetry), QueueLength: g.queue.size}
 }
 
 // Pass is the right to be served. End it once.
-type Pass struct {
+type Permit struct {
 	// OverShare says that places are short and the request's customer has more
 	// of them than its share. Targets must serve the others first: their own
 	// queues know nothing of shares.
 	OverShare bool
 
-	gate     *Gate
+	gate     *ConcurrencyLimiter
 	customer string
 	since    time.Time
 	// allowed is the request's whole time, also what it waited at the gate. A
@@ -157,7 +157,7 @@
 // End gives the place to the next one. counts says that the time taken tells
 // something about the load on the targets: true for a request that was answered
 // or ran out of time, false for one that failed otherwise or was cancelled.
-func (p *Pass) End(counts bool) {
+func (p *Permit) Release(counts bool) {
 	g := p.gate
 	now := time.Now()
 	g.mu.Lock()
@@ -178,7 +178,7 @@
 	longestPace = time.Second
 )
 
-func (g *Gate) keepPace(now time.Time) {
+func (g *ConcurrencyLimiter) keepPace(now time.Time) {
 	if !g.lastEnd.IsZero() && g.queue.size > 0 {
 		interval := min(now.Sub(g.lastEnd), longestPace)
 		g.pace += time.Duration(paceWeight * float64(interval-g.pace))
@@ -188,7 +188,7 @@
 
 // letIn fills the free places. A request that can't be in time any more is
 // refused here and costs no stage.
-func (g *Gate) letIn(now time.Time) {
+func (g *ConcurrencyLimiter) letIn(now time.Time) {
 	for g.inService < g.adaptive.Limit() {
 		w := g.queue.pop()
 		if w == nil {
@@ -211,7 +211,7 @@
 
 // serve counts a request in service and says whether its customer has more
 // places than its share while they are short.
-func (g *Gate) serve(customer string, weight float64) (overShare bool) {
+func (g *ConcurrencyLimiter) serve(customer string, weight float64) (overShare bool) {
 	g.inService++
 	own := g.serving[customer]
 	if own == nil {
@@ -230,7 +230,7 @@
 	return float64(own.count-1) >= float64(g.inService)*weight/weights
 }
 
-func (g *Gate) ended(customer string) {
+func (g *ConcurrencyLimiter) ended(customer string) {
 	own := g.serving[customer]
 	own.count--
 	if own.count == 0 {
@@ -239,11 +239,11 @@
 }
 
 // Load is what the gate shows to operators.
-type Load struct{ InService, Waiting, Limit int }
+type LimiterStats struct{ InService, Waiting, Limit int }
 
 // Load tells how full the gate is.
-func (g *Gate) Load() Load {
+func (g *ConcurrencyLimiter) Stats() LimiterStats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return Load{InService: g.inService, Waiting: g.queue.size, Limit: g.adaptive.Limit()}
+	return LimiterStats{InService: g.inService, Waiting: g.queue.size, Limit: g.adaptive.Limit()}
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -56,7 +56,7 @@
 	tests := []struct {
 		name     string
 		contract config.Contract
-		want     Verdict
+		want     Decision
 		admitted int
 	}{
 		{"no limits", config.Contract{Customer: "a"}, Admitted, 50},
@@ -67,7 +67,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := NewCustomers(SplitByDemand)
 			admitted := 0
-			var last Verdict
+			var last Decision
 			for range 50 {
 				var wait time.Duration
 				_, last, wait = c.Admit(tc.contract, 0, now)
@@ -129,7 +129,7 @@
 func TestFreshProcessStartsWithItsPart(t *testing.T) {
 	c := NewCustomers(SplitByDemand)
 	now := time.Unix(100, 0)
-	c.Rebalance(View{Peers: make([]PeerDemand, 3)}, now)
+	c.Rebalance(PeerView{Peers: make([]PeerDemand, 3)}, now)
 	contract := config.Contract{Customer: "a", RequestsPerSecond: 40, Burst: 40}
 	admitted := 0
 	for range 50 {
@@ -143,7 +143,7 @@
 // The customer uses its limit at other entry VMs, or may do so unheard. A full
 // bucket here would come on top of it.
 func TestFreshProcessStartsLowWhereOthersServe(t *testing.T) {
-	for _, view := range []View{{Unknown: 3}, {Peers: []PeerDemand{{"a": {Requests: 40}}}}} {
+	for _, view := range []PeerView{{Unknown: 3}, {Peers: []PeerDemand{{"a": {Requests: 40}}}}} {
 		c := NewCustomers(SplitByDemand)
 		now := time.Unix(100, 0)
 		c.Rebalance(view, now)
@@ -163,7 +163,7 @@
 			total, idle := 0, 0
 			for i := range demands {
 				others := slices.Delete(slices.Clone(demands), i, i+1)
-				mine := WholeShare(SplitByDemand, limit, demands[i], others, i, 0)
+				mine := IntegerShare(SplitByDemand, limit, demands[i], others, i, 0)
 				assert.Assert(t, mine >= 1, "%v: %d", demands, mine)
 				total += mine
 				if demands[i] == 0 {
@@ -180,7 +180,7 @@
 		total := 0
 		for i := range demands {
 			others := slices.Delete(slices.Clone(demands), i, i+1)
-			total += WholeShare(SplitByDemand, 2, demands[i], others, i, 0)
+			total += IntegerShare(SplitByDemand, 2, demands[i], others, i, 0)
 		}
 		assert.Equal(t, total, 2)
 	}
@@ -243,7 +243,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			a := NewAdaptive()
+			a := NewAdaptiveLimit()
 			before := a.Limit()
 			for range observations {
 				a.Observe(tc.took, time.Second, tc.inService)
@@ -257,7 +257,7 @@
 // takes the long ones for a queue, shrinks to its least and turns most callers
 // away from idle targets.
 func TestAdaptiveTakesNoLongAnswerForAQueue(t *testing.T) {
-	a := NewAdaptive()
+	a := NewAdaptiveLimit()
 	before := a.Limit()
 	for i := range 50 * observations {
 		took := 50 * time.Millisecond
@@ -270,15 +270,15 @@
 }
 
 func TestGateRefusesAtOnceWhatCannotBeInTime(t *testing.T) {
-	g := NewGate(false)
+	g := NewConcurrencyLimiter(false)
 	g.adaptive.limit = 1
 	g.pace = time.Second
-	pass, refusal := g.Enter(context.Background(), Entering{Customer: "a", Deadline: time.Now().Add(time.Hour)})
+	pass, refusal := g.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(time.Hour)})
 	assert.Assert(t, pass != nil && refusal == nil)
 	start := time.Now()
-	_, refusal = g.Enter(context.Background(), Entering{Customer: "a", Deadline: time.Now().Add(500 * time.Millisecond)})
+	_, refusal = g.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(500 * time.Millisecond)})
 	assert.Assert(t, refusal != nil)
-	assert.Equal(t, refusal.After, time.Second)
+	assert.Equal(t, refusal.RetryAfter, time.Second)
 	assert.Assert(t, time.Since(start) < 400*time.Millisecond)
 }
 
@@ -286,29 +286,29 @@
 // time: if its wait were reckoned by the whole queue it would be refused for the
 // burst's sake, though its turn is next.
 func TestBurstDoesNotHaveOthersRefused(t *testing.T) {
-	g := NewGate(false)
-	g.adaptive.limit, g.adaptive.Low = 1, 1
+	g := NewConcurrencyLimiter(false)
+	g.adaptive.limit, g.adaptive.Min = 1, 1
 	g.pace = 10 * time.Millisecond
-	pass, _ := g.Enter(context.Background(), Entering{Customer: "burst", Weight: 30, Deadline: time.Now().Add(time.Hour)})
+	pass, _ := g.Acquire(context.Background(), AcquireRequest{Customer: "burst", Weight: 30, Deadline: time.Now().Add(time.Hour)})
 	for range 100 {
 		g.queue.push(&waiter{customer: "burst", weight: 30, deadline: time.Now().Add(time.Hour), decided: make(chan bool, 1)})
 	}
-	calm := Entering{Customer: "calm", Weight: 45, Deadline: time.Now().Add(200 * time.Millisecond)}
+	calm := AcquireRequest{Customer: "calm", Weight: 45, Deadline: time.Now().Add(200 * time.Millisecond)}
 	assert.Assert(t, g.refuse(calm, time.Now()) == nil)
-	burst := Entering{Customer: "burst", Weight: 30, Deadline: time.Now().Add(200 * time.Millisecond)}
+	burst := AcquireRequest{Customer: "burst", Weight: 30, Deadline: time.Now().Add(200 * time.Millisecond)}
 	assert.Assert(t, g.refuse(burst, time.Now()) != nil)
-	pass.End(false)
+	pass.Release(false)
 }
 
 // Requests that waited at the gate have little time left when they are let in.
 // Their calls are quick all the same, so that the gate must not shrink.
 func TestWaitAtGateIsNoSlowTarget(t *testing.T) {
-	g := NewGate(false)
+	g := NewConcurrencyLimiter(false)
 	before := g.adaptive.Limit()
 	now := time.Now()
 	for range observations {
 		g.serve("", 1)
-		(&Pass{gate: g, since: now.Add(-300 * time.Millisecond), allowed: time.Second}).End(true)
+		(&Permit{gate: g, since: now.Add(-300 * time.Millisecond), allowed: time.Second}).Release(true)
 	}
 	assert.Assert(t, g.adaptive.Limit() >= before)
 }
@@ -331,7 +331,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			g := NewGate(false)
+			g := NewConcurrencyLimiter(false)
 			g.adaptive.limit = tc.limit
 			for range tc.burst {
 				g.serve("burst", 1)
@@ -348,20 +348,20 @@
 }
 
 func TestGateHandsPlaceOn(t *testing.T) {
-	g := NewGate(false)
-	g.adaptive.limit, g.adaptive.Low = 1, 1
-	first, _ := g.Enter(context.Background(), Entering{Customer: "a", Deadline: time.Now().Add(time.Hour)})
-	got := make(chan *Pass)
+	g := NewConcurrencyLimiter(false)
+	g.adaptive.limit, g.adaptive.Min = 1, 1
+	first, _ := g.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(time.Hour)})
+	got := make(chan *Permit)
 	go func() {
-		pass, _ := g.Enter(context.Background(), Entering{Customer: "a", Deadline: time.Now().Add(time.Hour)})
+		pass, _ := g.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(time.Hour)})
 		got <- pass
 	}()
-	for g.Load().Waiting == 0 {
+	for g.Stats().Waiting == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	first.End(false)
+	first.Release(false)
 	pass := <-got
 	assert.Assert(t, pass != nil)
-	pass.End(false)
-	assert.Equal(t, g.Load().InService, 0)
+	pass.Release(false)
+	assert.Equal(t, g.Stats().InService, 0)
 }
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -65,7 +65,7 @@
 // comes to a VM without any would be refused there for good. A VM without
 // demand lets one in on trust until the next exchange of demands. Nothing is
 // kept back for it: of a limit of 24, eight idle VMs would keep a third.
-func WholeShare(split Split, limit int, own float64, others []float64, rank, unknown int) int {
+func IntegerShare(split Split, limit int, own float64, others []float64, rank, unknown int) int {
 	n := 1 + len(others) + unknown
 	least := 1.0
 	if limit < n {
--- a/internal/limit/simulation_test.go
+++ b/internal/limit/simulation_test.go
@@ -130,8 +130,8 @@
 	return s.tc.event != cutOff || s.since < simEvent || (a == s.last()) == (b == s.last())
 }
 
-func (s *simulation) view(vm int) View {
-	var v View
+func (s *simulation) view(vm int) PeerView {
+	var v PeerView
 	for other := range s.vms {
 		if other == vm || !s.listed(other) && s.since-s.heard[other] > 0 && !s.serves(other) {
 			continue
--- a/internal/pipeline/attempts.go
+++ b/internal/pipeline/attempts.go
@@ -71,7 +71,7 @@
 }
 
 func (r *stageRun) do(ctx context.Context) *problem.Problem {
-	r.x.Budgets.For(r.budget()).First()
+	r.x.Budgets.For(r.budget()).RecordFirstTry()
 	if r.pool.Kind == config.TargetEngine {
 		return r.generate(ctx)
 	}
@@ -128,11 +128,11 @@
 // mayRetry waits out the backoff, or says why there is no other try.
 func (r *stageRun) mayRetry(ctx context.Context, f *target.Failure) *problem.Problem {
 	expected := r.x.Clock.Rest(r.w.req.Pipeline, r.index)
-	verdict := retry.Decide(retry.Situation{
+	verdict := retry.Decide(retry.FailedCall{
 		Tries: r.attempts, Idempotent: true, NotRun: f.Execution == problem.NotRun,
 		Remaining: remaining(ctx), Expected: expected,
 	})
-	if verdict != retry.Again {
+	if verdict != retry.Retry {
 		return r.giveUp(ctx, string(verdict), f)
 	}
 	// A refused connection put no load on the target, so it needs no budget. A
@@ -247,10 +247,10 @@
 // statusFailure tells refusals before anything ran from other errors.
 func statusFailure(answer *target.Answer) *target.Failure {
 	execution := problem.Unknown
-	if answer.Own {
+	if answer.HasIdentity {
 		execution = problem.Ran
 	}
-	if answer.SaysNotRun() {
+	if answer.ConfirmsNotRun() {
 		execution = problem.NotRun
 	}
 	return &target.Failure{
--- a/internal/pipeline/generate.go
+++ b/internal/pipeline/generate.go
@@ -91,15 +91,15 @@
 	if r.x.Prefixes == nil {
 		return nil
 	}
-	return r.x.Prefixes.Saved(r.pool.Name, prompt)
+	return r.x.Prefixes.SavedTime(r.pool.Name, prompt)
 }
 
 func (r *stageRun) finish(a *attempt, g *generation) {
 	r.answeredBy = a.lease.Address
-	r.x.Budgets.For(r.budget()).Succeeded()
+	r.x.Budgets.For(r.budget()).RecordSuccess()
 	r.w.output = g.text.String()
 	if r.x.Prefixes != nil {
-		r.x.Prefixes.Answered(r.pool.Name, g.prompt, g.usage)
+		r.x.Prefixes.RecordUsage(r.pool.Name, g.prompt, g.usage)
 	}
 	r.w.usage.PromptTokens += g.usage.PromptTokens
 	r.w.usage.CachedTokens += g.usage.CachedTokens
@@ -141,9 +141,9 @@
 		panic("pipeline: encode: " + err.Error())
 	}
 	if r.x.Prefixes != nil {
-		r.x.Prefixes.Sent(r.pool.Name, a.lease.Address, g.prompt)
+		r.x.Prefixes.RecordPrompt(r.pool.Name, a.lease.Address, g.prompt)
 	}
-	return r.x.Client.Open(ctx, target.Call{
+	return r.x.Client.OpenStream(ctx, target.Call{
 		Address: a.lease.Address, Method: "POST", Path: targetapi.PathCompletions, Identity: r.identity(a),
 		Customer: r.w.req.Customer, ContentType: contentJSON, Body: body,
 	})
--- a/internal/pipeline/generate_test.go
+++ b/internal/pipeline/generate_test.go
@@ -39,7 +39,7 @@
 	t.Helper()
 	server := httptest.NewServer(engine)
 	t.Cleanup(server.Close)
-	policy, err := routing.New(routing.Present)
+	policy, err := routing.New(routing.Default)
 	assert.NilError(t, err)
 	targets := directory.New(directory.Options{Node: "n", Zone: "a", Policy: policy, Ejection: routing.DefaultEjection()})
 	targets.Update([]backing.VM{{
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -120,12 +120,12 @@
 
 // Prefixes knows which target has which prompt prefix cached.
 type Prefixes interface {
-	// Saved gives the prefill time saved at each target for a prompt.
-	Saved(pool, prompt string) func(address string) time.Duration
-	// Sent notes that a target has worked on a prompt.
-	Sent(pool, address, prompt string)
-	// Answered notes how many tokens a prompt had.
-	Answered(pool, prompt string, usage targetapi.Usage)
+	// SavedTime gives the prefill time saved at each target for a prompt.
+	SavedTime(pool, prompt string) func(address string) time.Duration
+	// RecordPrompt notes that a target has worked on a prompt.
+	RecordPrompt(pool, address, prompt string)
+	// RecordUsage notes how many tokens a prompt had.
+	RecordUsage(pool, prompt string, usage targetapi.Usage)
 }
 
 // work is what has been made of a request so far.
--- a/internal/pipeline/race.go
+++ b/internal/pipeline/race.go
@@ -87,7 +87,7 @@
 func (r *stageRun) win(o outcome) {
 	r.answeredBy = o.attempt.lease.Address
 	r.take(o.parsed)
-	r.x.Budgets.For(r.budget()).Succeeded()
+	r.x.Budgets.For(r.budget()).RecordSuccess()
 	r.x.Observer.Charged(r.charge(o, NoWaste))
 }
 
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -52,7 +52,7 @@
 }
 
 // Saved gives the time that each engine's cache saves for a prompt.
-func (x *Index) Saved(pool, prompt string) func(address string) time.Duration {
+func (x *Index) SavedTime(pool, prompt string) func(address string) time.Duration {
 	hashes := hashesOf(prompt)
 	price := x.price(pool)
 	return func(address string) time.Duration {
@@ -68,7 +68,7 @@
 }
 
 // Sent notes that an engine works on a prompt: it will have it in its cache.
-func (x *Index) Sent(_, address, prompt string) {
+func (x *Index) RecordPrompt(_, address, prompt string) {
 	hashes := hashesOf(prompt)
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -79,7 +79,7 @@
 const newestWeight = 0.05
 
 // Answered learns from an answer how long a pool's tokens are.
-func (x *Index) Answered(pool, prompt string, usage targetapi.Usage) {
+func (x *Index) RecordUsage(pool, prompt string, usage targetapi.Usage) {
 	if len(prompt) == 0 || usage.PromptTokens == 0 {
 		return
 	}
@@ -94,7 +94,7 @@
 }
 
 // After is the number of the last event of an engine that was taken in.
-func (x *Index) After(address string) uint64 {
+func (x *Index) LastEvent(address string) uint64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if known := x.byTarget[address]; known != nil {
@@ -105,7 +105,7 @@
 
 // Heard takes in an engine's events. Where their numbers begin anew the engine
 // is another process with an empty cache.
-func (x *Index) Heard(address string, events targetapi.CacheEvents) {
+func (x *Index) ApplyEvents(address string, events targetapi.CacheEvents) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	known := x.of(address)
--- a/internal/prefix/index_test.go
+++ b/internal/prefix/index_test.go
@@ -35,22 +35,22 @@
 	}{
 		{"what was sent", func(*Index, *time.Time) {}, 4},
 		{"a block in the middle removed", func(x *Index, _ *time.Time) {
-			x.Heard(engine, targetapi.CacheEvents{Next: 7, Events: []targetapi.CacheEvent{event(targetapi.BlockRemoved, 7, hashes[2])}})
+			x.ApplyEvents(engine, targetapi.CacheEvents{Next: 7, Events: []targetapi.CacheEvent{event(targetapi.BlockRemoved, 7, hashes[2])}})
 		}, 2},
 		{"removed and stored again", func(x *Index, _ *time.Time) {
-			x.Heard(engine, targetapi.CacheEvents{Next: 8, Events: []targetapi.CacheEvent{
+			x.ApplyEvents(engine, targetapi.CacheEvents{Next: 8, Events: []targetapi.CacheEvent{
 				event(targetapi.BlockRemoved, 7, hashes...), event(targetapi.BlockStored, 8, hashes[:3]...),
 			}})
 		}, 3},
 		{"all cleared", func(x *Index, _ *time.Time) {
-			x.Heard(engine, targetapi.CacheEvents{Next: 7, Events: []targetapi.CacheEvent{event(targetapi.AllBlocksCleared, 7)}})
+			x.ApplyEvents(engine, targetapi.CacheEvents{Next: 7, Events: []targetapi.CacheEvent{event(targetapi.AllBlocksCleared, 7)}})
 		}, 0},
 		{"another process", func(x *Index, _ *time.Time) {
-			x.Heard(engine, targetapi.CacheEvents{Next: 9})
-			x.Heard(engine, targetapi.CacheEvents{Next: 1})
+			x.ApplyEvents(engine, targetapi.CacheEvents{Next: 9})
+			x.ApplyEvents(engine, targetapi.CacheEvents{Next: 1})
 		}, 0},
 		{"an event of another engine", func(x *Index, _ *time.Time) {
-			x.Heard("127.0.0.1:2", targetapi.CacheEvents{Next: 7, Events: []targetapi.CacheEvent{event(targetapi.AllBlocksCleared, 7)}})
+			x.ApplyEvents("127.0.0.1:2", targetapi.CacheEvents{Next: 7, Events: []targetapi.CacheEvent{event(targetapi.AllBlocksCleared, 7)}})
 		}, 4},
 		{"no event of its removal came", func(_ *Index, now *time.Time) { *now = now.Add(2 * maxAge) }, 0},
 		{"the target is gone", func(x *Index, _ *time.Time) { x.Forget(engine) }, 0},
@@ -60,11 +60,11 @@
 			now := time.Unix(100, 0)
 			x := New(func(string) time.Duration { return time.Millisecond })
 			x.now = func() time.Time { return now }
-			x.Answered(pool, prompt, targetapi.Usage{PromptTokens: len(prompt) / 4})
-			x.Sent(pool, engine, start)
+			x.RecordUsage(pool, prompt, targetapi.Usage{PromptTokens: len(prompt) / 4})
+			x.RecordPrompt(pool, engine, start)
 			tc.then(x, &now)
 			want := time.Duration(tc.want*targetapi.CacheBlockBytes/4) * time.Millisecond
-			got := x.Saved(pool, prompt)(engine)
+			got := x.SavedTime(pool, prompt)(engine)
 			assert.Assert(t, (got-want).Abs() < time.Millisecond, "%s, want %s", got, want)
 		})
 	}
@@ -73,7 +73,7 @@
 func TestIndexIsBounded(t *testing.T) {
 	x := New(func(string) time.Duration { return time.Millisecond })
 	for i := range 100 {
-		x.Sent(pool, engine, strconv.Itoa(i)+strings.Repeat("x", maxPrompt*targetapi.CacheBlockBytes))
+		x.RecordPrompt(pool, engine, strconv.Itoa(i)+strings.Repeat("x", maxPrompt*targetapi.CacheBlockBytes))
 	}
 	assert.Equal(t, len(x.byTarget[engine].blocks), maxBlocks)
 	assert.Equal(t, x.byTarget[engine].order.Len(), maxBlocks)
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -34,14 +34,14 @@
 }
 
 // First notes a first try.
-func (b *Budget) First() {
+func (b *Budget) RecordFirstTry() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.Share, b.Reserve+b.Share*burstOfFirstTries)
 }
 
 // Succeeded notes a call that succeeded.
-func (b *Budget) Succeeded() {
+func (b *Budget) RecordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.success = true
--- a/internal/retry/decision.go
+++ b/internal/retry/decision.go
@@ -6,7 +6,7 @@
 )
 
 // Situation is what is known when a call at a target failed.
-type Situation struct {
+type FailedCall struct {
 	// Tries made so far, the failed one included.
 	Tries int
 	// Idempotent calls may run again.
@@ -20,25 +20,25 @@
 }
 
 // Verdict says what to do about a failed call.
-type Verdict string
+type Decision string
 
 // The verdicts.
 const (
 	// Again: try again after the backoff, if the budget allows.
-	Again Verdict = "again"
+	Retry Decision = "again"
 	// GiveUpExhausted: enough tries were made.
-	GiveUpExhausted Verdict = "tries exhausted"
+	GiveUpExhausted Decision = "tries exhausted"
 	// GiveUpUnsafe: the call may have run and must not run twice.
-	GiveUpUnsafe Verdict = "may have run"
+	GiveUpUnsafe Decision = "may have run"
 	// GiveUpLate: another try can't be in time.
-	GiveUpLate Verdict = "too late"
+	GiveUpDeadline Decision = "too late"
 )
 
 // MaxTries bounds the tries of one stage.
 const MaxTries = 4
 
 // Decide says whether a failed call may be tried again.
-func Decide(s Situation) Verdict {
+func Decide(s FailedCall) Decision {
 	if !s.Idempotent && !s.NotRun {
 		return GiveUpUnsafe
 	}
@@ -46,9 +46,9 @@
 		return GiveUpExhausted
 	}
 	if s.Remaining <= s.Expected {
-		return GiveUpLate
+		return GiveUpDeadline
 	}
-	return Again
+	return Retry
 }
 
 const (
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -9,17 +9,17 @@
 )
 
 func TestDecide(t *testing.T) {
-	ok := Situation{Tries: 1, Idempotent: true, Remaining: time.Second, Expected: 100 * time.Millisecond}
+	ok := FailedCall{Tries: 1, Idempotent: true, Remaining: time.Second, Expected: 100 * time.Millisecond}
 	tests := []struct {
 		name   string
-		change func(*Situation)
-		want   Verdict
+		change func(*FailedCall)
+		want   Decision
 	}{
-		{"idempotent, broken", func(*Situation) {}, Again},
-		{"non-idempotent, may have run", func(s *Situation) { s.Idempotent = false }, GiveUpUnsafe},
-		{"non-idempotent, certainly not run", func(s *Situation) { s.Idempotent, s.NotRun = false, true }, Again},
-		{"exhausted", func(s *Situation) { s.Tries = MaxTries }, GiveUpExhausted},
-		{"no time left", func(s *Situation) { s.Remaining = 50 * time.Millisecond }, GiveUpLate},
+		{"idempotent, broken", func(*FailedCall) {}, Retry},
+		{"non-idempotent, may have run", func(s *FailedCall) { s.Idempotent = false }, GiveUpUnsafe},
+		{"non-idempotent, certainly not run", func(s *FailedCall) { s.Idempotent, s.NotRun = false, true }, Retry},
+		{"exhausted", func(s *FailedCall) { s.Tries = MaxTries }, GiveUpExhausted},
+		{"no time left", func(s *FailedCall) { s.Remaining = 50 * time.Millisecond }, GiveUpDeadline},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 	const firsts = 1000
 	retries := 0
 	for range firsts {
-		b.First()
+		b.RecordFirstTry()
 		for b.Take(now) {
 			retries++
 		}
@@ -65,13 +65,13 @@
 	now := time.Unix(0, 0)
 	retries := 0
 	for range 100 {
-		b.First()
+		b.RecordFirstTry()
 		for b.Take(now) {
 			retries++
 		}
 		now = now.Add(time.Second)
 	}
 	assert.Assert(t, retries <= 13, "%d retries", retries)
-	b.Succeeded()
+	b.RecordSuccess()
 	assert.Assert(t, b.Take(now.Add(4*time.Second)))
 }
--- a/internal/routing/better_of_two.go
+++ b/internal/routing/better_of_two.go
@@ -6,14 +6,14 @@
 // end earlier, or the holder of the longest cached prefix if that is earlier
 // still. It is kept as a baseline: with a dozen targets and calls in flight
 // counted here, looking at all of them is better (docs/EXPERIMENTS.md).
-type BetterOfTwo struct{ Estimate }
+type PowerOfTwoChoices struct{ Estimate }
 
 // Pick draws two by weight and looks at the prefix holder as a third.
-func (b BetterOfTwo) Pick(candidates []Candidate, random *rand.Rand) int {
-	pool := Survey(candidates)
+func (b PowerOfTwoChoices) Pick(candidates []Candidate, random *rand.Rand) int {
+	pool := ComputePoolStats(candidates)
 	best := draw(candidates, random, -1)
 	for _, other := range []int{draw(candidates, random, best), longestPrefix(candidates)} {
-		if other >= 0 && b.Waiting(candidates[other], pool) < b.Waiting(candidates[best], pool) {
+		if other >= 0 && b.ExpectedLoad(candidates[other], pool) < b.ExpectedLoad(candidates[best], pool) {
 			best = other
 		}
 	}
--- a/internal/routing/ejection.go
+++ b/internal/routing/ejection.go
@@ -12,8 +12,8 @@
 	SlowCalls  int
 	// Base is the first time out; it doubles with every ejection in a row, up
 	// to Longest.
-	Base    time.Duration
-	Longest time.Duration
+	BaseDuration time.Duration
+	MaxDuration  time.Duration
 	// Ramp is how long a target that came back takes to its full weight.
 	Ramp time.Duration
 	// MaxShare is the largest share of a pool that may be out at once. Without
@@ -25,7 +25,7 @@
 func DefaultEjection() Ejection {
 	return Ejection{
 		Failures: 3, SlowFactor: 3, SlowCalls: 5,
-		Base: time.Second, Longest: 30 * time.Second, Ramp: 4 * time.Second, MaxShare: 0.34,
+		BaseDuration: time.Second, MaxDuration: 30 * time.Second, Ramp: 4 * time.Second, MaxShare: 0.34,
 	}
 }
 
@@ -37,9 +37,9 @@
 	CallTime time.Duration
 	Calls    int
 	// Ejections in a row without a calm Longest between them.
-	Ejections int
-	OutUntil  time.Time
-	BackSince time.Time
+	Ejections    int
+	EjectedUntil time.Time
+	ReturnedAt   time.Time
 }
 
 // Reason says why a target is out of use.
@@ -55,7 +55,7 @@
 // Judge says whether a target in use should be ejected now. out and size are
 // the number of targets out of use and in the pool, median the pool's median
 // call time.
-func (e Ejection) Judge(h Health, median time.Duration, out, size int) Reason {
+func (e Ejection) EjectReason(h Health, median time.Duration, out, size int) Reason {
 	if float64(out+1) > e.MaxShare*float64(size) {
 		return ReasonNone
 	}
@@ -70,14 +70,14 @@
 
 // Eject gives the health of a target that goes out of use at now.
 func (e Ejection) Eject(h Health, now time.Time) Health {
-	if !h.BackSince.IsZero() && now.Sub(h.BackSince) > e.Longest {
+	if !h.ReturnedAt.IsZero() && now.Sub(h.ReturnedAt) > e.MaxDuration {
 		h.Ejections = 0
 	}
-	out := e.Base << min(h.Ejections, 10)
-	out = min(out, e.Longest)
+	out := e.BaseDuration << min(h.Ejections, 10)
+	out = min(out, e.MaxDuration)
 	h.Ejections++
-	h.OutUntil = now.Add(out)
-	h.BackSince = h.OutUntil
+	h.EjectedUntil = now.Add(out)
+	h.ReturnedAt = h.EjectedUntil
 	h.FailuresInRow = 0
 	h.Calls = 0
 	return h
@@ -85,12 +85,12 @@
 
 // Weight is 0 while the target is out, then grows to 1 over Ramp.
 func (e Ejection) Weight(h Health, now time.Time) float64 {
-	if now.Before(h.OutUntil) {
+	if now.Before(h.EjectedUntil) {
 		return 0
 	}
-	if h.BackSince.IsZero() || now.Sub(h.BackSince) >= e.Ramp {
+	if h.ReturnedAt.IsZero() || now.Sub(h.ReturnedAt) >= e.Ramp {
 		return 1
 	}
-	share := float64(now.Sub(h.BackSince)) / float64(e.Ramp)
+	share := float64(now.Sub(h.ReturnedAt)) / float64(e.Ramp)
 	return max(share, 0.05)
 }
--- a/internal/routing/estimate.go
+++ b/internal/routing/estimate.go
@@ -34,7 +34,7 @@
 const reportWeight = 0.5
 
 // Pool is what a candidate is compared with.
-type Pool struct {
+type PoolStats struct {
 	// MedianCallTime of the candidates; zero if unknown.
 	MedianCallTime time.Duration
 	// MeanInFlight is this process's calls to a candidate, on average.
@@ -42,7 +42,7 @@
 }
 
 // Survey gives the pool that candidates make up.
-func Survey(candidates []Candidate) Pool {
+func ComputePoolStats(candidates []Candidate) PoolStats {
 	times := make([]time.Duration, 0, len(candidates))
 	inFlight := 0
 	for _, c := range candidates {
@@ -51,15 +51,15 @@
 			times = append(times, c.CallTime)
 		}
 	}
-	return Pool{MedianCallTime: Median(times), MeanInFlight: float64(inFlight) / float64(len(candidates))}
+	return PoolStats{MedianCallTime: Median(times), MeanInFlight: float64(inFlight) / float64(len(candidates))}
 }
 
 // Waiting gives the load before a call at a candidate, its own included.
-func (e Estimate) Waiting(c Candidate, p Pool) float64 {
+func (e Estimate) ExpectedLoad(c Candidate, p PoolStats) float64 {
 	median := p.MedianCallTime
 	age := math.Exp2(-float64(c.ReportAge) / float64(e.ReportHalfLife))
 	trust := e.ReportWeight * age * math.Exp2(-p.MeanInFlight)
-	load := 1 + float64(c.InFlight) + trust*math.Max(0, c.Reported)
+	load := 1 + float64(c.InFlight) + trust*math.Max(0, c.ReportedLoad)
 	if !c.SameZone {
 		load += e.ZonePenalty
 	}
@@ -86,5 +86,5 @@
 	if median == 0 {
 		return 0
 	}
-	return float64(c.PrefillSaved) / float64(median) * math.Max(1, c.Full)
+	return float64(c.PrefillSaved) / float64(median) * math.Max(1, c.Concurrency)
 }
--- a/internal/routing/least_expected.go
+++ b/internal/routing/least_expected.go
@@ -6,7 +6,7 @@
 // among those that have nearly as little. The lot matters: reports lag, and
 // every entry VM would else send to the one target that looked idle a second
 // ago.
-type LeastExpected struct{ Estimate }
+type LeastExpectedLoad struct{ Estimate }
 
 // nearly is how much more load than the least, in calls, still takes part in
 // the lot.
@@ -14,13 +14,13 @@
 
 // Pick looks at all candidates. One that comes back after an ejection takes
 // part by its weight only.
-func (l LeastExpected) Pick(candidates []Candidate, random *rand.Rand) int {
+func (l LeastExpectedLoad) Pick(candidates []Candidate, random *rand.Rand) int {
 	able := l.returning(candidates, random)
 	loads := make([]float64, len(candidates))
-	pool := Survey(candidates)
+	pool := ComputePoolStats(candidates)
 	least := able[0]
 	for _, i := range able {
-		loads[i] = l.Waiting(candidates[i], pool)
+		loads[i] = l.ExpectedLoad(candidates[i], pool)
 		if loads[i] < loads[least] {
 			least = i
 		}
@@ -40,7 +40,7 @@
 
 // returning draws which of the candidates that come back take part; all do
 // where none else would.
-func (l LeastExpected) returning(candidates []Candidate, random *rand.Rand) []int {
+func (l LeastExpectedLoad) returning(candidates []Candidate, random *rand.Rand) []int {
 	able := make([]int, 0, len(candidates))
 	for i, c := range candidates {
 		if c.Weight >= 1 || random.Float64() < c.Weight {
--- a/internal/routing/packing.go
+++ b/internal/routing/packing.go
@@ -12,10 +12,10 @@
 	// Degree is 0 to spread and 1 to fill each target before the next is used.
 	Degree float64
 	// Full is how many calls fill a target.
-	Full float64
+	Concurrency float64
 	// Within bounds what a call may be expected to take at a target that is
 	// filled further; zero for no bound.
-	Within time.Duration
+	MaxCallTime time.Duration
 }
 
 // freshReport is the age up to which a report of a target's other load counts.
@@ -26,12 +26,12 @@
 // is the first, so that entry VMs that list the targets alike fill the same
 // ones.
 func (p Packing) Pick(candidates []Candidate) int {
-	most := 1 + p.Degree*(p.Full-1)
-	median := Survey(candidates).MedianCallTime
+	most := 1 + p.Degree*(p.Concurrency-1)
+	median := ComputePoolStats(candidates).MedianCallTime
 	best, bestLoad := -1, 0.0
 	for i, c := range candidates {
 		load := c.load()
-		if load+1 > most || c.Weight < 1 || (p.Within > 0 && c.CallTime > p.Within) {
+		if load+1 > most || c.Weight < 1 || (p.MaxCallTime > 0 && c.CallTime > p.MaxCallTime) {
 			continue
 		}
 		load += savedCalls(c, median)
@@ -46,7 +46,7 @@
 func (c Candidate) load() float64 {
 	load := float64(c.InFlight)
 	if c.ReportAge <= freshReport {
-		load += math.Max(0, c.Reported)
+		load += math.Max(0, c.ReportedLoad)
 	}
 	return load
 }
--- a/internal/routing/prefix_test.go
+++ b/internal/routing/prefix_test.go
@@ -26,10 +26,10 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			candidates := []Candidate{
-				{Weight: 1, CallTime: 100 * time.Millisecond, SameZone: true, Full: tc.full},
-				{Weight: 1, CallTime: 100 * time.Millisecond, SameZone: true, Full: tc.full, InFlight: tc.ahead, PrefillSaved: tc.saved},
+				{Weight: 1, CallTime: 100 * time.Millisecond, SameZone: true, Concurrency: tc.full},
+				{Weight: 1, CallTime: 100 * time.Millisecond, SameZone: true, Concurrency: tc.full, InFlight: tc.ahead, PrefillSaved: tc.saved},
 			}
-			got := LeastExpected{Estimate: DefaultEstimate()}.Pick(candidates, rand.New(rand.NewPCG(1, 2)))
+			got := LeastExpectedLoad{Estimate: DefaultEstimate()}.Pick(candidates, rand.New(rand.NewPCG(1, 2)))
 			assert.Equal(t, got, tc.want)
 		})
 	}
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -14,7 +14,7 @@
 	InFlight int
 	// Reported is the load that the target reported last, in calls running and
 	// waiting, less those of this process at that time; zero without a report.
-	Reported float64
+	ReportedLoad float64
 	// ReportAge is how old that report is, the reporting lag not included.
 	ReportAge time.Duration
 	// CallTime is what a call at this target takes now (moving average); zero
@@ -25,7 +25,7 @@
 	// PrefillSaved is the time that the target's prefix cache would save.
 	PrefillSaved time.Duration
 	// Full is how many calls the target serves at once; zero counts as 1.
-	Full float64
+	Concurrency float64
 	// Weight is 1 in normal service and less while a target that was ejected
 	// is let back in gradually.
 	Weight float64
@@ -37,31 +37,31 @@
 }
 
 // Name names a Policy in settings.
-type Name string
+type PolicyName string
 
 // The names of the policies. Present is the product's own, the others are the
 // baselines it is measured against.
 const (
-	Present       Name = "present"
-	Random        Name = "random"
-	RoundRobin    Name = "round-robin"
-	LeastInFlight Name = "least-in-flight"
-	BetterOf2     Name = "better-of-two"
+	Default       PolicyName = "present"
+	Random        PolicyName = "random"
+	RoundRobin    PolicyName = "round-robin"
+	LeastInFlight PolicyName = "least-in-flight"
+	PowerOfTwo    PolicyName = "better-of-two"
 	// WithReports is the present policy that weighs the targets' load reports.
-	WithReports Name = "with-reports"
+	WithReports PolicyName = "with-reports"
 )
 
 // New makes the policy of a name.
-func New(name Name) (Policy, error) {
+func New(name PolicyName) (Policy, error) {
 	switch name {
-	case Present:
-		return LeastExpected{Estimate: DefaultEstimate()}, nil
+	case Default:
+		return LeastExpectedLoad{Estimate: DefaultEstimate()}, nil
 	case WithReports:
 		estimate := DefaultEstimate()
 		estimate.ReportWeight = reportWeight
-		return LeastExpected{Estimate: estimate}, nil
-	case BetterOf2:
-		return BetterOfTwo{Estimate: DefaultEstimate()}, nil
+		return LeastExpectedLoad{Estimate: estimate}, nil
+	case PowerOfTwo:
+		return PowerOfTwoChoices{Estimate: DefaultEstimate()}, nil
 	case Random:
 		return randomPolicy{}, nil
 	case RoundRobin:
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -14,35 +14,35 @@
 func TestWaiting(t *testing.T) {
 	e := DefaultEstimate()
 	e.ReportWeight = reportWeight
-	pool := Pool{MedianCallTime: 10 * time.Millisecond}
+	pool := PoolStats{MedianCallTime: 10 * time.Millisecond}
 	base := Candidate{CallTime: pool.MedianCallTime, SameZone: true, Weight: 1}
 	tests := []struct {
 		name  string
 		worse func(c Candidate) Candidate
 	}{
 		{"own calls in flight count", func(c Candidate) Candidate { c.InFlight = 1; return c }},
-		{"reported load counts", func(c Candidate) Candidate { c.Reported = 2; return c }},
+		{"reported load counts", func(c Candidate) Candidate { c.ReportedLoad = 2; return c }},
 		{"other zone costs the way", func(c Candidate) Candidate { c.SameZone = false; return c }},
 		{"slow target", func(c Candidate) Candidate { c.CallTime *= 2; return c }},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			assert.Assert(t, e.Waiting(base, pool) < e.Waiting(tc.worse(base), pool))
+			assert.Assert(t, e.ExpectedLoad(base, pool) < e.ExpectedLoad(tc.worse(base), pool))
 		})
 	}
 	slightly := base
 	slightly.CallTime = 13 * time.Millisecond
-	assert.Equal(t, e.Waiting(slightly, pool), e.Waiting(base, pool))
+	assert.Equal(t, e.ExpectedLoad(slightly, pool), e.ExpectedLoad(base, pool))
 	fresh, old := base, base
-	fresh.Reported, old.Reported, old.ReportAge = 8, 8, 10*time.Second
-	assert.Assert(t, e.Waiting(old, pool) < e.Waiting(fresh, pool)/4)
+	fresh.ReportedLoad, old.ReportedLoad, old.ReportAge = 8, 8, 10*time.Second
+	assert.Assert(t, e.ExpectedLoad(old, pool) < e.ExpectedLoad(fresh, pool)/4)
 	busy := pool
 	busy.MeanInFlight = 4
-	assert.Assert(t, e.Waiting(fresh, busy) < e.Waiting(fresh, pool), "reports count less beside own calls")
+	assert.Assert(t, e.ExpectedLoad(fresh, busy) < e.ExpectedLoad(fresh, pool), "reports count less beside own calls")
 }
 
 func TestPrefixHolderWinsOnlyWhileQueueCostsLess(t *testing.T) {
-	for _, b := range []Policy{BetterOfTwo{DefaultEstimate()}, LeastExpected{DefaultEstimate()}} {
+	for _, b := range []Policy{PowerOfTwoChoices{DefaultEstimate()}, LeastExpectedLoad{DefaultEstimate()}} {
 		checkPrefixHolder(t, b)
 	}
 }
@@ -62,7 +62,7 @@
 }
 
 func TestEveryPolicyPicksWithinBounds(t *testing.T) {
-	for _, name := range []Name{Present, Random, RoundRobin, LeastInFlight, BetterOf2, WithReports} {
+	for _, name := range []PolicyName{Default, Random, RoundRobin, LeastInFlight, PowerOfTwo, WithReports} {
 		policy, err := New(name)
 		assert.NilError(t, err)
 		random := seeded()
@@ -100,7 +100,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			assert.Equal(t, e.Judge(tc.health, median, tc.out, tc.size), tc.want)
+			assert.Equal(t, e.EjectReason(tc.health, median, tc.out, tc.size), tc.want)
 		})
 	}
 }
@@ -110,12 +110,12 @@
 	now := time.Unix(1000, 0)
 	h := e.Eject(Health{}, now)
 	assert.Equal(t, e.Weight(h, now), 0.0)
-	back := now.Add(e.Base)
+	back := now.Add(e.BaseDuration)
 	assert.Equal(t, e.Weight(h, back), 0.05)
 	assert.Equal(t, e.Weight(h, back.Add(e.Ramp/2)), 0.5)
 	assert.Equal(t, e.Weight(h, back.Add(e.Ramp)), 1.0)
 	again := e.Eject(h, back)
-	assert.Equal(t, again.OutUntil.Sub(back), 2*e.Base)
+	assert.Equal(t, again.EjectedUntil.Sub(back), 2*e.BaseDuration)
 }
 
 func TestSubsetOverlapsAndStaysStable(t *testing.T) {
@@ -148,7 +148,7 @@
 }
 
 func TestLeastExpectedDrawsLotsAmongEquals(t *testing.T) {
-	policy := LeastExpected{DefaultEstimate()}
+	policy := LeastExpectedLoad{DefaultEstimate()}
 	idle := Candidate{CallTime: 10 * time.Millisecond, SameZone: true, Weight: 1}
 	busy := idle
 	busy.InFlight = 3
@@ -164,7 +164,7 @@
 }
 
 func TestReturningTargetTakesPartByItsWeight(t *testing.T) {
-	policy := LeastExpected{DefaultEstimate()}
+	policy := LeastExpectedLoad{DefaultEstimate()}
 	back := Candidate{CallTime: time.Millisecond, SameZone: true, Weight: 0.1}
 	other := Candidate{CallTime: 10 * time.Millisecond, SameZone: true, Weight: 1}
 	random := seeded()
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -26,7 +26,7 @@
 	}
 	ranked := make([]rankedMember, 0, len(members))
 	for _, m := range members {
-		ranked = append(ranked, rankedMember{member: m, score: Rendezvous(node, m.Address)})
+		ranked = append(ranked, rankedMember{member: m, score: RendezvousScore(node, m.Address)})
 	}
 	sort.Slice(ranked, func(i, j int) bool { return ranked[i].before(ranked[j]) })
 	chosen := make([]Member, 0, size)
@@ -71,7 +71,7 @@
 // Rendezvous ranks the last of some names for the others: of several candidates
 // all processes that compare these figures choose the same, without exchange, and
 // most choices stay as they are when candidates come and go.
-func Rendezvous(names ...string) uint64 {
+func RendezvousScore(names ...string) uint64 {
 	h := fnv.New64a()
 	for i, name := range names {
 		if i > 0 {
--- a/internal/serve/follow/follow.go
+++ b/internal/serve/follow/follow.go
@@ -239,7 +239,7 @@
 		if err != nil {
 			healthy = false
 			f.noteFailure(ctx, d, err)
-			wait.Around(ctx, max(retry, f.retryFloor()))
+			wait.Jittered(ctx, max(retry, f.retryFloor()))
 			retry = min(2*retry, maxRetryPause)
 			continue
 		}
--- a/internal/serve/gather/choose.go
+++ b/internal/serve/gather/choose.go
@@ -63,7 +63,7 @@
 	// request and zone scaled to [0, 1), is each zone with a probability proportional to its
 	// weight w.
 	score := func(zone string) float64 {
-		u := float64(routing.Rendezvous(zone, request)>>11) / (1 << 53)
+		u := float64(routing.RendezvousScore(zone, request)>>11) / (1 << 53)
 		return math.Pow(u, 1/weight[zone])
 	}
 	slices.SortFunc(zones, func(a, b string) int { return cmp.Compare(score(b), score(a)) })
--- a/internal/serve/place/place.go
+++ b/internal/serve/place/place.go
@@ -164,7 +164,7 @@
 	affine := ""
 	best := uint64(0)
 	for _, v := range views {
-		score := routing.Rendezvous(last, v.ID)
+		score := routing.RendezvousScore(last, v.ID)
 		if v.Weight > 0 && score >= best {
 			best, affine = score, v.ID
 		}
--- a/internal/serve/pool/service.go
+++ b/internal/serve/pool/service.go
@@ -95,7 +95,7 @@
 	changed := map[uint64]bool{}
 	mask := uint64(len(groups) - 1)
 	for id := range touched {
-		changed[routing.Rendezvous(id)&mask] = true
+		changed[routing.RendezvousScore(id)&mask] = true
 	}
 	for _, target := range fresh {
 		changed[target.hash&mask] = true
@@ -118,7 +118,7 @@
 	if len(s.groups) == 0 {
 		return nil
 	}
-	return s.groups[routing.Rendezvous(name)&uint64(len(s.groups)-1)]
+	return s.groups[routing.RendezvousScore(name)&uint64(len(s.groups)-1)]
 }
 
 // touches are the IDs of targets that have changed, by service.
--- a/internal/serve/pool/table.go
+++ b/internal/serve/pool/table.go
@@ -242,7 +242,7 @@
 		return back.update(c.Entry, now)
 	}
 	t.byID[c.ID] = &Target{
-		ID: c.ID, Born: c.Born, Service: c.Service, Address: c.Address, Zone: c.Zone, hash: routing.Rendezvous(c.ID), entry: c.Entry,
+		ID: c.ID, Born: c.Born, Service: c.Service, Address: c.Address, Zone: c.Zone, hash: routing.RendezvousScore(c.ID), entry: c.Entry,
 		evacuated: t.evacuated(c.Zone), coldUntil: now.Add(c.ColdLeft),
 	}
 	if t.known { // the first list is logged as a whole
@@ -534,13 +534,13 @@
 	count := t.Count(target.Service, now)
 	target.mu.Lock()
 	defer target.mu.Unlock()
-	reason := t.ejection.Judge(target.health, 0, count.Out, count.Usable)
-	if reason == routing.ReasonNone || now.Before(target.health.OutUntil) {
+	reason := t.ejection.EjectReason(target.health, 0, count.Out, count.Usable)
+	if reason == routing.ReasonNone || now.Before(target.health.EjectedUntil) {
 		return
 	}
 	target.health = t.ejection.Eject(target.health, now)
 	t.log.Warn("Target out of use.", zap.String("target", target.ID), zap.String("service", target.Service),
-		zap.String("reason", string(reason)), zap.Duration("for", target.health.OutUntil.Sub(now)))
+		zap.String("reason", string(reason)), zap.Duration("for", target.health.EjectedUntil.Sub(now)))
 }
 
 // suspicious tells whether a target would be ejected if its service had targets
@@ -548,5 +548,5 @@
 func (target *Target) suspicious(e routing.Ejection, now time.Time) bool {
 	target.mu.Lock()
 	defer target.mu.Unlock()
-	return !now.Before(target.health.OutUntil) && e.Judge(target.health, 0, 0, math.MaxInt) != routing.ReasonNone
+	return !now.Before(target.health.EjectedUntil) && e.EjectReason(target.health, 0, 0, math.MaxInt) != routing.ReasonNone
 }
--- a/internal/serve/suspicion.go
+++ b/internal/serve/suspicion.go
@@ -224,7 +224,7 @@
 // collectorsOf gives the processes that collect the reports on a request: the first
 // by rendezvous among the living.
 func collectorsOf(f suspect.Fingerprint, view *peer.View) []peer.Incarnation {
-	return view.HighestRanked(collectors, func(id peer.Incarnation) uint64 { return routing.Rendezvous(string(f), string(id)) })
+	return view.HighestRanked(collectors, func(id peer.Incarnation) uint64 { return routing.RendezvousScore(string(f), string(id)) })
 }
 
 // tell tells all processes of the crashes under convicted requests.
--- a/internal/serve/upstream/answer.go
+++ b/internal/serve/upstream/answer.go
@@ -145,7 +145,7 @@
 	a.closed = true
 	inTime := a.stop()
 	if a.whole && a.reuse && !a.keepNone && inTime && a.conn.R.Buffered() == 0 && a.bodyWritten() {
-		a.conn.Idle = idleTime(&a.Header)
+		a.conn.IdleTimeout = idleTime(&a.Header)
 		a.client.idle.Put(a.address, a.conn, time.Now())
 		return
 	}
@@ -182,7 +182,7 @@
 			return 0
 		}
 		idle := time.Duration(seconds) * time.Second
-		return min(max(idle-idleMargin, idle/4), conns.DefaultIdle)
+		return min(max(idle-idleMargin, idle/4), conns.DefaultIdleTimeout)
 	}
 	return 0
 }
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -94,7 +94,7 @@
 func (c *Client) Prune(now time.Time) { c.idle.Prune(now) }
 
 // Drop closes the unused connections to an address that another target may get.
-func (c *Client) Drop(address string) { c.idle.Drop(address) }
+func (c *Client) Drop(address string) { c.idle.CloseIdle(address) }
 
 // Send makes one attempt and reads the answer's header. Every error is a
 // *Failure. The context's end closes the connection, also while the body is
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, &Failure{Err: err}
 	}
-	conn.Most = r.MaxKept
+	conn.MaxIdle = r.MaxKept
 	a := &Answer{client: c, address: r.Address, conn: conn, keepNone: r.KeepNone, written: make(chan struct{})}
 	a.stop = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	if err := ctx.Err(); err != nil {
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -71,7 +71,7 @@
 func TestCrashedEngineServesWhatItServedAtFirst(t *testing.T) {
 	e := startEngine(t, Costs{ModelLoadMS: 1, AdapterLoadMS: 1})
 	ctx := context.Background()
-	assert.NilError(t, e.SetModel(ctx, targetapi.ModelOrder{Model: "m", Version: "2", Role: "decode"}))
+	assert.NilError(t, e.SetModel(ctx, targetapi.SetModelRequest{Model: "m", Version: "2", Role: "decode"}))
 	assert.NilError(t, e.LoadAdapter(ctx, "ada"))
 	assert.DeepEqual(t, e.Serving(), Serving{Model: "m", Version: "2", Role: "decode", Adapters: []string{"ada"}})
 	s, err := e.Submit(targetapi.CompletionRequest{Prompt: "x", MaxTokens: 1 << 30})
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -42,7 +42,7 @@
 // engine serves it; until then new requests are refused, and those that run
 // finish on the old one. A change of the role alone takes no time and keeps
 // the cache.
-func (e *Engine) SetModel(ctx context.Context, order targetapi.ModelOrder) error {
+func (e *Engine) SetModel(ctx context.Context, order targetapi.SetModelRequest) error {
 	now := e.Serving()
 	if now.Model == order.Model && now.Version == order.Version {
 		e.setRole(order.Role)
--- a/internal/standin/engine/work.go
+++ b/internal/standin/engine/work.go
@@ -206,7 +206,7 @@
 }
 
 func (w Work) setModel(c *target.Call) {
-	var order targetapi.ModelOrder
+	var order targetapi.SetModelRequest
 	if !c.Decode(&order) {
 		return
 	}
@@ -214,7 +214,7 @@
 }
 
 func (w Work) loadAdapter(c *target.Call) {
-	var order targetapi.AdapterOrder
+	var order targetapi.AdapterRequest
 	if !c.Decode(&order) {
 		return
 	}
@@ -222,7 +222,7 @@
 }
 
 func (w Work) unloadAdapter(c *target.Call) {
-	var order targetapi.AdapterOrder
+	var order targetapi.AdapterRequest
 	if !c.Decode(&order) {
 		return
 	}
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -274,7 +274,7 @@
 		assert.Equal(t, send(1, "other", "4"), http.StatusOK)
 		order := func(version, token string) int {
 			status, _ := call[json.RawMessage](t, "POST", "http://"+f.Targets["llm"][0]+targetapi.PathSetModel,
-				targetapi.ModelOrder{Model: "m1", Version: version}, header{targetapi.HeaderFencingToken: token})
+				targetapi.SetModelRequest{Model: "m1", Version: version}, header{targetapi.HeaderFencingToken: token})
 			return status
 		}
 		assert.Equal(t, order("2", "9"), http.StatusOK)
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -141,7 +141,7 @@
 		want(t, store, "2", 0)
 		start(t, "a", store, f)
 		serves(t, f, "2")
-		late := order.Order{SetModel: &targetapi.ModelOrder{Model: "m", Version: "1"}}
+		late := order.Order{SetModel: &targetapi.SetModelRequest{Model: "m", Version: "1"}}
 		result, err := order.NewClient().Send(t.Context(), f.Targets["llm"][0], late, 0, "late")
 		assert.NilError(t, err)
 		if checks {
--- a/internal/submissions/decide.go
+++ b/internal/submissions/decide.go
@@ -8,29 +8,29 @@
 // The states of a claim as far as they matter here.
 const (
 	// Unread: the table service gave no answer in time.
-	Unread Claim = iota
+	ClaimUnknown Claim = iota
 	// Free: no submission holds the key, or only the one that asks.
-	Free
+	ClaimFree
 	// Held: another submission holds the key, and may have run.
-	Held
+	ClaimHeld
 	// Finished: a submission under the key ran.
-	Finished
+	ClaimFinished
 )
 
 // Facts are what is known when a submission under a key was refused and
 // certainly did not run itself.
 type Facts struct {
 	// First: the caller says that it never submitted the key before.
-	First bool
-	Claim Claim
+	FirstSubmission bool
+	Claim           Claim
 	// Known is what this process and each peer that answered know.
-	Known []Knowledge
+	Reports []KeyHistory
 	// Silent says that a live entry process gave no answer, or that there are
 	// more of them than are asked.
-	Silent bool
+	PeerSilent bool
 	// Unseen says that the VM list has a live entry VM that this process does
 	// not know as a peer: it has just started, or this process has.
-	Unseen bool
+	PeerUnknown bool
 }
 
 // Decide says what is certain of the key.
@@ -43,26 +43,26 @@
 // Without that answer everybody who may have dispatched has to be asked, so
 // that nobody may be missing and somebody must have watched all along.
 func Decide(f Facts) problem.Execution {
-	if f.First {
+	if f.FirstSubmission {
 		return problem.NotRun
 	}
-	if f.Claim == Finished {
+	if f.Claim == ClaimFinished {
 		return problem.Ran
 	}
-	if f.Claim == Held || f.Silent || f.Unseen {
+	if f.Claim == ClaimHeld || f.PeerSilent || f.PeerUnknown {
 		return problem.Unknown
 	}
 	watched := false
-	for _, k := range f.Known {
+	for _, k := range f.Reports {
 		if k.Open || k.Sent {
 			return problem.Unknown
 		}
-		if f.Claim == Unread && (k.Forgetful || k.PeerGone) {
+		if f.Claim == ClaimUnknown && (k.Incomplete || k.PeerLost) {
 			return problem.Unknown
 		}
-		watched = watched || k.Watched
+		watched = watched || k.PeersObserved
 	}
-	if f.Claim == Unread && !watched {
+	if f.Claim == ClaimUnknown && !watched {
 		return problem.Unknown
 	}
 	return problem.NotRun
--- a/internal/submissions/memory.go
+++ b/internal/submissions/memory.go
@@ -35,7 +35,7 @@
 )
 
 // Memory is what one process knows of its own submissions. Use NewMemory.
-type Memory struct {
+type History struct {
 	window time.Duration
 	most   int
 
@@ -54,18 +54,18 @@
 }
 
 // NewMemory remembers each key for the window after its submission ended.
-func NewMemory(window time.Duration) *Memory {
-	return &Memory{window: window, most: maxSent, open: map[Key]int{}, sent: map[Key]time.Time{}}
+func NewHistory(window time.Duration) *History {
+	return &History{window: window, most: maxSent, open: map[Key]int{}, sent: map[Key]time.Time{}}
 }
 
 // Submission is one submission under way in this process.
 type Submission struct {
-	memory *Memory
+	memory *History
 	key    Key
 }
 
 // Begin notes a submission before anything can come of it. End it once.
-func (m *Memory) Begin(key Key) *Submission {
+func (m *History) Begin(key Key) *Submission {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.open[key]++
@@ -92,7 +92,7 @@
 
 // expire drops what is older than the window, and the oldest where there are
 // too many. The caller holds mu.
-func (m *Memory) expire(now time.Time) {
+func (m *History) expire(now time.Time) {
 	drop := 0
 	for drop < len(m.order) {
 		oldest := m.order[drop]
@@ -112,23 +112,23 @@
 }
 
 // Knowledge is what a process knows of one key.
-type Knowledge struct {
+type KeyHistory struct {
 	// Open: another submission under the key is under way and may yet run.
 	Open bool `json:"open,omitempty"`
 	// Sent: a submission under the key ran or may have run.
 	Sent bool `json:"sent,omitempty"`
 	// Forgetful: the memory does not reach back over the window.
-	Forgetful bool `json:"forgetful,omitempty"`
+	Incomplete bool `json:"forgetful,omitempty"`
 	// Watched: the process saw who its peers were all through the window.
-	Watched bool `json:"watched,omitempty"`
+	PeersObserved bool `json:"watched,omitempty"`
 	// PeerGone: within the window an entry process died, left or was replaced,
 	// and with it what it knew.
-	PeerGone bool `json:"peer_gone,omitempty"`
+	PeerLost bool `json:"peer_gone,omitempty"`
 }
 
 // Knows tells what is known of a key beside the submission that asks, which
 // may be nil. Watched and PeerGone are left to the Roster.
-func (m *Memory) Knows(key Key, asking *Submission, now time.Time) Knowledge {
+func (m *History) Lookup(key Key, asking *Submission, now time.Time) KeyHistory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expire(now)
@@ -137,8 +137,8 @@
 		others--
 	}
 	_, sent := m.sent[key]
-	return Knowledge{
+	return KeyHistory{
 		Open: others > 0, Sent: sent,
-		Forgetful: !m.forgot.IsZero() && now.Sub(m.forgot) <= m.window,
+		Incomplete: !m.forgot.IsZero() && now.Sub(m.forgot) <= m.window,
 	}
 }
--- a/internal/submissions/roster.go
+++ b/internal/submissions/roster.go
@@ -8,7 +8,7 @@
 )
 
 // Roster remembers which entry processes there were. Use NewRoster.
-type Roster struct {
+type PeerHistory struct {
 	window  time.Duration
 	started time.Time
 
@@ -18,15 +18,15 @@
 }
 
 // NewRoster begins to watch now.
-func NewRoster(window time.Duration, now time.Time) *Roster {
-	return &Roster{
+func NewPeerHistory(window time.Duration, now time.Time) *PeerHistory {
+	return &PeerHistory{
 		window: window, started: now,
 		alive: map[peer.Incarnation]bool{}, gone: map[peer.Incarnation]time.Time{},
 	}
 }
 
 // Entries picks the entry processes out of the members.
-func Entries(members []peer.Member) []peer.Member {
+func EntryProcesses(members []peer.Member) []peer.Member {
 	var entries []peer.Member
 	for _, m := range members {
 		if m.CallerAddress != "" && m.State != peer.Dead {
@@ -38,7 +38,7 @@
 
 // See takes in the other entry processes that are alive now. One that is back
 // after it was held for dead can be asked again, so it is gone no longer.
-func (r *Roster) See(entries []peer.Member, now time.Time) {
+func (r *PeerHistory) Update(entries []peer.Member, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	present := map[peer.Incarnation]bool{}
@@ -60,10 +60,10 @@
 }
 
 // Tell fills in what the roster knows.
-func (r *Roster) Tell(k Knowledge, now time.Time) Knowledge {
+func (r *PeerHistory) Annotate(k KeyHistory, now time.Time) KeyHistory {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k.Watched = now.Sub(r.started) >= r.window
-	k.PeerGone = len(r.gone) > 0
+	k.PeersObserved = now.Sub(r.started) >= r.window
+	k.PeerLost = len(r.gone) > 0
 	return k
 }
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -52,7 +52,7 @@
 	// Fresh uses a connection of its own. Non-idempotent calls do: a kept
 	// connection may be closed by the target just as the call is written, and
 	// nobody could say whether it ran.
-	Fresh bool
+	NewConnection bool
 	// SendBefore, where set, is after when the call must not be sent any more.
 	SendBefore time.Time
 	// Headers are further headers to send.
@@ -75,18 +75,18 @@
 	Load *targetapi.LoadReport
 	// Own says that the answer carries the call's identity. Only an error
 	// status may come without: proxies before a target answer so.
-	Own bool
+	HasIdentity bool
 }
 
 // SaysNotRun tells a refusal before anything ran from other errors. An error
 // without our identity counts only where it says so itself: a proxy gives the
 // same status after it has passed the call on.
-func (a *Answer) SaysNotRun() bool {
+func (a *Answer) ConfirmsNotRun() bool {
 	if a.Status != fasthttp.StatusServiceUnavailable && a.Status != fasthttp.StatusTooManyRequests {
 		return false
 	}
 	if a.ContentType != problem.ContentType {
-		return a.Own
+		return a.HasIdentity
 	}
 	var p problem.Problem
 	return json.Unmarshal(a.Body, &p) == nil && p.Execution == problem.NotRun
@@ -162,9 +162,9 @@
 	}
 	answer := readAnswer(&resp.Header)
 	answer.Body = append([]byte(nil), resp.Body()...)
-	answer.Own, err = checkHeader(&resp.Header, call.Identity)
+	answer.HasIdentity, err = checkHeader(&resp.Header, call.Identity)
 	// A connection that gave another's answer may give the next call ours.
-	ex.whole = answer.Own && !resp.ConnectionClose()
+	ex.whole = answer.HasIdentity && !resp.ConnectionClose()
 	return answer, err
 }
 
@@ -184,7 +184,7 @@
 	if err != nil {
 		return nil, connectFailure(ctx, err)
 	}
-	ex := &exchange{client: c, ctx: ctx, address: call.Address, conn: conn, fresh: call.Fresh}
+	ex := &exchange{client: c, ctx: ctx, address: call.Address, conn: conn, fresh: call.NewConnection}
 	ex.stop = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -208,7 +208,7 @@
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	if !call.Fresh {
+	if !call.NewConnection {
 		if kept := c.idle.Take(call.Address, time.Now(), 0); kept != nil {
 			return kept, nil
 		}
@@ -277,7 +277,7 @@
 	if call.ContentType != "" {
 		req.Header.SetContentType(call.ContentType)
 	}
-	if call.Fresh {
+	if call.NewConnection {
 		req.SetConnectionClose()
 	}
 	req.SetBodyRaw(call.Body)
@@ -290,7 +290,7 @@
 		ContentType: string(h.ContentType()),
 		Version:     string(h.Peek(targetapi.HeaderModelVersion)),
 		EngineTime:  time.Duration(micros) * time.Microsecond,
-		Load:        ParseLoad(string(h.Peek(targetapi.HeaderLoad))),
+		Load:        ParseLoadHeader(string(h.Peek(targetapi.HeaderLoad))),
 	}
 }
 
@@ -323,7 +323,7 @@
 
 // Open makes a call whose answer is a stream of events. When the status is not
 // 200 the whole answer is in Answer and there are no events.
-func (c *Client) Open(ctx context.Context, call Call) (*Stream, error) {
+func (c *Client) OpenStream(ctx context.Context, call Call) (*Stream, error) {
 	ex, err := c.start(ctx, call)
 	if err != nil {
 		return nil, err
@@ -343,7 +343,7 @@
 
 func (c *Client) stream(ex *exchange, h *fasthttp.ResponseHeader, own bool) (*Stream, error) {
 	s := &Stream{Answer: readAnswer(h), ex: ex, chunked: h.ContentLength() == -1}
-	s.Answer.Own = own
+	s.Answer.HasIdentity = own
 	s.body = bodyReader(ex, h)
 	s.lines = newLineReader(s.body)
 	if s.Answer.Status == fasthttp.StatusOK {
--- a/internal/target/client_test.go
+++ b/internal/target/client_test.go
@@ -145,15 +145,15 @@
 		answer Answer
 		want   bool
 	}{
-		{"the target's own 503", Answer{Status: 503, Own: true}, true},
-		{"the target's own 429", Answer{Status: 429, Own: true}, true},
+		{"the target's own 503", Answer{Status: 503, HasIdentity: true}, true},
+		{"the target's own 429", Answer{Status: 429, HasIdentity: true}, true},
 		{"a proxy's 503", Answer{Status: 503, ContentType: "text/html"}, false},
 		{"a proxy's 502", Answer{Status: 502}, false},
 		{"a problem that says so", Answer{Status: 503, ContentType: problem.ContentType, Body: []byte(`{"execution":"not_run"}`)}, true},
-		{"a problem that says otherwise", Answer{Status: 503, Own: true, ContentType: problem.ContentType, Body: []byte(`{"execution":"unknown"}`)}, false},
-		{"the target's own 500", Answer{Status: 500, Own: true}, false},
+		{"a problem that says otherwise", Answer{Status: 503, HasIdentity: true, ContentType: problem.ContentType, Body: []byte(`{"execution":"unknown"}`)}, false},
+		{"the target's own 500", Answer{Status: 500, HasIdentity: true}, false},
 	}
 	for _, tc := range tests {
-		t.Run(tc.name, func(t *testing.T) { assert.Equal(t, tc.answer.SaysNotRun(), tc.want) })
+		t.Run(tc.name, func(t *testing.T) { assert.Equal(t, tc.answer.ConfirmsNotRun(), tc.want) })
 	}
 }
--- a/internal/target/events.go
+++ b/internal/target/events.go
@@ -58,16 +58,16 @@
 
 // ParseLoad reads an ORCA report from a header's value, "JSON {...}"; nil where
 // there is none that can be understood.
-func ParseLoad(value string) *targetapi.LoadReport {
+func ParseLoadHeader(value string) *targetapi.LoadReport {
 	raw, found := strings.CutPrefix(value, "JSON ")
 	if !found {
 		return nil
 	}
-	return ReadLoad([]byte(raw))
+	return ParseLoadJSON([]byte(raw))
 }
 
 // ReadLoad reads an ORCA report from JSON; nil where it can't be understood.
-func ReadLoad(raw []byte) *targetapi.LoadReport {
+func ParseLoadJSON(raw []byte) *targetapi.LoadReport {
 	var report targetapi.LoadReport
 	if json.Unmarshal(raw, &report) != nil || !plausible(&report) {
 		return nil
--- a/internal/target/events_test.go
+++ b/internal/target/events_test.go
@@ -59,7 +59,7 @@
 	f.Add(`JSON {"application_utilization":1e999}`)
 	f.Add(`JSON null`)
 	f.Fuzz(func(t *testing.T, value string) {
-		report := ParseLoad(value)
+		report := ParseLoadHeader(value)
 		if report == nil {
 			return
 		}
--- a/internal/targetapi/targetapi.go
+++ b/internal/targetapi/targetapi.go
@@ -159,13 +159,13 @@
 }
 
 // AdapterOrder loads or unloads an adapter.
-type AdapterOrder struct {
+type AdapterRequest struct {
 	LoraName string `json:"lora_name"`
 	LoraPath string `json:"lora_path,omitempty"`
 }
 
 // ModelOrder has an engine serve a model, version and role.
-type ModelOrder struct {
+type SetModelRequest struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Role    string `json:"role,omitempty"`
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -31,6 +31,6 @@
 
 // Around waits for a time drawn between half and one and a half of d, so that
 // processes that began or failed together don't go on together.
-func Around(ctx context.Context, d time.Duration) bool {
+func Jittered(ctx context.Context, d time.Duration) bool {
 	return For(ctx, d/2+rand.N(d))
 }
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -11,8 +11,8 @@
 func TestWaitEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	assert.Assert(t, For(ctx, time.Millisecond))
-	assert.Assert(t, Around(ctx, time.Millisecond))
+	assert.Assert(t, Jittered(ctx, time.Millisecond))
 	cancel()
 	assert.Assert(t, !For(ctx, time.Hour))
-	assert.Assert(t, !Around(ctx, time.Hour))
+	assert.Assert(t, !Jittered(ctx, time.Hour))
 }
--- a/test/identity_test.go
+++ b/test/identity_test.go
@@ -225,7 +225,7 @@
 	c := startCluster(t, shape{entries: 1})
 	at := c.entries[0].address
 	old := c.file.Pools[0].FirstAddress
-	c.orderModel(old, targetapi.ModelOrder{Model: "m1", Version: "0"})
+	c.orderModel(old, targetapi.SetModelRequest{Model: "m1", Version: "0"})
 	asked := false
 	for i := range 40 {
 		got := sendNow(at, pipelineRequest(refOf("V", i), 4))
@@ -255,7 +255,7 @@
 }
 
 // orderModel has an engine serve another model or version.
-func (c *cluster) orderModel(engine string, order targetapi.ModelOrder) {
+func (c *cluster) orderModel(engine string, order targetapi.SetModelRequest) {
 	c.t.Helper()
 	raw, err := json.Marshal(order)
 	assert.NilError(c.t, err)
--- a/test/steward_test.go
+++ b/test/steward_test.go
@@ -173,7 +173,7 @@
 	c.wants("2")
 	waitFor(t, "the engines to serve version 2", func() bool { return c.allServe("2") })
 	victim := c.targets("llm")[0]
-	late := order.Order{SetModel: &targetapi.ModelOrder{Model: "m1", Version: "1", Role: "both"}}
+	late := order.Order{SetModel: &targetapi.SetModelRequest{Model: "m1", Version: "1", Role: "both"}}
 	var wrong complaints
 	var sending sync.WaitGroup
 	done := make(chan struct{})
