--- a/internal/serve/place/place.go
+++ b/internal/serve/place/place.go
@@ -32,9 +32,9 @@
 	return tokens, last
 }
 
-// AffinityKey names what draws a prompt to the engine that has read its shared parts; empty
+// Affinity names what draws a prompt to the engine that has read its shared parts; empty
 // where it has none.
-func (p Prompt) AffinityKey() string {
+func (p Prompt) Affinity() string {
 	_, last := p.shared()
 	return last
 }
@@ -157,7 +157,7 @@
 // affineEngine gives the ID of the engine that has read a prompt's shared parts, by rendezvous;
 // empty where it has none.
 func affineEngine(views []pool.View, p Prompt) string {
-	last := p.AffinityKey()
+	last := p.Affinity()
 	if last == "" {
 		return ""
 	}
--- a/internal/serve/plan/plan.go
+++ b/internal/serve/plan/plan.go
@@ -210,8 +210,8 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// EffectivePriority is a request's priority: the team's goes before the route's.
-func EffectivePriority(r *Route, t *Team) int {
+// Rank is a request's priority: the team's goes before the route's.
+func Rank(r *Route, t *Team) int {
 	if t != nil && t.Priority != nil {
 		return *t.Priority
 	}
--- a/internal/serve/plan/plan_test.go
+++ b/internal/serve/plan/plan_test.go
@@ -76,9 +76,9 @@
 func TestATeamsPriorityGoesBeforeTheRoutes(t *testing.T) {
 	first := 0
 	r := &Route{Priority: 2}
-	assert.Equal(t, EffectivePriority(r, nil), 2)
-	assert.Equal(t, EffectivePriority(r, &Team{}), 2)
-	assert.Equal(t, EffectivePriority(r, &Team{Priority: &first}), 0)
+	assert.Equal(t, Rank(r, nil), 2)
+	assert.Equal(t, Rank(r, &Team{}), 2)
+	assert.Equal(t, Rank(r, &Team{Priority: &first}), 0)
 }
 
 func TestOnlyResumableStreamsMayRunTwice(t *testing.T) {
--- a/internal/serve/pool/target.go
+++ b/internal/serve/pool/target.go
@@ -57,9 +57,9 @@
 	Report   Report
 	// Weight is 0 for a target out of use, 1 for a sound one.
 	Weight float64
-	// ColdUntil is until when the target is cold by its own word. UnobservedUntil is until when
+	// ColdUntil is until when the target is cold by its own word. Away is until when
 	// it was last out of sight: what it has become meanwhile isn't known.
-	ColdUntil, UnobservedUntil time.Time
+	ColdUntil, Away time.Time
 	// Cold is set by who decides on it.
 	Cold bool
 }
@@ -135,7 +135,7 @@
 	}
 	return View{
 		Target: t, Slots: t.entry.Slots, InFlight: t.inFlight, Tokens: t.tokens,
-		Report: report, Weight: e.Weight(t.health, now), ColdUntil: t.coldUntil, UnobservedUntil: t.away,
+		Report: report, Weight: e.Weight(t.health, now), ColdUntil: t.coldUntil, Away: t.away,
 	}
 }
 
--- a/internal/serve/quota/quota.go
+++ b/internal/serve/quota/quota.go
@@ -55,11 +55,11 @@
 	return &Budget{rule: rule.countable(), byService: map[string]*window{}, members: 1, since: now}
 }
 
-// NewAfterRestart makes a budget for a process that takes the place of another. For a whole
+// Again makes a budget for a process that takes the place of another. For a whole
 // window it gets nothing of the reserve: the one before it may just have spent its
 // part. Were all killed in the middle of an outage of targets, the reserve would
 // be spent twice within one window otherwise.
-func NewAfterRestart(rule Rule, now time.Time) *Budget {
+func Again(rule Rule, now time.Time) *Budget {
 	b := New(rule, now)
 	b.alone = now.Add(b.rule.Window)
 	return b
@@ -79,10 +79,10 @@
 	b.rule = rule
 }
 
-// SetMemberCount notes how many processes share the reserve. The number goes down
+// Members notes how many processes share the reserve. The number goes down
 // only by a fifth each time: a process that is cut off from its peers must not
 // take the whole reserve, since they go on spending theirs.
-func (b *Budget) SetMemberCount(n int, now time.Time) {
+func (b *Budget) Members(n int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if n > b.members {
@@ -97,7 +97,7 @@
 }
 
 // MemberCount is how many processes share what they have in common. It goes down
-// slowly, as SetMemberCount says.
+// slowly, as Members says.
 func (b *Budget) MemberCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/serve/quota/quota_test.go
+++ b/internal/serve/quota/quota_test.go
@@ -22,7 +22,7 @@
 		budgets := make([]*Budget, n)
 		for i := range budgets {
 			budgets[i] = New(rule, start)
-			budgets[i].SetMemberCount(n, start)
+			budgets[i].Members(n, start)
 		}
 		now := start.Add(settle)
 		var requests, repeats []time.Time
@@ -58,7 +58,7 @@
 		now := start
 		meet := func() {
 			for _, b := range budgets {
-				b.SetMemberCount(len(budgets), now)
+				b.Members(len(budgets), now)
 			}
 		}
 		meet()
@@ -69,19 +69,19 @@
 			i := rapid.IntRange(0, len(budgets)-1).Draw(t, "process")
 			switch rapid.IntRange(0, 39).Draw(t, "what") {
 			case 0:
-				budgets[i] = NewAfterRestart(rule, now) // killed, and back at once
+				budgets[i] = Again(rule, now) // killed, and back at once
 			case 1:
 				for k := range budgets {
-					budgets[k] = NewAfterRestart(rule, now)
+					budgets[k] = Again(rule, now)
 				}
 			case 2:
-				budgets = append(budgets, NewAfterRestart(rule, now))
+				budgets = append(budgets, Again(rule, now))
 			case 3:
 				if len(budgets) > 1 {
 					budgets = append(budgets[:i], budgets[i+1:]...)
 				}
 			case 4:
-				budgets[i].SetMemberCount(1, now) // cut off
+				budgets[i].Members(1, now) // cut off
 			case 5, 6, 7, 8, 9, 10:
 				meet()
 			case 11, 12, 13, 14:
@@ -116,7 +116,7 @@
 func TestNothingOfTheReserveBeforeThePeersAreKnown(t *testing.T) {
 	b := New(rule, start)
 	assert.Assert(t, !b.TakeRetry("s", start))
-	b.SetMemberCount(9, start.Add(time.Second))
+	b.Members(9, start.Add(time.Second))
 	assert.Assert(t, !b.TakeRetry("s", start.Add(2*time.Second)))
 	assert.Assert(t, b.TakeRetry("s", start.Add(3*time.Second)))
 }
@@ -125,9 +125,9 @@
 // their parts of the reserve.
 func TestOneThatIsCutOffKeepsToItsPart(t *testing.T) {
 	b := New(rule, start)
-	b.SetMemberCount(9, start)
+	b.Members(9, start)
 	now := start.Add(5 * time.Second)
-	b.SetMemberCount(1, now)
+	b.Members(1, now)
 	sent := 0
 	for b.TakeRetry("s", now) {
 		sent++
--- a/internal/serve/run/attempt.go
+++ b/internal/serve/run/attempt.go
@@ -112,7 +112,7 @@
 	if j.team != nil {
 		send.Team = j.team.Name
 	}
-	send.Rank = plan.EffectivePriority(j.route, j.team)
+	send.Rank = plan.Rank(j.route, j.team)
 	if j.inputs != nil {
 		send.Inputs = j.inputs.handles
 	}
--- a/internal/serve/run/choose.go
+++ b/internal/serve/run/choose.go
@@ -29,7 +29,7 @@
 // a prompt look at the same ones, which the engine that has read it is among. all tells that
 // there are no others.
 func (j *job) candidates(now time.Time) (views []pool.View, all bool) {
-	name := j.req.Prompt.AffinityKey()
+	name := j.req.Prompt.Affinity()
 	if name == "" {
 		name = j.req.ID
 	}
--- a/internal/serve/run/graph.go
+++ b/internal/serve/run/graph.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		list = append(list, gather.ReservationRequest{
-			Service: s.Service, Stage: i, Items: g.pieces(i), Due: g.due(i), Rank: plan.EffectivePriority(g.job.route, g.job.team),
+			Service: s.Service, Stage: i, Items: g.pieces(i), Due: g.due(i), Rank: plan.Rank(g.job.route, g.job.team),
 			Zone: g.zoneOf(i),
 		})
 	}
@@ -86,7 +86,7 @@
 // engineZone is where the request will probably run; empty for anywhere.
 func (g *graph) engineZone() string {
 	j := g.job
-	if j.LeaveOut.Has(leaveout.Affinity) || j.req.Prompt.AffinityKey() == "" {
+	if j.LeaveOut.Has(leaveout.Affinity) || j.req.Prompt.Affinity() == "" {
 		return ""
 	}
 	views, _ := j.candidates(time.Now())
@@ -171,7 +171,7 @@
 	for piece := range g.pieces(i) {
 		item := gather.Item{
 			Key:  gather.Key{Request: j.req.ID, Stage: i, Piece: piece},
-			Rank: plan.EffectivePriority(j.route, j.team), Bytes: s.ResultBytes, Inputs: from,
+			Rank: plan.Rank(j.route, j.team), Bytes: s.ResultBytes, Inputs: from,
 			Zone: zone, CrossZoneBytes: cross,
 		}
 		if len(s.After) == 0 {
--- a/internal/serve/warmup/warmup.go
+++ b/internal/serve/warmup/warmup.go
@@ -33,7 +33,7 @@
 	if r.PerSecond <= 0 {
 		return false
 	}
-	return now.Before(v.ColdUntil) || now.Before(v.UnobservedUntil.Add(r.Time))
+	return now.Before(v.ColdUntil) || now.Before(v.Away.Add(r.Time))
 }
 
 const (
@@ -113,8 +113,8 @@
 	return rank
 }
 
-// Prune drops what is kept of targets whose turn has long come.
-func (g *Limiter) Prune(now time.Time) {
+// Cleanup drops what is kept of targets whose turn has long come.
+func (g *Limiter) Cleanup(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for target, next := range g.next {
