--- a/internal/serve/pool/entry.go
+++ b/internal/serve/pool/entry.go
@@ -1,58 +1,56 @@
-// Package pool knows the targets of every service: where they are, whether
-// they may get work, and what this process has seen of each.
+// Package pool tracks the targets of every service: their addresses, whether they may receive
+// requests, and the load and health that this process has observed.
 package pool
 
 import "time"
 
-// State is what a target says of itself.
+// State is the state that a target reports in its list entry.
 type State string
 
-// The states.
 const (
-	// Ready targets take work.
+	// Ready targets accept requests.
 	Ready State = "ready"
-	// Draining targets finish what they have and take nothing new.
+	// Draining targets finish their current requests and accept no new ones.
 	Draining State = "draining"
 )
 
-// Entry is what the list of targets holds of one.
+// Entry is one target's row in the target list that the store keeps.
 type Entry struct {
-	// ID is the target's name in the list. A target that starts again may come
-	// back under it.
+	// ID is the target's name in the list. A restarted target may reuse it.
 	ID string
-	// Born is the Unix millisecond of the target's start, 0 where it isn't
-	// told. Another Born under the same ID is another run, which knows nothing
-	// of what the earlier one had.
+	// Born is the start time of the target in Unix milliseconds, 0 if it isn't reported. A
+	// different Born under the same ID is another run, which has none of the earlier run's requests
+	// and results.
 	Born int64
-	// Service is the pool that it belongs to.
+	// Service is the service that the target belongs to.
 	Service string
-	// Address is its IP:port.
+	// Address is the target's IP:port.
 	Address string
 	Zone    string
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that the target runs concurrently.
 	Slots int
 	State State
-	// ColdLeft is for how long the target stays cold after the entry was read: it
-	// bears fewer requests until then.
+	// ColdLeft is how long the target stays cold, counted from when the entry was read. A cold
+	// target can handle fewer requests.
 	ColdLeft time.Duration `json:",omitempty"`
-	// Revision of the list's row, growing with each change of any row.
+	// Revision is the list revision of the row's last change. It grows with each change of any row.
 	Revision uint64
 }
 
-// WithElapsed is the entry some time after it was read.
-func (e Entry) WithElapsed(by time.Duration) Entry {
-	e.ColdLeft = max(e.ColdLeft-by, 0)
+// WithElapsed returns the entry with ColdLeft reduced by the time since it was read.
+func (e Entry) WithElapsed(elapsed time.Duration) Entry {
+	e.ColdLeft = max(e.ColdLeft-elapsed, 0)
 	return e
 }
 
-// Change is one change of the list.
+// Change is one change of the target list.
 type Change struct {
 	Entry
-	// Removed tells that the entry is gone. Only ID and Revision are set.
+	// Removed is set if the entry was removed. Only ID and Revision are set then.
 	Removed bool
 }
 
-// sameRun tells whether two entries are the same run of the same target.
+// sameRun reports whether two entries describe the same run of the same target.
 func sameRun(a, b Entry) bool {
 	return a.ID == b.ID && a.Born == b.Born && a.Address == b.Address && a.Service == b.Service
 }
--- a/internal/serve/pool/evacuation.go
+++ b/internal/serve/pool/evacuation.go
@@ -9,77 +9,80 @@
 	"go.uber.org/zap"
 )
 
-// Evacuation is an operator's order that nothing more be sent to the targets of an
-// availability zone. It stands until it is withdrawn.
+// Evacuation is an operator's order to send no more requests to the targets of an availability
+// zone. It is in force until it is withdrawn.
 type Evacuation struct {
 	Zone string
-	// Revision of the order, growing with each change of any.
+	// Revision of the order. It grows with each change of any order.
 	Revision uint64
 }
 
-// EvacuationChange is one change of these orders.
+// EvacuationChange is one change of the evacuation orders.
 type EvacuationChange struct {
 	Evacuation
-	// Withdrawn tells that the order is gone.
+	// Withdrawn is set if the order was withdrawn.
 	Withdrawn bool
 }
 
-// evacuations are the orders in force. They are as of newest, and of any later
-// revision up to revision.
+// evacuations holds the evacuation orders in force. lastChange is the revision of the last change
+// to them; synced is the revision up to which all changes are known. The orders are the same at
+// every revision between the two.
 type evacuations struct {
-	byZone   map[string]Evacuation
-	newest   uint64
-	revision uint64
+	byZone     map[string]Evacuation
+	lastChange uint64
+	synced     uint64
 }
 
-// ApplyEvacuations takes in changes in their order and the revision up to which
-// they go. Changes that are known already are passed over.
+// ApplyEvacuations applies changes in revision order. upTo is the revision up to which the changes
+// are complete. Changes that are already known are skipped.
 func (t *Table) ApplyEvacuations(changes []EvacuationChange, upTo uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	next := maps.Clone(t.evacuations.byZone)
-	newest := t.evacuations.newest
+	lastChange := t.evacuations.lastChange
 	for _, c := range changes {
-		if c.Revision <= t.evacuations.revision {
+		if c.Revision <= t.evacuations.synced {
 			continue
 		}
-		newest = max(newest, c.Revision)
+		lastChange = max(lastChange, c.Revision)
 		if c.Withdrawn {
 			delete(next, c.Zone)
 			continue
 		}
 		next[c.Zone] = c.Evacuation
 	}
-	t.setEvacuations(next, newest, now)
-	t.evacuations.revision = max(t.evacuations.revision, upTo)
+	t.setEvacuations(next, lastChange, now)
+	t.evacuations.synced = max(t.evacuations.synced, upTo)
 }
 
-// ResetEvacuations takes in all orders as of a revision.
+// ResetEvacuations replaces all orders by the complete list as of a revision. A list older than
+// what is known is ignored.
 func (t *Table) ResetEvacuations(list []Evacuation, asOf uint64, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if asOf < t.evacuations.revision {
+	if asOf < t.evacuations.synced {
 		return
 	}
 	next := byZone(list)
-	newest := t.evacuations.newest
+	lastChange := t.evacuations.lastChange
 	if !maps.Equal(next, t.evacuations.byZone) {
-		newest = asOf
+		lastChange = asOf
 	}
-	t.setEvacuations(next, newest, now)
-	t.evacuations.revision = asOf
+	t.setEvacuations(next, lastChange, now)
+	t.evacuations.synced = asOf
 }
 
-// ResetEvacuationsFromPeer takes in a peer's orders, their newest change and the revision up
-// to which the peer knows all. It tells whether they are newer than what is known here.
-func (t *Table) ResetEvacuationsFromPeer(list []Evacuation, newest, upTo uint64, now time.Time) bool {
+// ResetEvacuationsFromPeer replaces all orders by a peer's, given the revision of their last change
+// and the revision up to which the peer knows all changes. It reports whether they were newer than
+// those known here; older ones are ignored.
+func (t *Table) ResetEvacuationsFromPeer(list []Evacuation, lastChange, upTo uint64, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if newest <= t.evacuations.newest {
+	if lastChange <= t.evacuations.lastChange {
 		return false
 	}
-	t.setEvacuations(byZone(list), newest, now)
-	t.evacuations.revision = max(t.evacuations.revision, upTo)
+	t.setEvacuations(byZone(list), lastChange, now)
+	t.evacuations.synced = max(t.evacuations.synced, upTo)
 	return true
 }
 
@@ -91,21 +94,21 @@
 	return zones
 }
 
-// Evacuations lists the orders in force by zone, the revision of the last change of
-// any, and the revision up to which all changes are known.
-func (t *Table) Evacuations() (list []Evacuation, newest, upTo uint64) {
+// Evacuations returns the orders in force sorted by zone, the revision of the last change of any
+// order, and the revision up to which all changes are known.
+func (t *Table) Evacuations() (list []Evacuation, lastChange, upTo uint64) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	list = slices.Collect(maps.Values(t.evacuations.byZone))
 	slices.SortFunc(list, func(a, b Evacuation) int { return cmp.Compare(a.Zone, b.Zone) })
-	return list, t.evacuations.newest, t.evacuations.revision
+	return list, t.evacuations.lastChange, t.evacuations.synced
 }
 
-// setEvacuations puts orders in force. The caller holds mu.
-func (t *Table) setEvacuations(next map[string]Evacuation, newest uint64, now time.Time) {
+// setEvacuations replaces the orders in force. The caller holds mu.
+func (t *Table) setEvacuations(next map[string]Evacuation, lastChange uint64, now time.Time) {
 	before := t.evacuations.byZone
 	t.evacuations.byZone = next
-	t.evacuations.newest = newest
+	t.evacuations.lastChange = lastChange
 	changed := map[string]bool{}
 	for zone, e := range next {
 		if _, known := before[zone]; !known {
@@ -117,7 +120,7 @@
 	for zone := range before {
 		if _, kept := next[zone]; !kept {
 			changed[zone] = true
-			t.log.Info("Zone is back in use.", zap.String("zone", zone), zap.Uint64("revision", newest))
+			t.log.Info("Zone is back in use.", zap.String("zone", zone), zap.Uint64("revision", lastChange))
 		}
 	}
 	if len(changed) > 0 {
@@ -125,10 +128,10 @@
 	}
 }
 
-// updateEvacuated has the targets of zones follow the orders in force. The caller
-// holds mu.
+// updateEvacuated applies the orders in force to the targets of the given zones. The caller holds
+// mu.
 func (t *Table) updateEvacuated(zones map[string]bool, now time.Time) {
-	touched := touches{}
+	touched := changedIDs{}
 	for _, targets := range []map[string]*Target{t.byID, t.lapsed} {
 		for _, target := range targets {
 			if zones[target.Zone] {
@@ -137,16 +140,16 @@
 			}
 		}
 	}
-	t.refresh(touched)
+	t.updateServices(touched)
 }
 
-// evacuated tells whether a zone is. The caller holds mu.
+// evacuated reports whether a zone is evacuated. The caller holds mu.
 func (t *Table) evacuated(zone string) bool {
 	_, found := t.evacuations.byZone[zone]
 	return found
 }
 
-// Zones lists the zones that have targets or are evacuated.
+// Zones returns the zones that have targets or are evacuated, sorted.
 func (t *Table) Zones() []string {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -160,41 +163,41 @@
 	return slices.Sorted(maps.Keys(zones))
 }
 
-// CallsByZone counts this process's calls under way at the targets of each zone.
+// CallsByZone returns the number of this process's calls in flight to the targets of each zone.
 func (t *Table) CallsByZone() map[string]int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.callsByZone()
 }
 
-// callsByZone is CallsByZone. The caller holds mu.
+// callsByZone implements CallsByZone. The caller holds mu.
 func (t *Table) callsByZone() map[string]int {
-	calls := map[string]int{}
+	callsInFlight := map[string]int{}
 	for _, targets := range []map[string]*Target{t.byID, t.lapsed} {
 		for _, target := range targets {
-			calls[target.Zone] += target.calls()
+			callsInFlight[target.Zone] += target.callsInFlight()
 		}
 	}
-	return calls
+	return callsInFlight
 }
 
 func (t *Target) setEvacuated(evacuated bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.evacuated && !evacuated {
-		t.away = now
+		t.unobservedUntil = now
 	}
 	t.evacuated = evacuated
 }
 
-// Evacuated tells whether nothing may be sent to the target because of its zone.
+// Evacuated reports whether the target's zone is evacuated, so that the target gets no requests.
 func (t *Target) Evacuated() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.evacuated
 }
 
-func (t *Target) calls() int {
+func (t *Target) callsInFlight() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.inFlight
--- a/internal/serve/pool/evacuation_test.go
+++ b/internal/serve/pool/evacuation_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// inZones makes a table with one target in each of some zones.
-func inZones(zones ...string) *Table {
+// tableWithZones returns a table with one target in each of the zones.
+func tableWithZones(zones ...string) *Table {
 	table := New(zap.NewNop())
 	var entries []Entry
 	for i, zone := range zones {
@@ -27,45 +27,47 @@
 	return EvacuationChange{Evacuation: Evacuation{Zone: zone, Revision: revision}}
 }
 
-func takeBack(zone string, revision uint64) EvacuationChange {
+func withdraw(zone string, revision uint64) EvacuationChange {
 	return EvacuationChange{Evacuation: Evacuation{Zone: zone, Revision: revision}, Withdrawn: true}
 }
 
-// An evacuated zone's targets get requests, or stage calls by way of their shards.
-func TestTargetsOfAnEvacuatedZoneAreInNoView(t *testing.T) {
-	table := inZones("a", "b")
+// Guards against targets of an evacuated zone getting requests from Views, or stage calls through
+// the shards built from the ready set.
+func TestEvacuatedZoneTargetsAreExcluded(t *testing.T) {
+	table := tableWithZones("a", "b")
 	before := table.Generation()
 	table.ApplyEvacuations([]EvacuationChange{evacuate("a", 11)}, 11, start)
-	assert.DeepEqual(t, usable(table, start), map[string]bool{"b": true})
+	assert.DeepEqual(t, usableIDs(table, start), map[string]bool{"b": true})
 	assert.Equal(t, len(table.ReadySet("s").Targets), 1)
 	assert.Assert(t, table.Generation() > before)
-	table.ApplyEvacuations([]EvacuationChange{takeBack("a", 12)}, 12, start)
-	assert.DeepEqual(t, usable(table, start), map[string]bool{"a": true, "b": true})
+	table.ApplyEvacuations([]EvacuationChange{withdraw("a", 12)}, 12, start)
+	assert.DeepEqual(t, usableIDs(table, start), map[string]bool{"a": true, "b": true})
 }
 
-// A target that starts in an evacuated zone gets requests.
-func TestANewTargetInAnEvacuatedZoneGetsNothing(t *testing.T) {
-	table := inZones("a", "b")
+// Guards against a target that starts in an already evacuated zone getting requests.
+func TestNewTargetInEvacuatedZoneIsExcluded(t *testing.T) {
+	table := tableWithZones("a", "b")
 	table.ApplyEvacuations([]EvacuationChange{evacuate("c", 11)}, 11, start)
 	e := entry("c", 12)
 	e.Zone = "c"
 	table.Apply([]Change{{Entry: e}}, 12, start)
-	assert.DeepEqual(t, usable(table, start), map[string]bool{"a": true, "b": true})
+	assert.DeepEqual(t, usableIDs(table, start), map[string]bool{"a": true, "b": true})
 }
 
-// A peer that is behind undoes a withdrawal, or an evacuation.
-func TestAPeerThatIsBehindChangesNoEvacuation(t *testing.T) {
-	table := inZones("a", "b")
-	table.ApplyEvacuations([]EvacuationChange{evacuate("a", 11), takeBack("a", 15)}, 20, start)
+// Guards against a peer with older orders undoing a withdrawal or an evacuation.
+func TestStalePeerDoesNotChangeEvacuations(t *testing.T) {
+	table := tableWithZones("a", "b")
+	table.ApplyEvacuations([]EvacuationChange{evacuate("a", 11), withdraw("a", 15)}, 20, start)
 	assert.Assert(t, !table.ResetEvacuationsFromPeer([]Evacuation{{Zone: "a", Revision: 11}}, 11, 14, start))
-	assert.Assert(t, usable(table, start)["a"])
+	assert.Assert(t, usableIDs(table, start)["a"])
 	assert.Assert(t, table.ResetEvacuationsFromPeer([]Evacuation{{Zone: "a", Revision: 22}}, 22, 22, start))
 	table.ResetEvacuations(nil, 19, start)
-	assert.Assert(t, !usable(table, start)["a"])
+	assert.Assert(t, !usableIDs(table, start)["a"])
 }
 
-// A target that takes no connection while its entry is away is given up too early.
-func TestALapsedTargetThatIsLeftAloneMayReturn(t *testing.T) {
+// Guards against dropping a lapsed target early because it is also in connect backoff. Its entry
+// comes back within the grace period, so it must remain the same Target.
+func TestLapsedTargetInConnectBackoffMayReturn(t *testing.T) {
 	table := tableOf("a")
 	target := table.ByAddress("s", "10.0.0.1:a")
 	table.ListRecovered(start)
@@ -76,9 +78,9 @@
 	assert.Equal(t, table.ByAddress("s", "10.0.0.1:a"), target)
 }
 
-// Two processes that hear of the same orders in any mixture of changes, whole reads and
-// each other's word end with different zones evacuated.
-func FuzzEvacuationsFollowTheStore(f *testing.F) {
+// Guards against two processes ending up with different zones evacuated. They receive the same
+// orders as an arbitrary mixture of changes, complete lists and each other's lists.
+func FuzzEvacuationsMatchStore(f *testing.F) {
 	for seed := range uint64(20) {
 		f.Add(seed)
 	}
@@ -100,7 +102,7 @@
 			}
 			return state
 		}
-		tables := []*Table{inZones(zones...), inZones(zones...)}
+		tables := []*Table{tableWithZones(zones...), tableWithZones(zones...)}
 		revision := uint64(1)
 		for range 60 {
 			table := tables[draw.IntN(2)]
@@ -128,15 +130,15 @@
 				}
 				table.ResetEvacuations(list, asOf, start)
 			case 4:
-				list, newest, upTo := tables[draw.IntN(2)].Evacuations()
-				table.ResetEvacuationsFromPeer(list, newest, upTo, start)
+				list, lastChange, upTo := tables[draw.IntN(2)].Evacuations()
+				table.ResetEvacuationsFromPeer(list, lastChange, upTo, start)
 			}
 			for i, one := range tables {
 				list, _, known := one.Evacuations()
 				assert.Assert(t, maps.Equal(byZone(list), model(known)), "table %d as of %d", i, known)
 				for _, zone := range zones {
 					_, evacuated := model(known)[zone]
-					assert.Equal(t, usable(one, start.Add(time.Second))[zone], !evacuated)
+					assert.Equal(t, usableIDs(one, start.Add(time.Second))[zone], !evacuated)
 				}
 			}
 		}
--- a/internal/serve/pool/recent.go
+++ b/internal/serve/pool/recent.go
@@ -3,59 +3,60 @@
 import "time"
 
 const (
-	// recentAge is how long changes are kept for peers: as long as the store keeps its
-	// own, so that whoever may still ask the store may ask a peer as well.
-	recentAge = 20 * time.Second
-	// leastRecent is how many changes are kept whatever their age.
-	leastRecent = 512
+	// changeRetention is how long changes are kept for peers. The store keeps its changes for the
+	// same time, so a revision that the store can still serve changes for can also be served by a
+	// peer.
+	changeRetention = 20 * time.Second
+	// minKeptChanges is the number of changes that are kept regardless of age.
+	minKeptChanges = 512
 )
 
-// recent keeps the last changes of the list. It is not safe for concurrent use.
-type recent struct {
-	changes []noted
+// changeLog keeps the latest changes of the target list. It is not safe for concurrent use.
+type changeLog struct {
+	changes []loggedChange
 	// after is the revision after which all changes are kept.
 	after uint64
 }
 
-// noted is a change and when it was taken in.
-type noted struct {
+// loggedChange is a change and the time at which it was applied.
+type loggedChange struct {
 	Change
 	at time.Time
 }
 
-// told is the change as peers are told of it.
-func (n noted) told(now time.Time) Change {
+// forPeers returns the change as it is sent to peers: with the remaining cold time as of now.
+func (n loggedChange) forPeers(now time.Time) Change {
 	c := n.Change
 	c.Entry = c.WithElapsed(now.Sub(n.at))
 	return c
 }
 
-// add notes the next change.
-func (r *recent) add(c Change, now time.Time) {
-	r.changes = append(r.changes, noted{Change: c, at: now})
+// add appends the next change.
+func (r *changeLog) add(c Change, now time.Time) {
+	r.changes = append(r.changes, loggedChange{Change: c, at: now})
 }
 
-// trim forgets old changes. Of a list of some targets no more changes are kept than it
-// has targets: beyond that the whole list is shorter.
-func (r *recent) trim(targets int, now time.Time) {
-	most := max(targets, leastRecent)
+// trim drops old changes. It keeps no more changes than the list has targets, except for
+// minKeptChanges: beyond that, sending the whole list is shorter.
+func (r *changeLog) trim(targets int, now time.Time) {
+	most := max(targets, minKeptChanges)
 	drop := max(len(r.changes)-most, 0)
-	for drop < len(r.changes)-leastRecent && now.Sub(r.changes[drop].at) > recentAge {
+	for drop < len(r.changes)-minKeptChanges && now.Sub(r.changes[drop].at) > changeRetention {
 		drop++
 	}
 	if drop == 0 {
 		return
 	}
 	r.after = max(r.after, r.changes[drop-1].Revision)
-	r.changes = append([]noted(nil), r.changes[drop:]...)
+	r.changes = append([]loggedChange(nil), r.changes[drop:]...)
 }
 
-// restart forgets the changes up to a revision, as of which the whole was read.
-func (r *recent) restart(asOf uint64) { *r = recent{after: asOf} }
+// startFrom drops all changes after the whole list was read as of a revision.
+func (r *changeLog) startFrom(asOf uint64) { *r = changeLog{after: asOf} }
 
-// since lists the changes after a revision, of each target the last one. known is false
-// where they aren't kept that far back.
-func (r *recent) since(revision uint64, now time.Time) (list []Change, known bool) {
+// since returns the last change of each target that changed after a revision. known is false if the
+// changes are not kept that far back.
+func (r *changeLog) since(revision uint64, now time.Time) (list []Change, known bool) {
 	if revision < r.after {
 		return nil, false
 	}
@@ -67,7 +68,7 @@
 	}
 	for i, c := range r.changes {
 		if at, found := last[c.ID]; found && at == i {
-			list = append(list, c.told(now))
+			list = append(list, c.forPeers(now))
 		}
 	}
 	return list, true
--- a/internal/serve/pool/service.go
+++ b/internal/serve/pool/service.go
@@ -10,100 +10,100 @@
 	"github.com/vanillagate/vanillagate/internal/routing"
 )
 
-// mostCandidates is the most targets of a service that are looked at for one choice.
-// A service that has more is divided into groups of half as many and more.
-const mostCandidates = 256
+// maxCandidates is the largest number of a service's targets that are examined for one request. The
+// targets of a larger service are divided by hash into groups of about half that size or more.
+const maxCandidates = 256
 
-// service is the targets of one service. It is replaced, never changed in place.
+// service holds the targets of one service. It is immutable: a change replaces it.
 type service struct {
-	// targets are in the order of their IDs.
+	// targets are sorted by ID.
 	targets []*Target
 	ready   *ReadySet
-	// groups has the targets by the last bits of their hashes, each group in an order of
-	// this process's own, so that processes that choose among equals don't all choose the
-	// same.
+	// groups holds the targets by the low bits of their ID hashes. The order within a group is
+	// random in each process, so that processes that choose among equal targets don't all choose
+	// the same one.
 	groups [][]*Target
 }
 
-// ReadySet is the targets of a service that are ready by what the store says and not
-// evacuated, in the order of their IDs. Unlike Views it leaves out what this process alone has
-// seen of them, so that processes that know the same list have the same ready set.
-// Ready sets are shared and never changed.
+// ReadySet holds the targets of a service that are ready according to the store and not evacuated,
+// sorted by ID. Unlike Views it doesn't depend on what this process alone has observed, so
+// processes that know the same list have the same ready set. Ready sets are shared and immutable.
 type ReadySet struct{ Targets []*Target }
 
-// with is the service after some of its targets have changed, come or gone: find gives
-// the one with an ID, nil where it has none.
-func (s *service) with(touched map[string]bool, find func(id string) *Target) *service {
+// withChanges returns the service after the targets with the given IDs were added, changed or
+// removed. find returns the current target with an ID, nil if there is none.
+func (s *service) withChanges(touched map[string]bool, find func(id string) *Target) *service {
 	ids := slices.Sorted(maps.Keys(touched))
-	var fresh, ready []*Target
+	var updated, ready []*Target
 	for _, id := range ids {
 		target := find(id)
 		if target == nil {
 			continue
 		}
-		fresh = append(fresh, target)
+		updated = append(updated, target)
 		if !target.GoneOrDraining() && !target.Evacuated() {
 			ready = append(ready, target)
 		}
 	}
-	targets := splice(s.targets, ids, fresh)
+	targets := replaceByID(s.targets, ids, updated)
 	return &service{
 		targets: targets,
-		ready:   &ReadySet{Targets: splice(s.ready.Targets, ids, ready)},
-		groups:  s.regroup(targets, touched, fresh),
+		ready:   &ReadySet{Targets: replaceByID(s.ready.Targets, ids, ready)},
+		groups:  s.updateGroups(targets, touched, updated),
 	}
 }
 
-// splice replaces the targets with some IDs by fresh ones. All are in the order of their
-// IDs, and the IDs of the fresh ones are among those.
-func splice(list []*Target, ids []string, fresh []*Target) []*Target {
-	spliced := make([]*Target, 0, len(list)+len(fresh))
+// replaceByID replaces the targets with the given IDs by the updated ones. All slices are sorted by
+// ID, and the IDs of the updated targets are among ids.
+func replaceByID(list []*Target, ids []string, updated []*Target) []*Target {
+	result := make([]*Target, 0, len(list)+len(updated))
 	for _, id := range ids {
 		at, found := slices.BinarySearchFunc(list, id, func(t *Target, id string) int { return cmp.Compare(t.ID, id) })
-		spliced = append(spliced, list[:at]...)
+		result = append(result, list[:at]...)
 		list = list[at:]
 		if found {
 			list = list[1:]
 		}
-		if len(fresh) > 0 && fresh[0].ID == id {
-			spliced = append(spliced, fresh[0])
-			fresh = fresh[1:]
+		if len(updated) > 0 && updated[0].ID == id {
+			result = append(result, updated[0])
+			updated = updated[1:]
 		}
 	}
-	return append(spliced, list...)
+	return append(result, list...)
 }
 
-// PartitionCount is into how many parts of about some entries at most a list is divided by its
-// entries' hashes: a power of two, so that processes whose lists differ by a few divide them
-// alike, and few entries change their part when others come and go.
-func PartitionCount(entries, most int) int {
+// PartitionCount returns the number of parts into which a list is divided by its entries' hashes,
+// so that a part has about maxSize entries at most. It is a power of two, so that processes whose
+// lists differ by a few entries divide them alike, and few entries move to another part when others
+// are added or removed.
+func PartitionCount(entries, maxSize int) int {
 	count := 1
-	for entries > most*count {
+	for entries > maxSize*count {
 		count *= 2
 	}
 	return count
 }
 
-// regroup gives the groups of targets, of which those with the IDs touched have changed,
-// come or gone; fresh are those of them that are still there.
-func (s *service) regroup(targets []*Target, touched map[string]bool, fresh []*Target) [][]*Target {
+// updateGroups returns the groups of targets after the targets with the IDs in touched were added,
+// changed or removed. updated holds those of them that are still in the list.
+func (s *service) updateGroups(targets []*Target, touched map[string]bool, updated []*Target) [][]*Target {
 	groups := slices.Clone(s.groups)
-	if count := PartitionCount(len(targets), mostCandidates); len(groups) != count {
+	if count := PartitionCount(len(targets), maxCandidates); len(groups) != count {
 		groups = make([][]*Target, count)
-		touched, fresh = nil, targets
+		touched, updated = nil, targets
 	}
 	changed := map[uint64]bool{}
 	mask := uint64(len(groups) - 1)
 	for id := range touched {
 		changed[routing.Rendezvous(id)&mask] = true
 	}
-	for _, target := range fresh {
+	for _, target := range updated {
 		changed[target.hash&mask] = true
 	}
 	for at := range changed {
 		groups[at] = slices.DeleteFunc(slices.Clone(groups[at]), func(t *Target) bool { return touched[t.ID] })
 	}
-	for _, target := range fresh {
+	for _, target := range updated {
 		at := target.hash & mask
 		group := append(groups[at], target)
 		last, other := len(group)-1, rand.IntN(len(group))
@@ -113,7 +113,7 @@
 	return groups
 }
 
-// group gives the group of targets for a name.
+// group returns the group of targets that a name hashes to.
 func (s *service) group(name string) []*Target {
 	if len(s.groups) == 0 {
 		return nil
@@ -121,11 +121,11 @@
 	return s.groups[routing.Rendezvous(name)&uint64(len(s.groups)-1)]
 }
 
-// touches are the IDs of targets that have changed, by service.
-type touches map[string]map[string]bool
+// changedIDs collects the IDs of changed targets by service.
+type changedIDs map[string]map[string]bool
 
-// add notes a target; nil is none.
-func (t touches) add(target *Target) {
+// add adds a target; nil is ignored.
+func (t changedIDs) add(target *Target) {
 	if target == nil {
 		return
 	}
@@ -135,7 +135,8 @@
 	t[target.Service][target.ID] = true
 }
 
-// intern has entries that were decoded apart share the names of services and zones.
+// intern makes separately decoded entries share the strings of service and zone names, which saves
+// memory in large lists.
 func intern(e *Entry) {
 	e.Service = unique.Make(e.Service).Value()
 	e.Zone = unique.Make(e.Zone).Value()
--- a/internal/serve/pool/service_test.go
+++ b/internal/serve/pool/service_test.go
@@ -29,14 +29,15 @@
 	return found
 }
 
-// A choice among thousands of targets for each request takes a small VM's processor time.
-func TestAChoiceLooksAtAFewTargetsOfALargeService(t *testing.T) {
+// Guards against examining thousands of targets for each request, which uses up the CPU of a small
+// VM.
+func TestCandidatesAreBoundedInLargeServices(t *testing.T) {
 	for _, targets := range []int{90, 256, 257, 5405, 12_000, 24_000} {
 		table := largeTable(targets)
 		seen := map[string]bool{}
 		for i := range 2000 {
 			found := candidates(table, fmt.Sprint("prompt-", i))
-			assert.Assert(t, len(found) <= 2*mostCandidates && len(found) >= min(targets, mostCandidates/4), "%d of %d", len(found), targets)
+			assert.Assert(t, len(found) <= 2*maxCandidates && len(found) >= min(targets, maxCandidates/4), "%d of %d", len(found), targets)
 			for id := range found {
 				seen[id] = true
 			}
@@ -45,8 +46,8 @@
 	}
 }
 
-// Two processes that know the same list look at the same targets for a prompt, so that
-// they meet at the engine that has read it.
+// Processes that know the same list must examine the same targets for a prompt, so that they choose
+// the same engine, which has read the prompt before.
 func TestProcessesAgreeOnCandidates(t *testing.T) {
 	one, other := largeTable(3000), largeTable(3000)
 	for i := range 50 {
@@ -55,8 +56,9 @@
 	}
 }
 
-// All candidates of a request crash. It must still find one of the others.
-func TestWithoutUsableCandidatesAllTargetsAre(t *testing.T) {
+// Guards against failing a request because all targets in its candidate group have crashed while
+// others are usable.
+func TestAllTargetsAreCandidatesWhenGroupIsUnusable(t *testing.T) {
 	table := largeTable(3000)
 	var changes []Change
 	for id := range candidates(table, "prompt") {
@@ -66,8 +68,9 @@
 	assert.Assert(t, len(candidates(table, "prompt")) > 0)
 }
 
-// Targets come, go and start anew in any order: a service's list is that of its targets.
-func TestAServiceHasTheTargetsOfTheList(t *testing.T) {
+// Guards against a service's lists diverging from the table when targets are added, removed and
+// restarted in any order.
+func TestServiceListsMatchTable(t *testing.T) {
 	table := largeTable(600)
 	revision := uint64(1000)
 	for round := range 20 {
@@ -113,7 +116,7 @@
 	}
 }
 
-func BenchmarkChanges(b *testing.B) {
+func BenchmarkApply(b *testing.B) {
 	for _, targets := range []int{100, 10_000, 20_000} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
 			table := largeTable(targets)
--- a/internal/serve/pool/table.go
+++ b/internal/serve/pool/table.go
@@ -16,41 +16,43 @@
 type Table struct {
 	log      *zap.Logger
 	ejection routing.Ejection
-	// keepTrying means that targets that take no connection aren't left alone.
-	keepTrying bool
+	// noConnectBackoff disables the backoff after failed connections.
+	noConnectBackoff bool
 
-	mu sync.RWMutex // guards what follows
-	// byID is what the list says, lapsed what it lacks since an outage and is
-	// used on for a while; services has both.
+	mu sync.RWMutex // guards the fields below
+	// byID holds the targets in the list. lapsed holds targets whose entries are missing from the
+	// list since a store outage; they stay in use for LapsedGracePeriod. services covers both.
 	byID     map[string]*Target
 	lapsed   map[string]*Target
 	services map[string]*service
 	// generation grows with every change of a ready set.
 	generation uint64
-	// revision up to which all changes are known, newest that of the last change
-	// itself: the list's revision grows with changes of other things too. byID is
-	// the list as of newest, and any later revision up to revision.
-	revision uint64
-	newest   uint64
-	known    bool
-	recent   recent
-	// evacuations are the zones whose targets get nothing.
+	// synced is the revision up to which all changes are known, lastChange that of the last change
+	// to a target: the store's revision also grows with changes of other things. byID is the list
+	// at lastChange and at every later revision up to synced.
+	synced     uint64
+	lastChange uint64
+	loaded     bool
+	changeLog  changeLog
+	// evacuations holds the evacuated zones, whose targets get no requests.
 	evacuations evacuations
-	// logged is how many changes of those that are being taken in were logged or left out.
+	// logged counts the target changes of the current apply call that were logged or left out of
+	// the log.
 	logged int
-	// backAt is when the list came back after an outage, zero outside one's
-	// aftermath.
-	backAt  time.Time
-	onLeave []func(*Target)
+	// recoveredAt is when the store's list became available again after the last outage, zero if
+	// there was none.
+	recoveredAt time.Time
+	onLeave     []func(*Target)
 }
 
-// LapsedGracePeriod is how long entries that lapsed while the list was away may take
-// to come back. The users' bound is about two seconds; what is still missing
-// then is gone. One that has left after all must get nothing two seconds after
-// its end was seen, so that a call on its way and a late look need some of that.
+// LapsedGracePeriod is how long targets whose entries lapsed during a store outage stay in use,
+// counted from the store's recovery. A target whose entry is still missing then is treated as gone.
+// The users' bound is about two seconds: a target that did stop must get no requests two seconds
+// after its stop was seen. The period is shorter because calls on their way and a late sweep need
+// some of that time.
 const LapsedGracePeriod = 1650 * time.Millisecond
 
-// New makes an empty table.
+// New returns an empty table.
 func New(log *zap.Logger) *Table {
 	return &Table{
 		log: log, ejection: defaultEjection(),
@@ -59,91 +61,92 @@
 	}
 }
 
-// defaultEjection is the product's, but for stragglers: calls here differ in
-// size by two orders of magnitude, so that a mean over five of them says little.
+// defaultEjection returns routing's defaults with the ejection of stragglers disabled: the calls
+// here differ in size by two orders of magnitude, so the mean of five call times says little.
 func defaultEjection() routing.Ejection {
 	e := routing.DefaultEjection()
 	e.SlowFactor = 1e9
 	return e
 }
 
-// DisableConnectBackoff has targets that take no connection tried on, for measurements. Call
-// before the first Apply.
-func (t *Table) DisableConnectBackoff() { t.keepTrying = true }
+// DisableConnectBackoff keeps sending requests to targets that refuse connections, for
+// measurements. Call it before the first Apply.
+func (t *Table) DisableConnectBackoff() { t.noConnectBackoff = true }
 
-// OnLeave has fn called with each target that leaves the list, starts anew or
-// begins to drain. fn must not call the Table. Call before the first Apply.
+// OnLeave registers a function that is called with each target that is removed from the list, is
+// replaced by a new run or starts to drain. fn must not call the Table. Call it before the first
+// Apply.
 func (t *Table) OnLeave(fn func(*Target)) { t.onLeave = append(t.onLeave, fn) }
 
-// LastChangeRevision is the revision of the last change known.
+// LastChangeRevision returns the revision of the last known change to a target.
 func (t *Table) LastChangeRevision() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.newest
+	return t.lastChange
 }
 
-// Loaded tells whether a whole list was ever read.
+// Loaded reports whether the complete list has ever been read.
 func (t *Table) Loaded() bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.known
+	return t.loaded
 }
 
-// ListRecovered notes that the list answers again after an outage, in which entries
-// of sound targets may have lapsed.
+// ListRecovered records that the list is available again after a store outage, during which entries
+// of healthy targets may have lapsed.
 func (t *Table) ListRecovered(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.backAt = now
+	t.recoveredAt = now
 }
 
-// Apply takes in changes in their order and the revision up to which they go.
-// Older ones than those known are passed over: a peer or a reread may be behind.
+// Apply applies changes in revision order. upTo is the revision up to which the changes are
+// complete. Changes that are already known are skipped: a peer or a repeated read may be behind.
 func (t *Table) Apply(changes []Change, upTo uint64, now time.Time) {
 	t.mu.Lock()
-	fresh := changes[:0:0]
+	unseen := changes[:0:0]
 	for _, c := range changes {
-		if c.Revision > t.revision {
-			fresh = append(fresh, c)
+		if c.Revision > t.synced {
+			unseen = append(unseen, c)
 		}
 	}
-	left := t.apply(fresh, &t.recent, now)
-	t.recent.trim(len(t.byID), now)
-	t.revision = max(t.revision, upTo)
+	retired := t.apply(unseen, &t.changeLog, now)
+	t.changeLog.trim(len(t.byID), now)
+	t.synced = max(t.synced, upTo)
 	t.mu.Unlock()
-	t.tell(left)
+	t.notifyRetired(retired)
 }
 
-// Reset takes in the whole list as of a revision, as the store has it: what
-// isn't in it is gone.
+// Reset replaces the list by the complete one that the store has as of a revision. Targets that are
+// not in it are removed.
 func (t *Table) Reset(entries []Entry, asOf uint64, now time.Time) {
 	t.mu.Lock()
-	if asOf < t.revision {
+	if asOf < t.synced {
 		t.mu.Unlock()
 		return
 	}
-	left := t.reset(entries, asOf, now)
-	t.revision = asOf
+	retired := t.reset(entries, asOf, now)
+	t.synced = asOf
 	t.mu.Unlock()
-	t.tell(left)
+	t.notifyRetired(retired)
 }
 
-// ResetFromPeer takes in peers' whole list, which is the store's as of a revision; parts of it
-// may be newer. One that is no newer than what is known here is passed over: what has gone
-// must not come back by a peer that is behind.
+// ResetFromPeer replaces the list by the complete one of peers, which is the store's as of a
+// revision; some of its entries may be newer. A list that is no newer than what is known here is
+// ignored: removed targets must not come back through a peer that is behind.
 func (t *Table) ResetFromPeer(entries []Entry, asOf uint64, now time.Time) {
 	t.mu.Lock()
-	if t.known && asOf <= t.newest {
+	if t.loaded && asOf <= t.lastChange {
 		t.mu.Unlock()
 		return
 	}
-	left := t.reset(entries, asOf, now)
-	t.revision = max(t.revision, asOf)
+	retired := t.reset(entries, asOf, now)
+	t.synced = max(t.synced, asOf)
 	t.mu.Unlock()
-	t.tell(left)
+	t.notifyRetired(retired)
 }
 
-// reset returns the targets that got out of use. The caller holds mu.
+// reset returns the targets that left use. The caller holds mu.
 func (t *Table) reset(entries []Entry, asOf uint64, now time.Time) []*Target {
 	present := make(map[string]bool, len(entries))
 	changes := make([]Change, 0, len(entries))
@@ -156,78 +159,78 @@
 			changes = append(changes, Change{Entry: Entry{ID: id, Revision: asOf}, Removed: true})
 		}
 	}
-	before := t.newest
-	left := t.apply(changes, nil, now)
-	// Entries that are newer than the rest of the list don't make the whole newer.
-	t.newest = max(before, asOf)
-	t.recent.restart(t.newest)
-	if !t.known {
-		t.known = true
+	before := t.lastChange
+	retired := t.apply(changes, nil, now)
+	// Single entries newer than the list don't make the whole list newer.
+	t.lastChange = max(before, asOf)
+	t.changeLog.startFrom(t.lastChange)
+	if !t.loaded {
+		t.loaded = true
 		t.log.Info("List of targets is known.", zap.Int("targets", len(t.byID)), zap.Uint64("revision", asOf))
 	}
-	return left
+	return retired
 }
 
-func (t *Table) tell(left []*Target) {
-	for _, target := range left {
+func (t *Table) notifyRetired(retired []*Target) {
+	for _, target := range retired {
 		for _, fn := range t.onLeave {
 			fn(target)
 		}
 	}
 }
 
-// apply returns the targets that got out of use. What is taken in is kept for peers, if
-// kept isn't nil. The caller holds mu.
-func (t *Table) apply(changes []Change, kept *recent, now time.Time) []*Target {
-	var left []*Target
-	touched := touches{}
+// apply returns the targets that left use. Applied changes are added to history, unless it is nil.
+// The caller holds mu.
+func (t *Table) apply(changes []Change, history *changeLog, now time.Time) []*Target {
+	var retired []*Target
+	touched := changedIDs{}
 	t.logged = 0
 	for _, c := range changes {
 		old := t.byID[c.ID]
-		t.newest = max(t.newest, c.Revision)
-		if old != nil && (old.entry.Revision >= c.Revision || earlierRun(c, old)) {
+		t.lastChange = max(t.lastChange, c.Revision)
+		if old != nil && (old.entry.Revision >= c.Revision || isEarlierRun(c, old)) {
 			continue
 		}
 		intern(&c.Entry)
-		if kept != nil {
-			kept.add(c, now)
+		if history != nil {
+			history.add(c, now)
 		}
 		touched.add(old)
-		if out := t.change(old, c, now); out != nil {
-			left = append(left, out)
+		if out := t.applyChange(old, c, now); out != nil {
+			retired = append(retired, out)
 		}
 		touched.add(t.byID[c.ID])
 	}
-	t.refresh(touched)
-	if t.logged > mostLogged {
-		t.log.Info("More targets have changed.", zap.Int("changes", t.logged-mostLogged), zap.Int("targets", len(t.byID)),
-			zap.Uint64("revision", t.newest))
+	t.updateServices(touched)
+	if t.logged > maxLoggedChanges {
+		t.log.Info("More targets changed.", zap.Int("changes", t.logged-maxLoggedChanges), zap.Int("targets", len(t.byID)),
+			zap.Uint64("revision", t.lastChange))
 	}
-	return left
+	return retired
 }
 
-// mostLogged is how many changes that are taken in at once are logged one by one. A release
-// or a herd of crashes in a large pool would else write thousands of lines on each VM.
-const mostLogged = 16
+// maxLoggedChanges is the number of changes that one apply call logs individually. Without the
+// limit, a release or a mass crash in a large pool would write thousands of lines on each VM.
+const maxLoggedChanges = 16
 
-// logChange logs a change of one target. The caller holds mu.
+// logChange logs a change of one target, unless the limit is reached. The caller holds mu.
 func (t *Table) logChange(message string, fields ...zap.Field) {
 	t.logged++
-	if t.logged <= mostLogged {
+	if t.logged <= maxLoggedChanges {
 		t.log.Info(message, fields...)
 	}
 }
 
-// earlierRun tells whether a change is of a run before the one that is known: a
-// report may be delayed on its way to the store until its target has started
-// again, and names an address that it no longer has.
-func earlierRun(c Change, known *Target) bool {
+// isEarlierRun reports whether a change belongs to a run before the known one. A report may be
+// delayed on its way to the store until its target has restarted; it then names an address that the
+// target no longer has.
+func isEarlierRun(c Change, known *Target) bool {
 	return !c.Removed && c.Born != 0 && c.Born < known.Born
 }
 
-// change applies one change and returns the target that got out of use by it,
-// if any. The caller holds mu.
-func (t *Table) change(old *Target, c Change, now time.Time) *Target {
+// applyChange applies one change and returns the target that left use because of it, if any. The
+// caller holds mu.
+func (t *Table) applyChange(old *Target, c Change, now time.Time) *Target {
 	switch {
 	case c.Removed && old == nil:
 		return nil
@@ -245,25 +248,25 @@
 		ID: c.ID, Born: c.Born, Service: c.Service, Address: c.Address, Zone: c.Zone, hash: routing.Rendezvous(c.ID), entry: c.Entry,
 		evacuated: t.evacuated(c.Zone), coldUntil: now.Add(c.ColdLeft),
 	}
-	if t.known { // the first list is logged as a whole
+	if t.loaded { // the first list is logged as a whole
 		t.logChange("Target is new.", zap.String("target", c.ID), zap.String("service", c.Service),
 			zap.String("address", c.Address), zap.String("state", string(c.State)), zap.Uint64("revision", c.Revision))
 	}
 	if old != nil {
-		old.leave()
+		old.markGone()
 	}
 	return old
 }
 
-// remove takes a target out. One whose entry lapsed while the list was away is
-// used on for the time in which its entry may come back: a list that returns
-// empty would else take every sound target out of use.
+// remove removes a target. If its entry lapsed during a store outage, the target stays in use for
+// LapsedGracePeriod, since the entry may reappear: otherwise a list that is empty after the outage
+// would take every healthy target out of use.
 func (t *Table) remove(old *Target, now time.Time) *Target {
 	delete(t.byID, old.ID)
 	old.mu.Lock()
-	lapses := old.entry.State == Ready && !t.backAt.IsZero() && now.Sub(t.backAt) < LapsedGracePeriod
+	lapses := old.entry.State == Ready && !t.recoveredAt.IsZero() && now.Sub(t.recoveredAt) < LapsedGracePeriod
 	if lapses {
-		old.lapsesAt = t.backAt.Add(LapsedGracePeriod)
+		old.lapsesAt = t.recoveredAt.Add(LapsedGracePeriod)
 	}
 	old.mu.Unlock()
 	if lapses {
@@ -271,18 +274,17 @@
 		t.log.Warn("Target's entry lapsed while the list was away.", zap.String("target", old.ID))
 		return nil
 	}
-	old.leave()
-	t.logChange("Target is gone.", zap.String("target", old.ID), zap.String("service", old.Service))
+	old.markGone()
+	t.logChange("Target was removed.", zap.String("target", old.ID), zap.String("service", old.Service))
 	return old
 }
 
-// update takes in a new entry of the same run and returns the target if it
-// begins to drain.
+// update applies a new entry of the same run. It returns the target if it starts to drain.
 func (target *Target) update(e Entry, now time.Time) *Target {
 	target.mu.Lock()
 	defer target.mu.Unlock()
 	began := target.entry.State == Ready && e.State != Ready
-	// What has said that it leaves doesn't come back in the same run.
+	// A draining target doesn't become ready again in the same run.
 	if target.entry.State == Draining {
 		e.State = Draining
 	}
@@ -295,8 +297,9 @@
 	return nil
 }
 
-// told is the target's entry as peers are told of it.
-func (target *Target) told(now time.Time) Entry {
+// entryForPeers returns the target's entry as it is sent to peers: with the remaining cold time as
+// of now.
+func (target *Target) entryForPeers(now time.Time) Entry {
 	target.mu.Lock()
 	defer target.mu.Unlock()
 	e := target.entry
@@ -304,44 +307,43 @@
 	return e
 }
 
-func (target *Target) leave() {
+func (target *Target) markGone() {
 	target.mu.Lock()
 	defer target.mu.Unlock()
 	target.gone = true
 }
 
-// Sweep drops the targets whose entries didn't come back in time, and tells how many may
-// still come back.
+// Sweep drops the lapsed targets whose entries didn't reappear in time. It returns the number of
+// those that may still reappear.
 func (t *Table) Sweep(now time.Time) int {
 	t.mu.Lock()
-	var left []*Target
-	touched := touches{}
+	var retired []*Target
+	touched := changedIDs{}
 	for id, target := range t.lapsed {
 		if target.mayReturn(now) {
 			continue
 		}
 		delete(t.lapsed, id)
-		target.leave()
+		target.markGone()
 		touched.add(target)
-		left = append(left, target)
-		t.log.Info("Target's entry didn't come back.", zap.String("target", id))
+		retired = append(retired, target)
+		t.log.Info("Lapsed target was dropped: its entry did not reappear.", zap.String("target", id))
 	}
-	t.refresh(touched)
+	t.updateServices(touched)
 	lapsed := len(t.lapsed)
 	t.mu.Unlock()
-	t.tell(left)
+	t.notifyRetired(retired)
 	return lapsed
 }
 
-// refresh brings the lists of services up to date with the targets touched. The caller
-// holds mu.
-func (t *Table) refresh(touched touches) {
+// updateServices updates the per-service lists for the changed targets. The caller holds mu.
+func (t *Table) updateServices(touched changedIDs) {
 	for name, ids := range touched {
 		s := t.services[name]
 		if s == nil {
 			s = &service{ready: &ReadySet{}}
 		}
-		t.services[name] = s.with(ids, func(id string) *Target {
+		t.services[name] = s.withChanges(ids, func(id string) *Target {
 			for _, target := range []*Target{t.byID[id], t.lapsed[id]} {
 				if target != nil && target.Service == name {
 					return target
@@ -353,7 +355,7 @@
 	}
 }
 
-// ReadySet gives the targets of a service that are ready.
+// ReadySet returns the ready targets of a service.
 func (t *Table) ReadySet(service string) *ReadySet {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -363,15 +365,14 @@
 	return &ReadySet{}
 }
 
-// Generation grows with every change of a ready set.
+// Generation returns a number that grows with every change of a ready set.
 func (t *Table) Generation() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.generation
 }
 
-// Views lists the targets of a service that may get work now. One that failed
-// too often has Weight 0.
+// Views returns the targets of a service that may get requests now. An ejected target has Weight 0.
 func (t *Table) Views(service string, now time.Time) []View {
 	return t.ViewsOf(t.targetsOf(service), now)
 }
@@ -385,10 +386,11 @@
 	return nil
 }
 
-// Candidates lists targets of a service that may get some work now. Of a large service
-// they are a part, chosen by a name that all processes choose alike by: looking at all
-// of thousands for each request costs more than a better choice among them is worth.
-// Where nobody in that part may get work they are all, which all tells.
+// Candidates returns targets of a service that may get a request now. For a large service they are
+// a group chosen by name, the same in all processes: examining thousands of targets for each
+// request costs more than the better choice is worth. If no target of the group may get requests,
+// Candidates returns those of the whole service. all reports whether the whole service was
+// examined.
 func (t *Table) Candidates(service, name string, now time.Time) (views []View, all bool) {
 	t.mu.RLock()
 	var group []*Target
@@ -403,16 +405,16 @@
 	return t.Views(service, now), true
 }
 
-// Count is how many targets of a service there are.
+// Count holds the target counts of a service.
 type Count struct {
-	// Usable ones may get work now; of these Out failed too often, and Cold are so by
-	// their own word.
+	// Usable targets may get requests now. Of these, Out are ejected after failures and Cold report
+	// themselves as cold.
 	Usable, Out, Cold int
-	// Calls are this process's calls under way at them.
+	// Calls is the number of this process's calls in flight to the usable targets.
 	Calls int
 }
 
-// Count counts the targets of a service.
+// Count returns the target counts of a service.
 func (t *Table) Count(service string, now time.Time) Count {
 	var c Count
 	for _, target := range t.targetsOf(service) {
@@ -432,7 +434,7 @@
 	return c
 }
 
-// ViewsOf lists those of some targets that may get work now.
+// ViewsOf returns views of those of the given targets that may get requests now.
 func (t *Table) ViewsOf(targets []*Target, now time.Time) []View {
 	views := make([]View, 0, len(targets))
 	for _, target := range targets {
@@ -443,8 +445,7 @@
 	return views
 }
 
-// ByAddress finds the target of a service at an address that may be used; nil
-// where there is none.
+// ByAddress returns the target of a service at an address; nil if there is none.
 func (t *Table) ByAddress(service, address string) *Target {
 	for _, target := range t.targetsOf(service) {
 		if target.Address == address {
@@ -454,36 +455,36 @@
 	return nil
 }
 
-// Entries lists what the store's list holds, in no order, and the revision as of which it
-// does, for peers that don't know it.
+// Entries returns the entries of the store's list in no particular order and the revision as of
+// which they are, for peers that don't have the list.
 func (t *Table) Entries(now time.Time) (list []Entry, asOf uint64) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	list = make([]Entry, 0, len(t.byID))
 	for _, target := range t.byID {
-		list = append(list, target.told(now))
+		list = append(list, target.entryForPeers(now))
 	}
-	return list, t.newest
+	return list, t.lastChange
 }
 
-// ChangesSince lists the changes of the list after a revision, and the revision as of which
-// it is then. known is false where not all of them are.
+// ChangesSince returns the changes of the list after a revision, and the revision that they lead
+// to. known is false if some of these changes are no longer kept.
 func (t *Table) ChangesSince(revision uint64, now time.Time) (list []Change, asOf uint64, known bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	list, known = t.recent.since(revision, now)
-	return list, t.newest, known
+	list, known = t.changeLog.since(revision, now)
+	return list, t.lastChange, known
 }
 
-// SyncedRevision is the revision up to which all changes are known.
+// SyncedRevision returns the revision up to which all changes are known.
 func (t *Table) SyncedRevision() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.revision
+	return t.synced
 }
 
-// Begin notes a call at a target. tokens is its prompt's length, 0 for calls
-// without one.
+// Begin records the start of a call to a target. tokens is the prompt's length, 0 for calls without
+// a prompt.
 func (t *Table) Begin(target *Target, tokens int, now time.Time) *Call {
 	target.mu.Lock()
 	defer target.mu.Unlock()
@@ -492,18 +493,18 @@
 	return &Call{target: target, table: t, tokens: tokens, started: now}
 }
 
-// failureWeight is how much one call counts in the moving share of failures:
-// about the last eight calls decide.
+// failureWeight is the weight of one call in the moving average of failures: about the last eight
+// calls determine it.
 const failureWeight = 0.125
 
 func (t *Table) ended(c *Call, outcome Outcome, now time.Time) {
-	t.note(c, outcome, now)
+	t.recordOutcome(c, outcome, now)
 	if outcome == Failed {
-		t.judge(c.target, now)
+		t.ejectIfFailing(c.target, now)
 	}
 }
 
-func (t *Table) note(c *Call, outcome Outcome, now time.Time) {
+func (t *Table) recordOutcome(c *Call, outcome Outcome, now time.Time) {
 	target := c.target
 	target.mu.Lock()
 	defer target.mu.Unlock()
@@ -512,23 +513,23 @@
 	c.tokens = 0
 	switch outcome {
 	case Unreachable:
-		if !t.keepTrying {
-			target.unreachable(now)
+		if !t.noConnectBackoff {
+			target.backOff(now)
 		}
 	case Answered:
-		target.downFor = 0
+		target.connectBackoff = 0
 		target.health.FailuresInRow = 0
-		target.failing -= failureWeight * target.failing
+		target.failureRate -= failureWeight * target.failureRate
 	case Failed:
 		target.health.FailuresInRow++
-		target.failing += failureWeight * (1 - target.failing)
+		target.failureRate += failureWeight * (1 - target.failureRate)
 	}
 }
 
-// judge takes a target out of use that has failed too often, unless too many of
-// its service are out of use already.
-func (t *Table) judge(target *Target, now time.Time) {
-	if !target.suspicious(t.ejection, now) {
+// ejectIfFailing ejects a target that has failed too often, unless too many targets of its service
+// are already out of use.
+func (t *Table) ejectIfFailing(target *Target, now time.Time) {
+	if !target.wouldEject(t.ejection, now) {
 		return
 	}
 	count := t.Count(target.Service, now)
@@ -543,9 +544,9 @@
 		zap.String("reason", string(reason)), zap.Duration("for", target.health.OutUntil.Sub(now)))
 }
 
-// suspicious tells whether a target would be ejected if its service had targets
-// to spare.
-func (target *Target) suspicious(e routing.Ejection, now time.Time) bool {
+// wouldEject reports whether a target would be ejected if no other target of its service were out
+// of use.
+func (target *Target) wouldEject(e routing.Ejection, now time.Time) bool {
 	target.mu.Lock()
 	defer target.mu.Unlock()
 	return !now.Before(target.health.OutUntil) && e.Judge(target.health, 0, 0, math.MaxInt) != routing.ReasonNone
--- a/internal/serve/pool/table_test.go
+++ b/internal/serve/pool/table_test.go
@@ -26,7 +26,7 @@
 	return table
 }
 
-func usable(t *Table, now time.Time) map[string]bool {
+func usableIDs(t *Table, now time.Time) map[string]bool {
 	found := map[string]bool{}
 	for _, v := range t.Views("s", now) {
 		found[v.ID] = true
@@ -34,55 +34,53 @@
 	return found
 }
 
-func TestOneThatLeavesGetsNothingNew(t *testing.T) {
+func TestDrainingOrRemovedTargetIsExcluded(t *testing.T) {
 	table := tableOf("a", "b")
-	var left []string
-	table.OnLeave(func(target *Target) { left = append(left, target.ID) })
+	var retired []string
+	table.OnLeave(func(target *Target) { retired = append(retired, target.ID) })
 	e := entry("a", 11)
 	e.State = Draining
 	table.Apply([]Change{{Entry: e}}, 11, start)
-	assert.DeepEqual(t, usable(table, start), map[string]bool{"b": true})
-	assert.DeepEqual(t, left, []string{"a"})
+	assert.DeepEqual(t, usableIDs(table, start), map[string]bool{"b": true})
+	assert.DeepEqual(t, retired, []string{"a"})
 	table.Apply([]Change{{Entry: Entry{ID: "b", Revision: 12}, Removed: true}}, 12, start)
-	assert.Equal(t, len(usable(table, start)), 0)
+	assert.Equal(t, len(usableIDs(table, start)), 0)
 }
 
-// A target says that it drains, and an older report of it, delayed on its way
-// to the store, says once more that it is ready. If that counted, the target
-// would get requests while it goes, and cut them.
-func TestDrainingIsNotUnlearned(t *testing.T) {
+// A target reports that it drains; then an older report, delayed on its way to the store, says that
+// it is ready. If that were applied, the target would get requests while it shuts down, and would
+// abort them.
+func TestDelayedReadyReportDoesNotUndoDraining(t *testing.T) {
 	table := tableOf("a")
 	e := entry("a", 11)
 	e.State = Draining
 	table.Apply([]Change{{Entry: e}}, 11, start)
 	table.Apply([]Change{{Entry: entry("a", 12)}}, 12, start)
-	assert.Equal(t, len(usable(table, start)), 0)
+	assert.Equal(t, len(usableIDs(table, start)), 0)
 }
 
-// A target crashes and starts again under the name that it had. It knows
-// nothing of the requests and results of before; what was thought of it, failed
-// calls and calls in flight, is of another run.
-func TestANewRunUnderTheSameNameStartsAfresh(t *testing.T) {
+// A target crashes and restarts under the same ID. The new run has none of the earlier requests and
+// results, so failures and calls in flight of the earlier run must not count for it.
+func TestNewRunUnderSameIDStartsWithoutState(t *testing.T) {
 	table := tableOf("a")
 	old := table.ByAddress("s", "10.0.0.1:a")
 	table.Begin(old, 100, start)
 	e := entry("a", 11)
 	e.Born = 2
-	var left []*Target
-	table.OnLeave(func(target *Target) { left = append(left, target) })
+	var retired []*Target
+	table.OnLeave(func(target *Target) { retired = append(retired, target) })
 	table.Apply([]Change{{Entry: e}}, 11, start)
 	views := table.Views("s", start)
 	assert.Equal(t, len(views), 1)
 	assert.Equal(t, views[0].InFlight, 0)
 	assert.Equal(t, views[0].Born, int64(2))
 	assert.Assert(t, old.GoneOrDraining())
-	assert.Equal(t, left[0], old)
+	assert.Equal(t, retired[0], old)
 }
 
-// The report of an earlier run is still on its way when the next run has
-// already registered. Were it believed, the target would be looked for at an
-// address that it no longer has.
-func TestAReportOfAnEarlierRunIsPassedOver(t *testing.T) {
+// The report of an earlier run reaches the store after the next run has registered. If it were
+// applied, requests would go to an address that the target no longer has.
+func TestReportOfEarlierRunIsIgnored(t *testing.T) {
 	table := tableOf("a")
 	e := entry("a", 11)
 	e.Born = 5
@@ -95,66 +93,65 @@
 	assert.Equal(t, views[0].Address, "10.0.0.1:a")
 }
 
-// The store was away for longer than entries live, so that it comes back with
-// an empty list while all targets are sound. Callers would be refused until
-// every target has reported again.
-func TestEntriesThatLapsedWhileTheListWasAwayAreUsedOn(t *testing.T) {
+// The store is unavailable for longer than entries live and comes back with an empty list while all
+// targets are healthy. Without the grace period, requests would be refused until every target has
+// reported again.
+func TestEntriesLapsedDuringStoreOutageStayInUse(t *testing.T) {
 	table := tableOf("a", "b")
 	table.ListRecovered(start)
 	table.Reset(nil, 11, start.Add(100*time.Millisecond))
-	assert.Equal(t, len(usable(table, start.Add(time.Second))), 2)
+	assert.Equal(t, len(usableIDs(table, start.Add(time.Second))), 2)
 	table.Apply([]Change{{Entry: entry("a", 12)}}, 12, start.Add(time.Second))
 	table.Sweep(start.Add(LapsedGracePeriod))
-	assert.DeepEqual(t, usable(table, start.Add(LapsedGracePeriod)), map[string]bool{"a": true})
+	assert.DeepEqual(t, usableIDs(table, start.Add(LapsedGracePeriod)), map[string]bool{"a": true})
 }
 
-// One that had said that it drains before the outage is not kept.
-func TestADrainingOneDoesNotComeBackWithTheList(t *testing.T) {
+// A target that reported that it drains before the outage gets no grace period.
+func TestDrainingTargetIsNotKeptAfterStoreOutage(t *testing.T) {
 	table := tableOf("a")
 	e := entry("a", 11)
 	e.State = Draining
 	table.Apply([]Change{{Entry: e}}, 11, start)
 	table.ListRecovered(start)
 	table.Reset(nil, 12, start)
-	assert.Equal(t, len(usable(table, start)), 0)
+	assert.Equal(t, len(usableIDs(table, start)), 0)
 }
 
-// A peer that the store refuses tells what it knew before. If that counted, a
-// target that has gone since would be back in use.
-func TestOlderNewsIsPassedOver(t *testing.T) {
+// A peer that can't reach the store sends what it knew before. If that were applied, a target that
+// was removed since would be back in use.
+func TestOlderRevisionsAreIgnored(t *testing.T) {
 	table := tableOf("a")
 	table.Apply([]Change{{Entry: Entry{ID: "a", Revision: 20}, Removed: true}}, 20, start)
 	table.Reset([]Entry{entry("a", 3)}, 15, start)
 	table.Apply([]Change{{Entry: entry("a", 15)}}, 15, start)
-	assert.Equal(t, len(usable(table, start)), 0)
+	assert.Equal(t, len(usableIDs(table, start)), 0)
 }
 
-// A target crashed: nothing listens there. Each request sent to it loses time,
-// and one that is out of use takes the place of one that only fails now and
-// then; so it is left alone at once, whatever part of the pool is out already.
-func TestOneThatTakesNoConnectionIsLeftAloneAtOnce(t *testing.T) {
+// A crashed target refuses connections. Every request sent to it loses time, and ejecting it would
+// use up the ejection limit that targets with occasional failures need. So it backs off at once, no
+// matter how many targets are already out of use.
+func TestUnreachableTargetBacksOffImmediately(t *testing.T) {
 	table := tableOf("a", "b", "c")
 	now := start
 	for _, id := range []string{"a", "b"} {
 		target := table.ByAddress("s", "10.0.0.1:"+id)
 		table.Begin(target, 0, now).End(Unreachable, now)
 	}
-	assert.DeepEqual(t, usable(table, now), map[string]bool{"c": true})
-	now = now.Add(firstDown)
-	assert.Equal(t, len(usable(table, now)), 3)
+	assert.DeepEqual(t, usableIDs(table, now), map[string]bool{"c": true})
+	now = now.Add(minConnectBackoff)
+	assert.Equal(t, len(usableIDs(table, now)), 3)
 	target := table.ByAddress("s", "10.0.0.1:a")
 	table.Begin(target, 0, now).End(Unreachable, now)
-	assert.Assert(t, !usable(table, now.Add(firstDown))["a"], "left alone longer the second time")
-	now = now.Add(2 * firstDown)
+	assert.Assert(t, !usableIDs(table, now.Add(minConnectBackoff))["a"], "the backoff doubles after the second failure")
+	now = now.Add(2 * minConnectBackoff)
 	table.Begin(target, 0, now).End(Answered, now)
 	table.Begin(target, 0, now).End(Unreachable, now)
-	assert.Assert(t, usable(table, now.Add(firstDown))["a"], "an answer starts anew")
+	assert.Assert(t, usableIDs(table, now.Add(minConnectBackoff))["a"], "an answer resets the backoff")
 }
 
-// A target answers its health check and fails requests. Three failures in a
-// row take it out, but never more than a third of the pool: the fault may be
-// on this side.
-func TestOneThatFailsIsOutForAWhile(t *testing.T) {
+// A target passes its health check but fails requests. Three consecutive failures eject it, but
+// never more than a third of the pool is ejected: the fault may be on this side.
+func TestFailingTargetIsEjected(t *testing.T) {
 	table := tableOf("a", "b", "c", "d")
 	fail := func(id string) {
 		target := table.ByAddress("s", "10.0.0.1:"+id)
@@ -175,7 +172,7 @@
 	assert.Equal(t, weights()["b"], 1.0)
 }
 
-func TestCallsInFlightAndTheirPromptsAreCounted(t *testing.T) {
+func TestCallsInFlightAndPromptTokensAreCounted(t *testing.T) {
 	table := tableOf("a")
 	target := table.ByAddress("s", "10.0.0.1:a")
 	call := table.Begin(target, 500, start)
@@ -192,34 +189,34 @@
 	assert.Equal(t, v.InFlight, 0)
 }
 
-func TestAnOldReportSaysNothing(t *testing.T) {
+func TestOldLoadReportIsIgnored(t *testing.T) {
 	table := tableOf("a")
 	table.ByAddress("s", "10.0.0.1:a").SetReport(Report{Running: 9, At: start})
 	assert.Equal(t, table.Views("s", start)[0].Report.Running, 9)
 	assert.Equal(t, table.Views("s", start.Add(2*time.Second))[0].Report.Running, 0)
 }
 
-// A peer that is behind tells its list. What has gone here since must not come
-// back by it: two processes that gave it to each other would use a target that
-// has left for as long as they live.
-func TestWhatHasGoneDoesNotComeBackByAPeer(t *testing.T) {
+// A peer that is behind sends its list. A target that was removed here since must not come back
+// through it: two processes that sent the target to each other would keep using it for as long as
+// they run.
+func TestPeerListDoesNotRestoreRemovedTargets(t *testing.T) {
 	table := tableOf("a", "b")
 	gone := []Change{{Entry: Entry{ID: "a", Revision: 20}, Removed: true}}
 	table.Apply(gone, 25, start)
 	table.ResetFromPeer([]Entry{entry("a", 1), entry("b", 2)}, 12, start)
 	table.ResetFromPeer([]Entry{entry("a", 1), entry("b", 2)}, 20, start)
-	assert.DeepEqual(t, usable(table, start), map[string]bool{"b": true})
+	assert.DeepEqual(t, usableIDs(table, start), map[string]bool{"b": true})
 	table.ResetFromPeer([]Entry{entry("b", 2), entry("c", 30)}, 30, start)
-	assert.DeepEqual(t, usable(table, start), map[string]bool{"b": true, "c": true})
+	assert.DeepEqual(t, usableIDs(table, start), map[string]bool{"b": true, "c": true})
 }
 
-// A target that lapsed here is still used for a while, but isn't part of what
-// peers are told: for the store it is gone.
-func TestALapsedTargetIsNotToldToPeers(t *testing.T) {
+// A lapsed target stays in use here for the grace period but must not be sent to peers: the store
+// no longer lists it.
+func TestLapsedTargetsAreNotSentToPeers(t *testing.T) {
 	table := tableOf("a", "b")
 	table.ListRecovered(start)
 	table.Apply([]Change{{Entry: Entry{ID: "a", Revision: 20}, Removed: true}}, 20, start)
-	assert.DeepEqual(t, usable(table, start), map[string]bool{"a": true, "b": true})
+	assert.DeepEqual(t, usableIDs(table, start), map[string]bool{"a": true, "b": true})
 	entries, asOf := table.Entries(start)
 	assert.Equal(t, len(entries), 1)
 	assert.Equal(t, entries[0].ID, "b")
@@ -228,7 +225,7 @@
 	call := table.Begin(table.ByAddress("s", "10.0.0.1:a"), 0, start)
 	table.Apply([]Change{{Entry: back}}, 21, start)
 	table.Sweep(start.Add(LapsedGracePeriod))
-	assert.DeepEqual(t, usable(table, start.Add(LapsedGracePeriod)), map[string]bool{"a": true, "b": true})
+	assert.DeepEqual(t, usableIDs(table, start.Add(LapsedGracePeriod)), map[string]bool{"a": true, "b": true})
 	for _, v := range table.Views("s", start) {
 		if v.ID == "a" {
 			assert.Equal(t, v.InFlight, 1, "it is the same run")
@@ -237,11 +234,11 @@
 	call.End(Answered, start)
 }
 
-// A process that has just read the whole list hears from one that hasn't yet
-// seen the last entry go.
-func TestAFreshListIsNotReplacedByAnOlderOne(t *testing.T) {
+// A process that has just read the whole list gets one from a peer that hasn't yet seen the last
+// removal.
+func TestOlderPeerListDoesNotReplaceNewerOne(t *testing.T) {
 	table := New(zap.NewNop())
 	table.Reset([]Entry{entry("b", 2)}, 40, start)
 	table.ResetFromPeer([]Entry{entry("a", 1), entry("b", 2)}, 37, start)
-	assert.DeepEqual(t, usable(table, start), map[string]bool{"b": true})
+	assert.DeepEqual(t, usableIDs(table, start), map[string]bool{"b": true})
 }
--- a/internal/serve/pool/target.go
+++ b/internal/serve/pool/target.go
@@ -7,7 +7,7 @@
 	"github.com/vanillagate/vanillagate/internal/routing"
 )
 
-// Target is one run of one target. Its Entry may change, its identity doesn't.
+// Target is one run of a target. Its Entry may change, its identity doesn't.
 type Target struct {
 	ID      string
 	Born    int64
@@ -16,29 +16,31 @@
 	Zone    string
 	hash    uint64 // of ID
 
-	// mu guards what follows; a leaf, taken after Table.mu.
+	// mu guards the fields below. It is taken after Table.mu; no other lock is taken while it is
+	// held.
 	mu    sync.Mutex
 	entry Entry
 	gone  bool
-	// evacuated tells that the target's zone is.
+	// evacuated is set while the target's zone is evacuated.
 	evacuated bool
-	// coldUntil is until when the target is cold by its own word, away until when it
-	// got nothing from here, so that it may have started again or become cold unseen.
-	coldUntil time.Time
-	away      time.Time
-	lapsesAt  time.Time // zero unless the entry is gone and may come back
-	inFlight  int
-	tokens    int // prompt tokens of the requests that haven't started
-	report    Report
-	health    routing.Health
-	// downUntil is when a target that took no connection is tried again, downFor
-	// how long it was left alone last.
-	downUntil time.Time
-	downFor   time.Duration
-	failing   float64 // moving share of calls that failed
+	// coldUntil is when the target stops being cold according to its entry. unobservedUntil is the
+	// end of the latest period in which this process sent it no requests because of an evacuation
+	// or a connect backoff; the target may have restarted or become cold unnoticed until then.
+	coldUntil       time.Time
+	unobservedUntil time.Time
+	lapsesAt        time.Time // zero unless the entry has lapsed and may reappear
+	inFlight        int
+	tokens          int // prompt tokens of requests whose response hasn't started
+	report          Report
+	health          routing.Health
+	// connectRetryAt is when a target that refused a connection is tried again, connectBackoff the
+	// length of the last backoff.
+	connectRetryAt time.Time
+	connectBackoff time.Duration
+	failureRate    float64 // moving average of failed calls
 }
 
-// Report is what a target said of its load with its last answer.
+// Report is the load that a target reported with its latest response.
 type Report struct {
 	Running int
 	Waiting int
@@ -46,25 +48,26 @@
 	At      time.Time
 }
 
-// View is a target at one moment, for decisions.
+// View is a snapshot of a target for routing decisions.
 type View struct {
 	*Target
 	Slots int
-	// InFlight counts this process's calls, Tokens the prompt tokens of those
-	// that the target hasn't begun to answer.
+	// InFlight is the number of this process's calls in flight, Tokens the number of prompt tokens
+	// of those whose response hasn't started.
 	InFlight int
 	Tokens   int
 	Report   Report
-	// Weight is 0 for a target out of use, 1 for a sound one.
+	// Weight is 0 for an ejected target and 1 for a healthy one.
 	Weight float64
-	// ColdUntil is until when the target is cold by its own word. Away is until when
-	// it was last out of sight: what it has become meanwhile isn't known.
+	// ColdUntil is when the target stops being cold according to its entry. Away is the
+	// end of the latest period in which this process sent it no requests, so that it may have
+	// restarted or become cold unnoticed.
 	ColdUntil, Away time.Time
-	// Cold is set by who decides on it.
+	// Cold is set by the caller that decides whether the target counts as cold.
 	Cold bool
 }
 
-// Call is one call in progress at a target. End it once.
+// Call is a call in progress. The caller must call End; further calls of End are ignored.
 type Call struct {
 	target  *Target
 	table   *Table
@@ -73,24 +76,23 @@
 	ended   bool
 }
 
-// Outcome is how a call ended, for the target's health.
+// Outcome is how a call ended, as it affects the target's health.
 type Outcome string
 
-// The outcomes.
 const (
-	// Answered: the target did its part, whatever the status.
+	// Answered: the target responded, with any status.
 	Answered Outcome = "answered"
-	// Failed: no answer, a cut one, or an error of its own.
+	// Failed: no response, a truncated one, or a server error.
 	Failed Outcome = "failed"
-	// Unreachable: it took no connection.
+	// Unreachable: no connection could be established.
 	Unreachable Outcome = "unreachable"
-	// Full: it refused, which says nothing of its health.
+	// Full: the target refused the call for lack of capacity, which says nothing about its health.
 	Full Outcome = "full"
-	// Abandoned: this side ended the call.
+	// Abandoned: this side canceled the call.
 	Abandoned Outcome = "abandoned"
 )
 
-// ResponseStarted notes that the target has begun to answer: the prompt is read.
+// ResponseStarted records that the response has started, which means that the prompt has been read.
 func (c *Call) ResponseStarted() {
 	t := c.target
 	t.mu.Lock()
@@ -99,7 +101,7 @@
 	c.tokens = 0
 }
 
-// End notes how the call ended.
+// End records how the call ended.
 func (c *Call) End(outcome Outcome, now time.Time) {
 	if c.ended {
 		return
@@ -108,65 +110,64 @@
 	c.table.ended(c, outcome, now)
 }
 
-// SetReport takes in what a target says of its load.
+// SetReport stores the load that the target reported.
 func (t *Target) SetReport(r Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report = r
 }
 
-// GoneOrDraining tells whether the target has left the list or is leaving.
+// GoneOrDraining reports whether the target was removed from the list or is draining.
 func (t *Target) GoneOrDraining() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.gone || t.entry.State != Ready
 }
 
-// reportAge is how long a target's report says something of its load: about as
-// long as a short generation runs.
-const reportAge = time.Second
+// maxReportAge is how long a load report is used: about as long as a short generation runs.
+const maxReportAge = time.Second
 
 func (t *Target) view(now time.Time, e routing.Ejection) View {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	report := t.report
-	if now.Sub(report.At) > reportAge {
+	if now.Sub(report.At) > maxReportAge {
 		report = Report{}
 	}
 	return View{
 		Target: t, Slots: t.entry.Slots, InFlight: t.inFlight, Tokens: t.tokens,
-		Report: report, Weight: e.Weight(t.health, now), ColdUntil: t.coldUntil, Away: t.away,
+		Report: report, Weight: e.Weight(t.health, now), ColdUntil: t.coldUntil, Away: t.unobservedUntil,
 	}
 }
 
 const (
-	// firstDown and lastDown are how long a target that took no connection is
-	// left alone, twice as long each time. Nothing listens there: it crashed, or
-	// the path is cut. It is back after some seconds, and a try costs little.
-	firstDown = 200 * time.Millisecond
-	lastDown  = 1600 * time.Millisecond
+	// minConnectBackoff and maxConnectBackoff bound the backoff for a target that refuses
+	// connections; it doubles each time. The target has crashed or the network path is cut. It is
+	// usually back after some seconds, and a connection attempt is cheap.
+	minConnectBackoff = 200 * time.Millisecond
+	maxConnectBackoff = 1600 * time.Millisecond
 )
 
-// unreachable leaves a target alone for a while. The caller holds mu.
-func (t *Target) unreachable(now time.Time) {
-	if now.Before(t.downUntil) {
+// backOff starts the backoff after a failed connection. The caller holds mu.
+func (t *Target) backOff(now time.Time) {
+	if now.Before(t.connectRetryAt) {
 		return
 	}
-	t.downFor = min(max(2*t.downFor, firstDown), lastDown)
-	t.downUntil = now.Add(t.downFor)
-	t.away = t.downUntil
+	t.connectBackoff = min(max(2*t.connectBackoff, minConnectBackoff), maxConnectBackoff)
+	t.connectRetryAt = now.Add(t.connectBackoff)
+	t.unobservedUntil = t.connectRetryAt
 }
 
 func (t *Target) usable(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.gone || t.evacuated || t.entry.State != Ready || now.Before(t.downUntil) {
+	if t.gone || t.evacuated || t.entry.State != Ready || now.Before(t.connectRetryAt) {
 		return false
 	}
 	return t.lapsesAt.IsZero() || now.Before(t.lapsesAt)
 }
 
-// mayReturn tells whether the entry of a lapsed target may still come back.
+// mayReturn reports whether the entry of a lapsed target may still reappear.
 func (t *Target) mayReturn(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
