--- a/internal/serve/engines/curve.go
+++ b/internal/serve/engines/curve.go
@@ -2,38 +2,39 @@
 
 import "math"
 
-// thousand is the unit in which prompts are fitted: it keeps the sums' sizes alike.
-const thousand = 1000
+// tokenUnit is the number of tokens that one unit of x stands for in the fit. It keeps the sums of
+// powers at similar magnitudes.
+const tokenUnit = 1000
 
-// Curve is how long an engine takes to the first event of an answer, by the tokens
-// that it has to read: a base, a part for each token, and one for each pair of tokens,
-// which counts in long prompts. Seconds, by thousands of tokens.
+// Curve models the time from a request to the first event of an engine's response as a function of
+// the prompt tokens to read: a constant, a linear part, and a quadratic part, which matters for
+// long prompts. The coefficients are in seconds and thousands of tokens.
 type Curve struct {
 	Base   float64 `json:"b"`
 	Linear float64 `json:"l"`
 	Square float64 `json:"s"`
 }
 
-// PrefillTime is how long reading alone takes, in seconds.
+// PrefillTime returns the time for reading the prompt alone, in seconds.
 func (c Curve) PrefillTime(tokens int) float64 {
-	x := float64(tokens) / thousand
+	x := float64(tokens) / tokenUnit
 	return c.Linear*x + c.Square*x*x
 }
 
-// FirstEvent is how long an idle engine takes to the first event, in seconds.
+// FirstEvent returns the time that an idle engine takes to the first event, in seconds.
 func (c Curve) FirstEvent(tokens int) float64 { return c.Base + c.PrefillTime(tokens) }
 
-// usual is reckoned with until answers have been seen.
-var usual = Curve{Base: 0.1, Linear: 0.01}
+// defaultCurve is used until responses have been observed.
+var defaultCurve = Curve{Base: 0.1, Linear: 0.01}
 
-// usualTokens are prompts whose usual times a fit starts from.
-var usualTokens = []int{0, 2000, 10_000}
+// seedTokens are the prompt lengths for which a new fit is seeded with the times of defaultCurve.
+var seedTokens = []int{0, 2000, 10_000}
 
-// fitMemory is over about how many answers a fit goes. An engine's speed doesn't change;
-// how many others run beside a prompt does.
-const fitMemory = 2000
+// fitWindow is the approximate number of recent responses that a fit covers. An engine's speed
+// doesn't change, but the number of requests that run at the same time does.
+const fitWindow = 2000
 
-// fit learns a Curve with the least squares. Sums of powers are all that it keeps.
+// fit fits a Curve by least squares. It stores only sums of powers.
 type fit struct {
 	x [5]float64 // sums of x^0 to x^4
 	y [3]float64 // sums of y*x^0 to y*x^2
@@ -41,40 +42,41 @@
 
 func newFit() *fit {
 	f := &fit{}
-	for _, tokens := range usualTokens {
-		f.add(tokens, usual.FirstEvent(tokens))
+	for _, tokens := range seedTokens {
+		f.add(tokens, defaultCurve.FirstEvent(tokens))
 	}
 	return f
 }
 
-// add takes in one answer: the tokens read and the seconds to its first event.
+// add adds one response: the tokens read and the seconds to its first event.
 func (f *fit) add(tokens int, seconds float64) {
-	const keep = 1 - 1.0/fitMemory
+	const decay = 1 - 1.0/fitWindow
 	power := 1.0
 	for i := range f.x {
-		f.x[i] = keep*f.x[i] + power
+		f.x[i] = decay*f.x[i] + power
 		if i < len(f.y) {
-			f.y[i] = keep*f.y[i] + power*seconds
+			f.y[i] = decay*f.y[i] + power*seconds
 		}
-		power *= float64(tokens) / thousand
+		power *= float64(tokens) / tokenUnit
 	}
 }
 
-// curve gives the best one without negative parts: a longer prompt never takes less.
+// curve returns the best fit without negative coefficients, so that a longer prompt never takes
+// less time.
 func (f *fit) curve() Curve {
-	best, bestGain := usual, math.Inf(-1)
+	best, bestGain := defaultCurve, math.Inf(-1)
 	for _, powers := range [][]int{{0, 1, 2}, {0, 1}, {0, 2}, {0}} {
-		parts, gain, ok := f.solve(powers)
+		coefficients, gain, ok := f.solve(powers)
 		if ok && gain > bestGain {
-			best, bestGain = Curve{Base: parts[0], Linear: parts[1], Square: parts[2]}, gain
+			best, bestGain = Curve{Base: coefficients[0], Linear: coefficients[1], Square: coefficients[2]}, gain
 		}
 	}
 	return best
 }
 
-// solve fits some powers of x. gain is by how much that lessens the sum of squares; ok
-// is false where a part would be negative, or can't be told.
-func (f *fit) solve(powers []int) (parts [3]float64, gain float64, ok bool) {
+// solve fits a polynomial with the given powers of x. gain is the reduction of the sum of squares;
+// ok is false if a coefficient would be negative or can't be determined.
+func (f *fit) solve(powers []int) (coefficients [3]float64, gain float64, ok bool) {
 	n := len(powers)
 	rows := make([][]float64, n)
 	for i, p := range powers {
@@ -84,22 +86,24 @@
 		rows[i] = append(rows[i], f.y[p])
 	}
 	if !eliminate(rows) {
-		return parts, 0, false
+		return coefficients, 0, false
 	}
 	for i, p := range powers {
-		parts[p] = rows[i][n]
-		if parts[p] < 0 {
-			return parts, 0, false
+		coefficients[p] = rows[i][n]
+		if coefficients[p] < 0 {
+			return coefficients, 0, false
 		}
-		gain += parts[p] * f.y[p]
+		gain += coefficients[p] * f.y[p]
 	}
-	return parts, gain, true
+	return coefficients, gain, true
 }
 
-// leastPivot is the smallest pivot, beside the row's size, from which a part can be told.
-const leastPivot = 1e-9
+// minRelativePivot is the smallest pivot, relative to the row's diagonal element, for which a
+// coefficient can be determined.
+const minRelativePivot = 1e-9
 
-// eliminate solves linear equations, each a row with its right side last, in place.
+// eliminate solves linear equations in place by Gaussian elimination. Each row is an equation with
+// its right-hand side last.
 func eliminate(rows [][]float64) bool {
 	for i, row := range rows {
 		size := row[i]
@@ -110,7 +114,7 @@
 			}
 		}
 		pivot := row[i]
-		if pivot <= leastPivot*size {
+		if pivot <= minRelativePivot*size {
 			return false
 		}
 		for col := range row {
--- a/internal/serve/engines/curve_test.go
+++ b/internal/serve/engines/curve_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// The time of long prompts grows with the square of their length: a straight line puts
-// their stages' due time far too late.
-func TestTheTimeOfLongPromptsIsLearnt(t *testing.T) {
+// Prefill time grows with the square of the prompt length. A linear model puts the due time of a
+// long prompt's stages far too late.
+func TestFitLearnsQuadraticPrefillTime(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	truth := Curve{Base: 0.065, Linear: 0.008, Square: 0.000263}
 	f := newFit()
@@ -25,8 +25,8 @@
 	}
 }
 
-// A few slow answers to short prompts must not make long ones count as quicker.
-func TestACurveNeverFalls(t *testing.T) {
+// Guards against a few slow responses to short prompts making long prompts look faster.
+func TestCurveNeverDecreases(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 1))
 	for range 200 {
 		f := newFit()
@@ -39,16 +39,16 @@
 	}
 }
 
-func TestAPromptWaitsForThoseBefore(t *testing.T) {
+func TestPromptWaitsForEarlierPrompts(t *testing.T) {
 	start := time.Unix(1000, 0)
-	a := newAccount()
-	wait, taken := a.take("e", 500*time.Millisecond, 0, start)
+	s := newPrefillSchedule()
+	wait, taken := s.reserve("e", 500*time.Millisecond, 0, start)
 	assert.Assert(t, taken && wait == 0)
-	wait, taken = a.take("e", time.Second, 100*time.Millisecond, start.Add(200*time.Millisecond))
+	wait, taken = s.reserve("e", time.Second, 100*time.Millisecond, start.Add(200*time.Millisecond))
 	assert.Assert(t, !taken && wait == 300*time.Millisecond)
-	wait, taken = a.take("e", time.Second, 100*time.Millisecond, start.Add(450*time.Millisecond))
+	wait, taken = s.reserve("e", time.Second, 100*time.Millisecond, start.Add(450*time.Millisecond))
 	assert.Assert(t, taken && wait == 50*time.Millisecond)
-	assert.Equal(t, a.wait("e", start.Add(450*time.Millisecond)), 1050*time.Millisecond)
-	a.sweep(start.Add(2 * time.Second))
-	assert.Equal(t, len(a.busy), 0)
+	assert.Equal(t, s.wait("e", start.Add(450*time.Millisecond)), 1050*time.Millisecond)
+	s.sweep(start.Add(2 * time.Second))
+	assert.Equal(t, len(s.busyUntil), 0)
 }
--- a/internal/serve/engines/play_test.go
+++ b/internal/serve/engines/simulation_test.go
@@ -12,10 +12,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// waits plays prompts of all lengths that come to 30 processes for 30 engines, which read
-// one prompt after the other, and gives how long each waited. A prompt goes to an engine
-// at random unless ask says that another one is better.
-func waits(seed uint64, ask func(process int, engine string, tokens int) bool) []time.Duration {
+// simulateWaits simulates prompts of all lengths that arrive at 30 processes for 30 engines, each
+// of which reads one prompt after the other. It returns how long each prompt waited. A prompt goes
+// to a random engine unless ask rejects it.
+func simulateWaits(seed uint64, ask func(process int, engine string, tokens int) bool) []time.Duration {
 	const processes, engines, perSecond = 30, 30, 90
 	random := rand.New(rand.NewPCG(seed, 1))
 	truth := Curve{Base: 0.06, Linear: 0.008, Square: 0.00026}
@@ -41,7 +41,7 @@
 	return list
 }
 
-func longer(list []time.Duration, than time.Duration) int {
+func countLonger(list []time.Duration, than time.Duration) int {
 	n := 0
 	for _, d := range list {
 		if d > than {
@@ -51,23 +51,23 @@
 	return n
 }
 
-// Processes that know a few of an engine's prompts send theirs behind long ones of
-// others, and callers wait.
-func TestFewPromptsWaitBehindLongOnes(t *testing.T) {
+// A process that knows only a few of an engine's prompts sends its own behind long prompts of other
+// processes, and callers wait. Claims must reduce these waits.
+func TestClaimsReduceWaitsBehindLongPrompts(t *testing.T) {
 	const long = 150 * time.Millisecond
-	var blind, asked int
+	var withoutClaims, withClaims int
 	synctest.Test(t, func(t *testing.T) {
-		blind = longer(waits(1, func(int, string, int) bool { return true }), long)
+		withoutClaims = countLonger(simulateWaits(1, func(int, string, int) bool { return true }), long)
 	})
 	synctest.Test(t, func(t *testing.T) {
-		all, _ := fleet(30)
-		asked = longer(waits(1, func(process int, engine string, tokens int) bool {
+		all, _ := newTrackers(30)
+		withClaims = countLonger(simulateWaits(1, func(process int, engine string, tokens int) bool {
 			answer, answered := all[process].Claim(context.Background(), Claim{
 				Service: "s", Engine: engine, Tokens: tokens, Limit: 20 * time.Millisecond,
 			})
 			return !answered || answer.Taken
 		}), long)
 	})
-	t.Logf("blind: %d waited for more than %v, asked: %d", blind, long, asked)
-	assert.Assert(t, asked*4 < blind, "%d beside %d", asked, blind)
+	t.Logf("%d prompts waited for more than %v without claims, %d with claims", withoutClaims, long, withClaims)
+	assert.Assert(t, withClaims*4 < withoutClaims, "%d waited with claims, %d without", withClaims, withoutClaims)
 }
--- a/internal/serve/engines/tracker.go
+++ b/internal/serve/engines/tracker.go
@@ -1,12 +1,11 @@
-// Package engines keeps account of the prompts that model engines are reading, over all
-// processes. A long prompt keeps an engine from all others for up to a second, and one
-// process alone sees a few of an engine's prompts: it would take nearly all engines for
-// idle. So each engine has a tracker, one of the stronger processes, that is asked
-// before a prompt is sent there. The account is soft state: when members are seen
-// differently two processes keep a part of it each, and when a tracker doesn't answer
-// the prompt is sent without having asked.
+// Package engines tracks, across all processes, the prompts that model engines are reading. A long
+// prompt blocks an engine for up to a second, and a single process sees only a few of an engine's
+// prompts, so it would consider nearly all engines idle. Therefore each engine has a tracker, one
+// of the VMs with the most capacity, which is asked before a prompt is sent to the engine. The
+// state is soft: while processes see different members, two trackers each hold a part of it, and if
+// a tracker doesn't answer, the prompt is sent without asking.
 //
-// Trackers also learn from all processes' answers how long engines take.
+// Trackers also learn from the responses that all processes observe how long engines take.
 package engines
 
 import (
@@ -24,17 +23,17 @@
 const methodClaim = "engines.claim"
 
 const (
-	// claimTimeout bounds one question, which the request waits for.
+	// claimTimeout bounds one call to a tracker, which the request waits for.
 	claimTimeout = 40 * time.Millisecond
-	// silence is for how long a tracker that didn't answer isn't asked.
-	silence = time.Second
-	// curveAge is how long a curve stands that a tracker told.
-	curveAge = 20 * time.Second
-	// maxSamples are the answers kept for the next questions.
+	// unresponsivePause is how long a tracker that didn't answer is not asked again.
+	unresponsivePause = time.Second
+	// maxCurveAge is how long a curve received from a tracker is used.
+	maxCurveAge = 20 * time.Second
+	// maxSamples is the number of samples kept per service to be sent with the next claim.
 	maxSamples = 8
 )
 
-// Sample is one answer: the tokens that its engine had to read, and the seconds to its
+// Sample is an observed response: the tokens that its engine had to read, and the seconds to its
 // first event.
 type Sample struct {
 	Tokens  int     `json:"t"`
@@ -45,30 +44,31 @@
 type Claim struct {
 	Service string
 	Engine  string
-	// Tokens that the engine will have to read.
+	// Tokens is the number of tokens that the engine will have to read.
 	Tokens int
-	// Limit is the longest wait with which the engine is still taken.
+	// Limit is the longest acceptable wait at the engine.
 	Limit time.Duration
-	// ColdPerSecond is how many requests a second a cold engine bears; 0 for a warm one.
+	// ColdPerSecond is how many requests a second a cold engine can handle; 0 for a warm one.
 	ColdPerSecond float64
 }
 
-// Answer is what became of a claim.
+// Answer is the tracker's answer to a Claim.
 type Answer struct {
-	// Taken tells that the prompt is in the engine's account.
+	// Taken is set if the claim was granted and the prompt counts in the engine's schedule.
 	Taken bool
-	// Wait is how long the engine reads others' prompts before.
+	// Wait is how long the engine will be busy with earlier prompts.
 	Wait time.Duration
-	// Cold tells that the engine got as many requests as it bears while cold.
+	// Cold is set if the claim was refused because the cold engine already got as many requests as
+	// it can handle.
 	Cold bool
 }
 
-// TrackerRateShare is the part of what a cold engine bears that its tracker hands out. The
-// rest is for those whom the tracker doesn't answer, and for a second tracker while
-// members are seen differently.
+// TrackerRateShare is the share of a cold engine's request rate that its tracker hands out. The
+// rest is for processes that the tracker doesn't answer, and for a second tracker while processes
+// see different members.
 const TrackerRateShare = 0.6
 
-// claimCall is a Claim on the wire. Times are in ms.
+// claimCall is the wire format of a Claim. Times are in milliseconds.
 type claimCall struct {
 	Service string   `json:"service"`
 	Engine  string   `json:"engine"`
@@ -78,7 +78,7 @@
 	Samples []Sample `json:"samples,omitempty"`
 }
 
-// claimAnswer is an Answer on the wire.
+// claimAnswer is the wire format of an Answer.
 type claimAnswer struct {
 	Taken bool  `json:"taken,omitempty"`
 	Wait  int64 `json:"wait,omitempty"`
@@ -86,44 +86,44 @@
 	Curve Curve `json:"curve"`
 }
 
-// Tracker asks the trackers of engines, and is one for some of them itself. It is safe
-// for concurrent use.
+// Tracker asks the trackers of engines, and acts as the tracker for some of them. It is safe for
+// concurrent use.
 type Tracker struct {
-	log     *zap.Logger
-	network peer.Network
-	able    derived.Value[*peer.View, []candidate]
+	log      *zap.Logger
+	network  peer.Network
+	eligible derived.Value[*peer.View, []candidate]
 
-	mu      sync.Mutex // guards what follows; a leaf
-	account *account
-	fits    map[string]*fit // by service
-	samples map[string][]Sample
-	curves  map[string]told
-	silent  map[peer.Incarnation]time.Time // until when
+	mu              sync.Mutex // guards the fields below; no other lock is taken while it is held
+	prefillSchedule *prefillSchedule
+	fits            map[string]*fit // by service
+	samples         map[string][]Sample
+	curves          map[string]receivedCurve
+	unresponsive    map[peer.Incarnation]time.Time // until when the process is not asked
 }
 
-// candidate is a process that may be a tracker, and its hash.
+// candidate is a process that may be a tracker, with its hash.
 type candidate struct {
 	id   peer.Incarnation
 	hash uint64
 }
 
-type told struct {
+type receivedCurve struct {
 	curve Curve
 	at    time.Time
 }
 
-// New makes a tracker. Call before the network starts.
+// New returns a tracker. Call it before the network starts.
 func New(log *zap.Logger, network peer.Network) *Tracker {
 	t := &Tracker{
-		log: log, network: network, account: newAccount(), fits: map[string]*fit{},
-		samples: map[string][]Sample{}, curves: map[string]told{}, silent: map[peer.Incarnation]time.Time{},
+		log: log, network: network, prefillSchedule: newPrefillSchedule(), fits: map[string]*fit{},
+		samples: map[string][]Sample{}, curves: map[string]receivedCurve{}, unresponsive: map[peer.Incarnation]time.Time{},
 	}
-	peer.HandleCall(network, methodClaim, func(c claimCall) (any, error) { return t.serve(c, time.Now()), nil })
+	peer.HandleCall(network, methodClaim, func(c claimCall) (any, error) { return t.handleClaim(c, time.Now()), nil })
 	return t
 }
 
-// RecordSample keeps an answer of an engine that read no other prompt before, for the trackers
-// to learn from.
+// RecordSample keeps a response for the trackers to learn from. The engine must have read no other
+// prompt before it.
 func (t *Tracker) RecordSample(service string, s Sample) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,15 +132,16 @@
 	}
 }
 
-// Curve gives what trackers have learnt of a service's engines lately.
+// Curve returns the curve of a service's engines that a tracker sent last; false if there is none
+// or it is too old.
 func (t *Tracker) Curve(service string, now time.Time) (Curve, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	told, found := t.curves[service]
-	return told.curve, found && now.Sub(told.at) < curveAge
+	received, found := t.curves[service]
+	return received.curve, found && now.Sub(received.at) < maxCurveAge
 }
 
-// Claim asks an engine's tracker; false where it didn't answer.
+// Claim asks an engine's tracker; false if it didn't answer or isn't asked at present.
 func (t *Tracker) Claim(ctx context.Context, c Claim) (Answer, bool) {
 	now := time.Now()
 	tracker, answering := t.trackerOf(c.Engine, now)
@@ -151,30 +152,30 @@
 		Service: c.Service, Engine: c.Engine, Tokens: c.Tokens, Limit: c.Limit.Milliseconds(),
 		Cold: c.ColdPerSecond, Samples: t.takeSamples(c.Service),
 	}
-	answer, err := t.ask(ctx, tracker, call)
+	answer, err := t.callTracker(ctx, tracker, call)
 	if err != nil {
 		if ctx.Err() == nil {
-			t.leaveAlone(tracker, err, now)
+			t.markUnresponsive(tracker, err, now)
 		}
 		return Answer{}, false
 	}
 	t.mu.Lock()
-	t.curves[c.Service] = told{curve: answer.Curve, at: now}
+	t.curves[c.Service] = receivedCurve{curve: answer.Curve, at: now}
 	t.mu.Unlock()
 	return Answer{Taken: answer.Taken, Wait: time.Duration(answer.Wait) * time.Millisecond, Cold: answer.Cold}, true
 }
 
-// leaveAlone has a tracker that didn't answer not asked for a while.
-func (t *Tracker) leaveAlone(tracker peer.Incarnation, err error, now time.Time) {
+// markUnresponsive stops claims to a tracker that didn't answer for unresponsivePause.
+func (t *Tracker) markUnresponsive(tracker peer.Incarnation, err error, now time.Time) {
 	t.log.Debug("Engine's tracker didn't answer.", zap.String("member", string(tracker)), zap.Error(err))
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.silent[tracker] = now.Add(silence)
+	t.unresponsive[tracker] = now.Add(unresponsivePause)
 }
 
-func (t *Tracker) ask(ctx context.Context, tracker peer.Incarnation, call claimCall) (claimAnswer, error) {
+func (t *Tracker) callTracker(ctx context.Context, tracker peer.Incarnation, call claimCall) (claimAnswer, error) {
 	if tracker == t.network.Self().Incarnation {
-		return t.serve(call, time.Now()), nil
+		return t.handleClaim(call, time.Now()), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -191,24 +192,24 @@
 	return list
 }
 
-// trackerOf is the process that an engine ranks first; false while that one doesn't
-// answer.
+// trackerOf returns the process that ranks first for an engine; false if there is none or if it
+// didn't answer lately.
 func (t *Tracker) trackerOf(engine string, now time.Time) (peer.Incarnation, bool) {
-	able := t.able.Get(t.network.View(), candidates)
+	eligible := t.eligible.Get(t.network.View(), candidates)
 	var first peer.Incarnation
 	best := uint64(0)
 	at := member.Hash(engine)
-	for _, c := range able {
+	for _, c := range eligible {
 		if rank := member.Rank(at, c.hash); first == "" || rank > best {
 			first, best = c.id, rank
 		}
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return first, first != "" && !now.Before(t.silent[first])
+	return first, first != "" && !now.Before(t.unresponsive[first])
 }
 
-// candidates are the processes that may be trackers.
+// candidates returns the processes that may be trackers.
 func candidates(v *peer.View) []candidate {
 	var list []candidate
 	for _, id := range peer.SelectByCPU(v.Alive()) {
@@ -217,8 +218,8 @@
 	return list
 }
 
-// serve answers a claim of this or another process.
-func (t *Tracker) serve(call claimCall, now time.Time) claimAnswer {
+// handleClaim answers a claim of this or another process.
+func (t *Tracker) handleClaim(call claimCall, now time.Time) claimAnswer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	f := t.fits[call.Service]
@@ -230,25 +231,25 @@
 		f.add(s.Tokens, s.Seconds)
 	}
 	curve := f.curve()
-	if call.Cold > 0 && !t.account.spare(call.Engine, TrackerRateShare*call.Cold, now) {
+	if call.Cold > 0 && !t.prefillSchedule.hasColdToken(call.Engine, TrackerRateShare*call.Cold, now) {
 		return claimAnswer{Cold: true, Curve: curve}
 	}
-	reading := time.Duration(curve.PrefillTime(call.Tokens) * float64(time.Second))
-	wait, taken := t.account.take(call.Engine, reading, time.Duration(call.Limit)*time.Millisecond, now)
+	prefill := time.Duration(curve.PrefillTime(call.Tokens) * float64(time.Second))
+	wait, taken := t.prefillSchedule.reserve(call.Engine, prefill, time.Duration(call.Limit)*time.Millisecond, now)
 	if taken && call.Cold > 0 {
-		t.account.spend(call.Engine)
+		t.prefillSchedule.takeColdToken(call.Engine)
 	}
 	return claimAnswer{Taken: taken, Wait: wait.Milliseconds(), Curve: curve}
 }
 
-// Sweep forgets what no longer matters. Call it about once a second.
+// Sweep removes expired state. Call it about once a second.
 func (t *Tracker) Sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.account.sweep(now)
-	for id, until := range t.silent {
+	t.prefillSchedule.sweep(now)
+	for id, until := range t.unresponsive {
 		if now.After(until) {
-			delete(t.silent, id)
+			delete(t.unresponsive, id)
 		}
 	}
 }
--- a/internal/serve/engines/tracker_test.go
+++ b/internal/serve/engines/tracker_test.go
@@ -13,8 +13,8 @@
 	"github.com/vanillagate/vanillagate/internal/serve/servetest"
 )
 
-// fleet is processes that ask each other about engines.
-func fleet(n int) (list []*Tracker, nodes []*servetest.Node) {
+// newTrackers returns the trackers of n processes that are connected to each other.
+func newTrackers(n int) (list []*Tracker, nodes []*servetest.Node) {
 	cluster := &servetest.Cluster{Delay: time.Millisecond}
 	for i := range n {
 		node := cluster.Add(fmt.Sprintf("vm-%d", i), "z")
@@ -24,11 +24,11 @@
 	return list, nodes
 }
 
-// Two processes send long prompts to the same engine unawares, and the second waits for
-// the first one's.
-func TestProcessesSeeWhatAnEngineReadsForOthers(t *testing.T) {
+// Guards against two processes sending long prompts to the same engine without knowing of each
+// other, so that the second prompt waits for the first.
+func TestClaimsCoverPromptsOfAllProcesses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		all, _ := fleet(12)
+		all, _ := newTrackers(12)
 		ctx := context.Background()
 		claim := Claim{Service: "s", Engine: "e", Tokens: 40_000, Limit: 20 * time.Millisecond}
 		first, answered := all[0].Claim(ctx, claim)
@@ -43,10 +43,10 @@
 	})
 }
 
-// A tracker stands still: each request would wait for it.
-func TestATrackerThatDoesNotAnswerIsLeftAloneForAWhile(t *testing.T) {
+// Guards against every request waiting for a tracker that has stopped responding.
+func TestUnresponsiveTrackerIsNotAskedForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		all, nodes := fleet(3)
+		all, nodes := newTrackers(3)
 		for _, n := range nodes {
 			n.Freeze()
 		}
@@ -66,11 +66,11 @@
 	})
 }
 
-// A caller hangs up during the question. Its tracker would count as silent, and others'
-// prompts be sent without having asked.
-func TestACallerThatLeavesDoesNotSilenceATracker(t *testing.T) {
+// A caller disconnects during a claim. If that counted against the tracker, prompts of other
+// requests would be sent without asking.
+func TestCanceledClaimDoesNotMarkTrackerUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		all, _ := fleet(3)
+		all, _ := newTrackers(3)
 		left, leave := context.WithCancel(context.Background())
 		leave()
 		for i := range 9 {
@@ -81,10 +81,10 @@
 	})
 }
 
-// All processes learn from all answers, whoever saw them.
+// All processes must learn from all samples, no matter which process observed them.
 func TestTrackersLearnFromAllProcesses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		all, _ := fleet(12)
+		all, _ := newTrackers(12)
 		truth := Curve{Base: 0.06, Linear: 0.008, Square: 0.00026}
 		for i := range 3000 {
 			tokens := 300 + i%50*1000
@@ -100,10 +100,11 @@
 	})
 }
 
-// The requests of all processes go to a cold engine at once.
-func TestAColdEngineGetsWhatItBears(t *testing.T) {
+// All processes send requests to one cold engine at once. Together they must stay within its rate,
+// and use a good part of it.
+func TestColdEngineStaysWithinItsRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		all, _ := fleet(20)
+		all, _ := newTrackers(20)
 		taken, asked := 0, 0
 		start := time.Now()
 		for time.Since(start) < 2*time.Second {
