--- a/internal/serve/place/place.go
+++ b/internal/serve/place/place.go
@@ -1,5 +1,4 @@
-// Package place decides which target runs a request. It does no I/O and reads
-// no clock.
+// Package place chooses the target that runs a request. It does no I/O and reads no clock.
 package place
 
 import (
@@ -7,23 +6,23 @@
 	"github.com/vanillagate/vanillagate/internal/serve/pool"
 )
 
-// Part is one part of a prompt. Requests share parts.
+// Part is one segment of a prompt. Different requests may share segments.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Prompt is what is known of a request to a model engine.
+// Prompt describes the prompt of a request to a model engine.
 type Prompt struct {
 	Model  string
 	Input  int // tokens
-	Output int // tokens at most
-	// Parts of the prompt in order; the last one is the request's own.
+	Output int // maximum tokens
+	// Parts of the prompt in order. The last one is the request's own, the others may be shared.
 	Parts []Part
 }
 
-// shared is the number of tokens that other requests may have had read, and
-// the name of the last part of them.
+// shared returns the number of tokens in the parts that other requests may have in common, and the
+// ID of the last of these parts.
 func (p Prompt) shared() (tokens int, last string) {
 	for _, part := range p.Parts[:max(len(p.Parts)-1, 0)] {
 		tokens += part.Tokens
@@ -32,94 +31,95 @@
 	return tokens, last
 }
 
-// Affinity names what draws a prompt to the engine that has read its shared parts; empty
-// where it has none.
+// Affinity returns the key by which prompts with the same shared parts go to the same engine;
+// empty if there are no shared parts.
 func (p Prompt) Affinity() string {
 	_, last := p.shared()
 	return last
 }
 
-// SharedTokens is how many tokens of a prompt other requests may have had read.
+// SharedTokens returns the number of prompt tokens in parts that other requests may have in common.
 func (p Prompt) SharedTokens() int {
 	tokens, _ := p.shared()
 	return tokens
 }
 
-// UnsharedTokens is the number of tokens that the engine of its affinity has not read yet.
+// UnsharedTokens returns the number of tokens that even the affine engine, which has read the
+// shared parts, has to read.
 func (p Prompt) UnsharedTokens() int {
 	return max(p.Input-p.SharedTokens(), 0)
 }
 
-// Criteria is what decides where a request goes.
+// Criteria is the input of the choice, besides the targets.
 type Criteria struct {
 	Prompt Prompt
-	// Bytes of results that lie in each zone, to be fetched by the target.
+	// Bytes of stage results that the target has to fetch, by the zone in which they are stored.
 	Bytes map[string]int
 	// Zone of this process.
 	Zone string
-	// Avoid lists targets that were tried already, by ID.
+	// Avoid holds the IDs of the targets that were already tried.
 	Avoid map[string]bool
-	// NoAffinity means that shared prompts are sent anywhere.
+	// NoAffinity disables the preference for the affine engine.
 	NoAffinity bool
 }
 
-// Weights in prompt tokens, the unit of an engine's work.
+// Costs in prompt tokens, the unit of an engine's work.
 const (
-	// runningTokens is what a running request costs those beside it: the engine's steps
-	// take longer.
+	// runningTokens is the cost of each running request: it makes the steps of the engine, which
+	// all its requests share, take longer.
 	runningTokens = 150
-	// waitingTokens is the length of a usual prompt, for a request that waits.
+	// waitingTokens is the cost of each waiting request: the length of a typical prompt.
 	waitingTokens = 2500
-	// bytesPerToken weighs bytes of results that cross zones against tokens that are read
-	// again.
+	// bytesPerToken is the number of result bytes fetched from another zone that cost as much as
+	// one token.
 	bytesPerToken = 2500
-	// AffinityWeight is how much more a token read again counts than one read at all: it
-	// takes the engine's time and is paid for besides.
+	// AffinityWeight is the weight of each shared token that the affine engine doesn't have to read
+	// again. It is above 1 because reading a token again takes the engine's time and is also paid
+	// for.
 	AffinityWeight = 3
-	// fullTokens keeps requests from an engine without a free slot while any
-	// other has one.
-	fullTokens = 100_000
-	// coldWeight is how much more a prompt costs at a cold target, in parts of its
-	// length: short ones go there first.
+	// fullPenalty keeps requests from an engine without a free slot while any other engine has one.
+	fullPenalty = 100_000
+	// coldWeight is the additional cost of a prompt at a cold target, as a multiple of its length,
+	// so that cold targets get short prompts first.
 	coldWeight = 1
-	// rampTokens is the handicap of a target that has just come back into use.
-	rampTokens = 20_000
+	// rampPenalty is the cost of a target that has just come back into use. It shrinks as the
+	// target's weight grows to 1.
+	rampPenalty = 20_000
 )
 
-// ChooseEngine chooses a model engine: the one where the request costs least, in
-// tokens to read before its first, with those that the engine has read already
-// left out. Each shared prompt has one affine engine, the same in the eyes of all
-// processes, so that they agree without exchange; one that is busy gives
-// way. nil where no target is left.
-func ChooseEngine(views []pool.View, w Criteria) *pool.Target {
+// ChooseEngine returns the model engine with the lowest cost for a request, in tokens to read
+// before its first one; tokens that the engine has already read are deducted. Prompts with the same
+// shared parts have one affine engine, which all processes compute alike without communication;
+// when it is busy, another engine is cheaper. It returns nil if no target is left.
+func ChooseEngine(views []pool.View, c Criteria) *pool.Target {
 	affine := ""
-	if !w.NoAffinity {
-		affine = affineEngine(views, w.Prompt)
+	if !c.NoAffinity {
+		affine = affineEngine(views, c.Prompt)
 	}
 	total := 0
-	for _, n := range w.Bytes {
+	for _, n := range c.Bytes {
 		total += n
 	}
 	var best *pool.Target
 	bestCost := 0.0
 	for _, v := range views {
-		if w.Avoid[v.ID] || v.Weight == 0 {
+		if c.Avoid[v.ID] || v.Weight == 0 {
 			continue
 		}
-		cost := engineCost(v, w.Prompt, affine == v.ID)
-		cost += float64(total-w.Bytes[v.Zone]) / bytesPerToken
+		cost := engineCost(v, c.Prompt, affine == v.ID)
+		cost += float64(total-c.Bytes[v.Zone]) / bytesPerToken
 		if best == nil || cost < bestCost {
 			best, bestCost = v.Target, cost
 		}
 	}
 	if best == nil {
-		return lastResort(views, w)
+		return fallbackTarget(views, c)
 	}
 	return best
 }
 
-// PrefillTokens is how many tokens of a prompt an engine has to read: the affine one has read
-// the shared parts.
+// PrefillTokens returns the number of prompt tokens that an engine has to read: the affine engine
+// has already read the shared parts.
 func PrefillTokens(views []pool.View, p Prompt, engine string) int {
 	if affineEngine(views, p) == engine {
 		return p.UnsharedTokens()
@@ -137,13 +137,12 @@
 		cost += coldWeight * float64(p.Input)
 	}
 	if v.Slots > 0 && running >= v.Slots {
-		cost += fullTokens
+		cost += fullPenalty
 	}
-	return cost + (1-v.Weight)*rampTokens
+	return cost + (1-v.Weight)*rampPenalty
 }
 
-// AffinityZone gives the zone of the engine where a prompt's shared parts have been
-// read; empty where it has none.
+// AffinityZone returns the zone of the affine engine of a prompt; empty if there is none.
 func AffinityZone(views []pool.View, p Prompt) string {
 	affine := affineEngine(views, p)
 	for _, v := range views {
@@ -154,8 +153,8 @@
 	return ""
 }
 
-// affineEngine gives the ID of the engine that has read a prompt's shared parts, by rendezvous;
-// empty where it has none.
+// affineEngine returns the ID of the engine that has read a prompt's shared parts, chosen by
+// rendezvous hashing; empty if there is none.
 func affineEngine(views []pool.View, p Prompt) string {
 	last := p.Affinity()
 	if last == "" {
@@ -172,48 +171,48 @@
 	return affine
 }
 
-// crossZone is what another zone counts among a plain service's targets, in
-// requests: a target in this process's zone is taken unless it has more to do.
-const crossZone = 0.5
+// crossZonePenalty is the cost of a target in another zone, in requests: a target in this process's
+// zone is preferred unless it is busier.
+const crossZonePenalty = 0.5
 
-// coldRequest is what it counts that a plain service's target is cold, in requests.
-const coldRequest = 1
+// coldPenalty is the cost of a cold target, in requests.
+const coldPenalty = 1
 
-// ChooseTarget chooses a target of a service whose requests are alike: the one with
-// the least in hand for its slots. draw in [0, 1) decides between equals, so
-// that processes don't all take the same one.
-func ChooseTarget(views []pool.View, w Criteria, draw float64) *pool.Target {
+// ChooseTarget returns the target with the lowest load per slot. It is for services whose requests
+// are alike. random in [0, 1) decides between equal targets, so that processes don't all choose the
+// same one. It returns nil if no target is left.
+func ChooseTarget(views []pool.View, c Criteria, random float64) *pool.Target {
 	var best *pool.Target
 	bestCost := 0.0
-	start := int(draw * float64(len(views)))
+	start := int(random * float64(len(views)))
 	for i := range views {
 		v := views[(start+i)%len(views)]
-		if w.Avoid[v.ID] || v.Weight == 0 {
+		if c.Avoid[v.ID] || v.Weight == 0 {
 			continue
 		}
 		busy := float64(max(v.InFlight, v.Report.Running) + 2*v.Report.Waiting)
 		cost := busy/float64(max(v.Slots, 1)) + 1 - v.Weight
 		if v.Cold {
-			cost += coldRequest / float64(max(v.Slots, 1))
+			cost += coldPenalty / float64(max(v.Slots, 1))
 		}
-		if v.Zone != w.Zone {
-			cost += crossZone / float64(max(v.Slots, 1))
+		if v.Zone != c.Zone {
+			cost += crossZonePenalty / float64(max(v.Slots, 1))
 		}
 		if best == nil || cost < bestCost {
 			best, bestCost = v.Target, cost
 		}
 	}
 	if best == nil {
-		return lastResort(views, w)
+		return fallbackTarget(views, c)
 	}
 	return best
 }
 
-// lastResort takes a target that is out of use rather than none: the signs
-// against it may be this process's own link.
-func lastResort(views []pool.View, w Criteria) *pool.Target {
+// fallbackTarget returns an ejected target rather than none: the failures that led to its ejection
+// may be due to this process's own network link.
+func fallbackTarget(views []pool.View, c Criteria) *pool.Target {
 	for _, v := range views {
-		if !w.Avoid[v.ID] {
+		if !c.Avoid[v.ID] {
 			return v.Target
 		}
 	}
--- a/internal/serve/place/place_test.go
+++ b/internal/serve/place/place_test.go
@@ -13,7 +13,7 @@
 
 var now = time.Unix(1000, 0)
 
-// engines makes views of n engines over three zones.
+// engines returns views of n engines in three zones.
 func engines(n int) []pool.View {
 	table := pool.New(zap.NewNop())
 	var entries []pool.Entry
@@ -31,76 +31,76 @@
 	return Prompt{Input: 12000, Output: 400, Parts: []Part{{"common", 500}, {shared, 4900}, {"own", 6600}}}
 }
 
-func TestRequestsThatShareAPromptMeetAtOneEngine(t *testing.T) {
+func TestSharedPromptsGoToOneEngine(t *testing.T) {
 	views := engines(12)
 	affine := map[string]int{}
 	for i := range 200 {
-		w := Criteria{Prompt: prompt(fmt.Sprintf("p%d", i))}
-		first := ChooseEngine(views, w)
+		c := Criteria{Prompt: prompt(fmt.Sprintf("p%d", i))}
+		first := ChooseEngine(views, c)
 		for range 3 {
-			assert.Equal(t, ChooseEngine(engines(12), w).ID, first.ID)
+			assert.Equal(t, ChooseEngine(engines(12), c).ID, first.ID)
 		}
 		affine[first.ID]++
 	}
 	for id, n := range affine {
-		assert.Assert(t, n < 45, "%s is affine engine of %d of 200", id, n)
+		assert.Assert(t, n < 45, "%s is the affine engine of %d of 200 prompts", id, n)
 	}
 	assert.Equal(t, len(affine), 12)
 }
 
-// One prompt is much asked for. Its affine engine gets more than it can read, while
-// others stand idle.
-func TestABusyHomeGivesWay(t *testing.T) {
+// Many requests share one prompt. Its affine engine must not get more than it can read while other
+// engines are idle.
+func TestBusyAffineEngineIsAvoided(t *testing.T) {
 	views := engines(12)
-	w := Criteria{Prompt: prompt("hot")}
-	affine := ChooseEngine(views, w)
+	c := Criteria{Prompt: prompt("hot")}
+	affine := ChooseEngine(views, c)
 	for i := range views {
 		if views[i].ID == affine.ID {
 			views[i].Tokens = 20000
 		}
 	}
-	assert.Assert(t, ChooseEngine(views, w).ID != affine.ID)
+	assert.Assert(t, ChooseEngine(views, c).ID != affine.ID)
 }
 
-func TestTheHomeStaysWhereItsZoneIsPoor(t *testing.T) {
+func TestAffinityOutweighsResultTransfer(t *testing.T) {
 	views := engines(12)
-	w := Criteria{Prompt: prompt("p")}
-	affine := ChooseEngine(views, w)
-	w.Bytes = map[string]int{"a": 1_600_000, "b": 1_600_000, "c": 1_600_000}
-	w.Bytes[affine.Zone] = 0
-	assert.Equal(t, ChooseEngine(views, w).ID, affine.ID)
-	assert.Equal(t, AffinityZone(views, w.Prompt), affine.Zone)
+	c := Criteria{Prompt: prompt("p")}
+	affine := ChooseEngine(views, c)
+	c.Bytes = map[string]int{"a": 1_600_000, "b": 1_600_000, "c": 1_600_000}
+	c.Bytes[affine.Zone] = 0
+	assert.Equal(t, ChooseEngine(views, c).ID, affine.ID)
+	assert.Equal(t, AffinityZone(views, c.Prompt), affine.Zone)
 }
 
-func TestWithoutASharedPromptTheResultsZoneDecides(t *testing.T) {
+func TestUnsharedPromptGoesToZoneOfResults(t *testing.T) {
 	views := engines(12)
-	w := Criteria{Prompt: Prompt{Input: 600}, Bytes: map[string]int{"b": 800_000}}
-	assert.Equal(t, ChooseEngine(views, w).Zone, "b")
+	c := Criteria{Prompt: Prompt{Input: 600}, Bytes: map[string]int{"b": 800_000}}
+	assert.Equal(t, ChooseEngine(views, c).Zone, "b")
 }
 
-func TestAFullEngineIsAvoided(t *testing.T) {
+func TestFullEngineIsAvoided(t *testing.T) {
 	views := engines(2)
 	views[0].Report = pool.Report{Running: 16}
 	assert.Equal(t, ChooseEngine(views, Criteria{Prompt: Prompt{Input: 50000}}).ID, views[1].ID)
 }
 
-func TestWhatWasTriedIsNotTriedAgain(t *testing.T) {
+func TestTriedTargetsAreNotChosenAgain(t *testing.T) {
 	views := engines(3)
-	w := Criteria{Avoid: map[string]bool{}, Zone: "a"}
+	c := Criteria{Avoid: map[string]bool{}, Zone: "a"}
 	seen := map[string]bool{}
 	for range 3 {
-		target := ChooseTarget(views, w, 0.9)
+		target := ChooseTarget(views, c, 0.9)
 		assert.Assert(t, !seen[target.ID])
 		seen[target.ID] = true
-		w.Avoid[target.ID] = true
+		c.Avoid[target.ID] = true
 	}
-	assert.Assert(t, ChooseTarget(views, w, 0) == nil)
-	assert.Assert(t, ChooseEngine(views, w) == nil)
+	assert.Assert(t, ChooseTarget(views, c, 0) == nil)
+	assert.Assert(t, ChooseEngine(views, c) == nil)
 }
 
-// All targets failed lately, as seen from here. Refusing everything would make
-// a fault of this process's own link an outage for its callers.
-func TestTargetsOutOfUseAreALastResort(t *testing.T) {
+// All targets have failed recently as seen from this process. If it refused all requests, a fault
+// of its own network link would be an outage for its callers.
+func TestEjectedTargetsAreALastResort(t *testing.T) {
 	views := engines(3)
 	for i := range views {
 		views[i].Weight = 0
@@ -111,7 +111,7 @@
 	assert.Equal(t, ChooseTarget(views, Criteria{}, 0).ID, views[1].ID)
 }
 
-func TestPlainTakesTheLeastBusyAndPrefersItsZone(t *testing.T) {
+func TestChooseTargetPrefersIdleTargetsAndOwnZone(t *testing.T) {
 	views := engines(3)
 	assert.Equal(t, ChooseTarget(views, Criteria{Zone: views[2].Zone}, 0).ID, views[2].ID)
 	views[2].InFlight = 2
