--- a/internal/serve/plan/check.go
+++ b/internal/serve/plan/check.go
@@ -5,28 +5,27 @@
 	"slices"
 )
 
-// Check tells what in a plan can't be used; nil where all can. A plan
-// comes from an operator or from a peer of another version. Stages that wait for
-// each other would be followed without end, an index without a stage, or a batch
-// without items, would end the process at the first request that needs it, and
-// the next process when the caller sends it again.
+// Check returns an error if the plan can't be used. A plan comes from an operator or from a peer of
+// another version. Cyclic stages would be followed forever; a dependency on a stage that doesn't
+// exist, or a batch size below 1, would crash the process at the first request that needs it, and
+// the next process when the caller retries.
 func (p *Plan) Check() error {
 	for i := range p.Routes {
-		if !canBeDone(p.Routes[i].Stages) {
-			return fmt.Errorf("route %q has stages that wait for each other or for none that there is", p.Routes[i].Name)
+		if !hasValidOrder(p.Routes[i].Stages) {
+			return fmt.Errorf("route %q: stages depend on each other in a cycle or on a stage that does not exist", p.Routes[i].Name)
 		}
 	}
 	for _, s := range p.Services {
 		if s.Batch != nil && s.Batch.Size < 1 {
-			return fmt.Errorf("service %q takes %d items a call", s.Name, s.Batch.Size)
+			return fmt.Errorf("service %q: batch size is %d, must be at least 1", s.Name, s.Batch.Size)
 		}
 	}
 	return nil
 }
 
-// canBeDone tells whether there is an order in which each stage comes after those
-// that it needs.
-func canBeDone(stages []Stage) bool {
+// hasValidOrder reports whether the stages can be ordered so that each comes after those that it
+// depends on.
+func hasValidOrder(stages []Stage) bool {
 	done := make([]bool, len(stages))
 	for range stages {
 		for i, s := range stages {
--- a/internal/serve/plan/holder.go
+++ b/internal/serve/plan/holder.go
@@ -5,18 +5,18 @@
 	"sync/atomic"
 )
 
-// Holder keeps the plan in force. It never goes back to an older version: a
-// plan may come from the store, from a peer and from a reread in any order,
-// and a caller that has seen the effect of a change must not see it undone.
+// Holder holds the plan in force. It never goes back to an older version: plans arrive from the
+// store, from peers and from repeated reads in any order, and a caller that has seen the effect of
+// a change must not see it undone.
 type Holder struct {
 	current atomic.Pointer[Plan]
-	mu      sync.Mutex // guards applying; a leaf
+	mu      sync.Mutex // serializes Apply; no other lock is taken while it is held
 }
 
-// Current is the plan in force; nil before the first one is known.
+// Current returns the plan in force; nil before the first one is known.
 func (h *Holder) Current() *Plan { return h.current.Load() }
 
-// Version is that of the plan in force, 0 before the first one.
+// Version returns the version of the plan in force, 0 before the first one.
 func (h *Holder) Version() uint64 {
 	if p := h.current.Load(); p != nil {
 		return p.Version
@@ -24,7 +24,7 @@
 	return 0
 }
 
-// Service finds a service of the plan in force; nil where there is none.
+// Service returns a service of the plan in force; nil if there is none with this name.
 func (h *Holder) Service(name string) *Service {
 	if p := h.current.Load(); p != nil {
 		return p.Service(name)
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// Limits are those of the plan in force; zero before the first one.
+// Limits returns the limits of the plan in force; zero before the first one.
 func (h *Holder) Limits() Limits {
 	if p := h.current.Load(); p != nil {
 		return p.Limits
@@ -40,8 +40,7 @@
 	return Limits{}
 }
 
-// Apply puts a plan in force if it is newer than the present one, and tells
-// whether it was.
+// Apply puts a plan in force if it is newer than the current one, and reports whether it was.
 func (h *Holder) Apply(p *Plan) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/serve/plan/plan.go
+++ b/internal/serve/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan is the configuration that is in force: which requests go to
-// which services, what a route promises, who holds which key. A Plan is never
-// changed once it is made; a new version replaces it whole.
+// Package plan defines the configuration in force: routes from requests to services with their
+// timeouts and objectives, the services, and the customers' keys. A Plan is not changed after it is
+// indexed; a new version replaces it as a whole.
 package plan
 
 import (
@@ -8,17 +8,16 @@
 	"time"
 )
 
-// Kind says what may be repeated.
+// Kind determines whether the requests of a route may run more than once.
 type Kind string
 
-// The kinds.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
 	// NonIdempotent requests run at most once.
 	NonIdempotent Kind = "non_idempotent"
-	// Stream requests are answered in events. They run at most once, unless
-	// their route is resumable.
+	// Stream requests are answered with a stream of events. They run at most once unless their
+	// route is resumable.
 	Stream Kind = "stream"
 )
 
@@ -36,112 +35,112 @@
 	teamByKey map[string]*Team
 }
 
-// Route says what happens to requests of one host and path prefix.
+// Route configures how requests for a host and path prefix are handled.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Resumable streams may go on at another target after the last event that
-	// arrived.
+	// Resumable streams may continue at another target after the last event received.
 	Resumable bool
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the longest time that a caller waits for the response.
 	Timeout time.Duration
-	// Objective is the time to the first byte within which an answer is in
-	// time, Gap the longest pause between events of a stream for that.
+	// Objective is the time to the first byte within which a response counts as in time. Gap is the
+	// longest pause between events for a stream to count as in time.
 	Objective time.Duration
 	Gap       time.Duration
-	// Priority is a rank; 0 is the most urgent.
+	// Priority of the requests; 0 is the most urgent.
 	Priority int
 	// Split divides the requests between services by weight.
 	Split []Share
-	// Attempts is the most targets that one request may run on.
+	// Attempts is the maximum number of targets that one request may run on.
 	Attempts int
 	Stages   []Stage
-	// Public routes need no key.
+	// Public routes need no API key.
 	Public bool
 }
 
-// Repeatable tells whether a request that may have run may run again.
+// Repeatable reports whether a request that may already have run may run again.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Stream && r.Resumable)
 }
 
-// Share is one service's part of a route's requests.
+// Share is one service's weight in a route's Split.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Stage is work to be done before a request can run.
+// Stage is a preparatory step that runs before the request itself.
 type Stage struct {
 	Service string
-	// After lists the stages, by index, whose results this one needs.
+	// After holds the indexes of the stages whose results this one needs.
 	After []int
-	// ResultBytes is the usual size of one result.
+	// ResultBytes is the typical size of one result.
 	ResultBytes int
 }
 
 // Service is a pool of targets.
 type Service struct {
 	Name string
-	// MaxConnections is what one target accepts from all callers together.
+	// MaxConnections is the number of connections that one target accepts from all callers
+	// together.
 	MaxConnections int
-	// ColdPerSecond is how many requests a second a cold target bears; 0 where none
-	// is cold. ColdTime is how long a target stays cold after its start.
+	// ColdPerSecond is how many requests a second a cold target can handle; 0 if the service's
+	// targets are never cold. ColdTime is how long a target stays cold after its start.
 	ColdPerSecond float64       `json:",omitempty"`
 	ColdTime      time.Duration `json:",omitempty"`
-	// Batch is set for services that work on stages.
+	// Batch is set for services that run stages.
 	Batch *Batch
 	// Engine is set for model engines.
 	Engine *Engine
 }
 
-// Batch is how a stage target works.
+// Batch describes how a target that runs stages processes its calls.
 type Batch struct {
-	// Size is the most items a call may carry.
+	// Size is the maximum number of items per call.
 	Size int
-	// CallTime is what a call takes besides its items, ItemTime about what
-	// each item adds.
+	// CallTime is the fixed time of a call, ItemTime the approximate additional time per item.
 	CallTime time.Duration
 	ItemTime time.Duration
-	// BufferBytes is the space for results at one target, Keep how long a result
-	// stays there unless it is freed.
+	// BufferBytes is the size of the result buffer at one target. Keep is how long a result stays
+	// there unless it is freed.
 	BufferBytes int
 	Keep        time.Duration
-	// Queue is how many calls may wait at one target.
+	// Queue is the number of calls that may wait at one target.
 	Queue int
 }
 
-// MaxCallTime is what a call takes that carries as much as it may.
+// MaxCallTime returns the time of a call with the maximum number of items.
 func (b *Batch) MaxCallTime() time.Duration {
 	return b.CallTime + time.Duration(b.Size)*b.ItemTime
 }
 
-// Engine is how a model engine works.
+// Engine describes the capacity of a model engine.
 type Engine struct {
-	// Slots is how many requests run at once, CacheTokens what its memory holds.
+	// Slots is the number of requests that run concurrently, CacheTokens the number of tokens that
+	// the KV cache holds.
 	Slots       int
 	CacheTokens int
 }
 
-// Team is a customer: its keys and its rank.
+// Team is a customer with its API keys and priority.
 type Team struct {
 	Name string
 	Keys []string
-	// Priority, where set, goes before the route's.
+	// Priority overrides the route's if it is set.
 	Priority *int
 }
 
-// Limits bound what a caller may send.
+// Limits bounds callers' requests and connections.
 type Limits struct {
 	BodyBytes int
 	// IdleTime is how long a connection may stay unused.
 	IdleTime time.Duration
 }
 
-// Index makes the lookups. Call it once, before the plan is shared.
+// Index builds the lookup maps. Call it once, before the plan is shared.
 func (p *Plan) Index() {
 	p.byHost = map[string]map[string]*Route{}
 	for i := range p.Routes {
@@ -165,8 +164,8 @@
 	}
 }
 
-// Route gives the route of a host with the longest prefix that begins the
-// path; nil where none does. The path is as the caller sent it.
+// Route returns the route for a host with the longest prefix of the path; nil if there is none. The
+// path is matched as the caller sent it.
 func (p *Plan) Route(host, path string) *Route {
 	prefixes := p.byHost[host]
 	if prefixes == nil {
@@ -185,22 +184,22 @@
 	return nil
 }
 
-// Service gives a service by name; nil where there is none.
+// Service returns a service by name; nil if there is none.
 func (p *Plan) Service(name string) *Service { return p.byName[name] }
 
-// TeamByKey gives the team that holds a key; nil where none does.
+// TeamByKey returns the team that holds an API key; nil if there is none.
 func (p *Plan) TeamByKey(key string) *Team { return p.teamByKey[key] }
 
-// Pick chooses a route's service for a request; draw lies in [0, 1).
-func (r *Route) Pick(draw float64) string {
+// Pick returns a service of the route's Split for a request. random is a random number in [0, 1).
+func (r *Route) Pick(random float64) string {
 	total := 0
 	for _, s := range r.Split {
 		total += s.Weight
 	}
-	left := draw * float64(total)
+	remaining := random * float64(total)
 	for _, s := range r.Split {
-		left -= float64(s.Weight)
-		if left < 0 {
+		remaining -= float64(s.Weight)
+		if remaining < 0 {
 			return s.Service
 		}
 	}
@@ -210,7 +209,7 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// Rank is a request's priority: the team's goes before the route's.
+// Rank returns a request's effective priority: the team's if it is set, otherwise the route's.
 func Rank(r *Route, t *Team) int {
 	if t != nil && t.Priority != nil {
 		return *t.Priority
--- a/internal/serve/plan/plan_test.go
+++ b/internal/serve/plan/plan_test.go
@@ -12,7 +12,7 @@
 	return &p
 }
 
-func TestTheLongestPrefixDecides(t *testing.T) {
+func TestLongestPrefixWins(t *testing.T) {
 	p := indexed(Plan{Routes: []Route{
 		{Name: "all", Host: "h", Prefix: "/"},
 		{Name: "a", Host: "h", Prefix: "/a/"},
@@ -33,11 +33,10 @@
 	assert.Assert(t, p.Route("h", "*") == nil)
 }
 
-// A configuration comes over the store's feed, from a peer and from a reread,
-// in any order and more than once. If an older one could replace a newer one, a
-// caller would find a key refused that had just been let in, or a route gone
-// that had just served it.
-func TestAnOlderPlanNeverReplacesANewerOne(t *testing.T) {
+// Plans arrive through the store's change feed, from peers and from repeated reads, in any order
+// and more than once. If an older one could replace a newer one, a caller would see a key refused
+// that was just accepted, or a route missing that had just served it.
+func TestOlderPlanNeverReplacesNewerOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h Holder
 		var seen []uint64
@@ -57,13 +56,13 @@
 		}
 		for i := 1; i < len(seen); i++ {
 			if seen[i] <= seen[i-1] {
-				t.Fatalf("told of %v", seen)
+				t.Fatalf("versions in force, in order: %v", seen)
 			}
 		}
 	})
 }
 
-func TestSplitFollowsTheWeights(t *testing.T) {
+func TestSplitFollowsWeights(t *testing.T) {
 	r := Route{Split: []Share{{Service: "a", Weight: 9}, {Service: "b", Weight: 1}, {Service: "c", Weight: 0}}}
 	counts := map[string]int{}
 	for i := range 1000 {
@@ -73,7 +72,7 @@
 	assert.Equal(t, (&Route{}).Pick(0.5), "")
 }
 
-func TestATeamsPriorityGoesBeforeTheRoutes(t *testing.T) {
+func TestTeamPriorityOverridesRoutePriority(t *testing.T) {
 	first := 0
 	r := &Route{Priority: 2}
 	assert.Equal(t, Rank(r, nil), 2)
@@ -81,7 +80,7 @@
 	assert.Equal(t, Rank(r, &Team{Priority: &first}), 0)
 }
 
-func TestOnlyResumableStreamsMayRunTwice(t *testing.T) {
+func TestIdempotentRoutesAndResumableStreamsAreRepeatable(t *testing.T) {
 	for _, c := range []struct {
 		route Route
 		want  bool
