--- a/internal/serve/quota/quota.go
+++ b/internal/serve/quota/quota.go
@@ -1,6 +1,6 @@
-// Package quota bounds the repeats that all processes together send to a
-// service, without a coordinator: each process may send a share of its own
-// requests and its part of a common reserve.
+// Package quota bounds the retries that all processes together send to a service, without a
+// coordinator: each process may send a share of its own requests again, plus its part of a common
+// reserve.
 package quota
 
 import (
@@ -8,173 +8,172 @@
 	"time"
 )
 
-// Rule is the bound on all processes together: in any Window, no more repeats
-// than Ratio times the requests plus Reserve.
+// Rule is the bound for all processes together: in any Window, at most Ratio times the number of
+// requests plus Reserve retries.
 type Rule struct {
 	Ratio   float64
 	Reserve float64
 	Window  time.Duration
 }
 
-// margin is the part of the bound that is used. The rest covers calls that are
-// on their way at a window's edge and counts that differ by a request or two.
-const margin = 0.85
+// boundShare is the part of the bound that is used. The rest covers calls in transit at a window's
+// edge and counts that differ by a request or two.
+const boundShare = 0.85
 
-// settle is how long a process that has just learned of another number of
-// members sends no repeats out of the reserve: before that it may know of too few
-// and take too large a part.
-const settle = 2 * time.Second
+// settlePeriod is how long a process uses nothing of the reserve after its start and after it has
+// learned of a higher member count: before that it may know too few members and take too large a
+// part.
+const settlePeriod = 2 * time.Second
 
-// slices is into how many parts a window is divided for counting.
-const slices = 10
+// windowSlices is the number of slices that a window is divided into for counting.
+const windowSlices = 10
 
-// Budget counts one process's requests and repeats by service.
+// Budget counts one process's requests and retries by service.
 type Budget struct {
-	mu        sync.Mutex // guards what follows; a leaf
-	rule      Rule
-	byService map[string]*window
-	members   int
-	since     time.Time // when the number of members was learned
-	// alone is until when only the share of own requests may be repeated.
-	alone time.Time
+	mu             sync.Mutex // guards the fields below; no other lock is taken while it is held
+	rule           Rule
+	byService      map[string]*window
+	members        int
+	membersChanged time.Time // when the member count last changed
+	// noReserveUntil is until when retries may use only the share of the process's own requests.
+	noReserveUntil time.Time
 }
 
-// defaultWindow is used where a rule has no window, or one too short to be divided
-// into slices: a slice of no length would be divided by, at every request.
+// defaultWindow is used if a rule has no window or one with less than a nanosecond per slice. A
+// zero slice length would cause a division by zero at every request.
 const defaultWindow = 10 * time.Second
 
-func (r Rule) countable() Rule {
-	if r.Window < slices {
+func (r Rule) withValidWindow() Rule {
+	if r.Window < windowSlices {
 		r.Window = defaultWindow
 	}
 	return r
 }
 
-// New makes a budget for a process of a system that starts for the first time.
+// New returns a budget for a process of a system that starts for the first time.
 func New(rule Rule, now time.Time) *Budget {
-	return &Budget{rule: rule.countable(), byService: map[string]*window{}, members: 1, since: now}
+	return &Budget{rule: rule.withValidWindow(), byService: map[string]*window{}, members: 1, membersChanged: now}
 }
 
-// Again makes a budget for a process that takes the place of another. For a whole
-// window it gets nothing of the reserve: the one before it may just have spent its
-// part. Were all killed in the middle of an outage of targets, the reserve would
-// be spent twice within one window otherwise.
+// Again returns a budget for a process that replaces another. It gets nothing of the
+// reserve for a whole window, since its predecessor may just have spent its part. Otherwise the
+// reserve could be spent twice within one window, for example if all processes were killed during
+// an outage of targets.
 func Again(rule Rule, now time.Time) *Budget {
 	b := New(rule, now)
-	b.alone = now.Add(b.rule.Window)
+	b.noReserveUntil = now.Add(b.rule.Window)
 	return b
 }
 
-// SetRule puts another rule in force. What was counted stays, unless the window
-// has another length; then nothing is known of it, and counting starts anew
-// with the reserve held back as at a start.
+// SetRule replaces the rule. Counts are kept unless the length of the window changes; then counting
+// starts anew with the reserve held back as after a restart.
 func (b *Budget) SetRule(rule Rule, now time.Time) {
-	rule = rule.countable()
+	rule = rule.withValidWindow()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if rule.Window != b.rule.Window {
 		b.byService = map[string]*window{}
-		b.alone = now.Add(max(rule.Window, b.rule.Window))
+		b.noReserveUntil = now.Add(max(rule.Window, b.rule.Window))
 	}
 	b.rule = rule
 }
 
-// Members notes how many processes share the reserve. The number goes down
-// only by a fifth each time: a process that is cut off from its peers must not
-// take the whole reserve, since they go on spending theirs.
+// Members sets the number of processes that share the reserve. The number is lowered by at
+// most a fifth at a time: a process that is cut off from its peers must not take the whole reserve,
+// since they continue to spend their parts.
 func (b *Budget) Members(n int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if n > b.members {
 		b.members = n
-		b.since = now
+		b.membersChanged = now
 		return
 	}
-	if n < b.members && now.Sub(b.since) > memberMemory {
+	if n < b.members && now.Sub(b.membersChanged) > memberCountHold {
 		b.members = max(n, b.members*4/5)
-		b.since = now.Add(-settle)
+		b.membersChanged = now.Add(-settlePeriod)
 	}
 }
 
-// MemberCount is how many processes share what they have in common. It goes down
-// slowly, as Members says.
+// MemberCount returns the number of processes that share common limits. It falls slowly, see
+// Members.
 func (b *Budget) MemberCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.members
 }
 
-// memberMemory is how long a higher number of members counts. It covers a
-// partition of an ordinary length, several seconds, many times over.
-const memberMemory = 30 * time.Second
+// memberCountHold is how long a higher member count is kept before it is lowered. It is many times
+// the length of an ordinary network partition, several seconds.
+const memberCountHold = 30 * time.Second
 
-// AddRequest notes a first arrival at a service.
+// AddRequest counts the first arrival of a request at a service.
 func (b *Budget) AddRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service, now).requests[0]++
+	b.windowFor(service, now).requests[0]++
 }
 
-// TakeRetry takes one repeat out of the budget, if there is one.
+// TakeRetry takes one retry from the budget. It reports whether there was one.
 func (b *Budget) TakeRetry(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.of(service, now)
-	if b.left(w, now) < 1 {
+	w := b.windowFor(service, now)
+	if b.retriesLeft(w, now) < 1 {
 		return false
 	}
-	w.repeats[0]++
+	w.retries[0]++
 	return true
 }
 
-// part is this process's part of the reserve. The caller holds mu.
-func (b *Budget) part(now time.Time) float64 {
-	if now.Before(b.alone) || now.Sub(b.since) < settle {
+// reserveShare returns this process's part of the reserve. The caller holds mu.
+func (b *Budget) reserveShare(now time.Time) float64 {
+	if now.Before(b.noReserveUntil) || now.Sub(b.membersChanged) < settlePeriod {
 		return 0
 	}
 	return b.rule.Reserve / float64(b.members)
 }
 
-// RetriesLeft is how many repeats a service's budget still has.
+// RetriesLeft returns the number of retries left in a service's budget.
 func (b *Budget) RetriesLeft(service string, now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.left(b.of(service, now), now)
+	return b.retriesLeft(b.windowFor(service, now), now)
 }
 
-// left is how many repeats a window still has. The caller holds mu.
-func (b *Budget) left(w *window, now time.Time) float64 {
-	allowed := b.rule.Ratio*float64(sum(w.requests)) + b.part(now)
-	return margin*allowed - float64(sum(w.repeats))
+// retriesLeft returns the number of retries left in a window. The caller holds mu.
+func (b *Budget) retriesLeft(w *window, now time.Time) float64 {
+	allowed := b.rule.Ratio*float64(sum(w.requests)) + b.reserveShare(now)
+	return boundShare*allowed - float64(sum(w.retries))
 }
 
-// of gives a service's window, moved on to now. The caller holds mu.
-func (b *Budget) of(service string, now time.Time) *window {
+// windowFor returns a service's window, advanced to now. The caller holds mu.
+func (b *Budget) windowFor(service string, now time.Time) *window {
 	w := b.byService[service]
 	if w == nil {
-		w = &window{begun: now}
+		w = &window{sliceStart: now}
 		b.byService[service] = w
 	}
-	w.advance(now, b.rule.Window/slices)
+	w.advance(now, b.rule.Window/windowSlices)
 	return w
 }
 
-// window counts in slices, the newest first. One slice more than the window
-// has is kept for repeats, so that any window of that length is covered.
+// window holds counts per slice, the newest first. Retries have one slice more than the window, so
+// that any window of that length is covered.
 type window struct {
-	begun    time.Time // of the newest slice
-	requests [slices]int
-	repeats  [slices + 1]int
+	sliceStart time.Time // of the newest slice
+	requests   [windowSlices]int
+	retries    [windowSlices + 1]int
 }
 
 func (w *window) advance(now time.Time, slice time.Duration) {
-	steps := int(now.Sub(w.begun) / slice)
+	steps := int(now.Sub(w.sliceStart) / slice)
 	if steps <= 0 {
 		return
 	}
-	w.begun = w.begun.Add(time.Duration(steps) * slice)
+	w.sliceStart = w.sliceStart.Add(time.Duration(steps) * slice)
 	shift(w.requests[:], steps)
-	shift(w.repeats[:], steps)
+	shift(w.retries[:], steps)
 }
 
 func shift(counts []int, steps int) {
@@ -183,7 +182,7 @@
 	clear(counts[:steps])
 }
 
-func sum[T [slices]int | [slices + 1]int](counts T) int {
+func sum[T [windowSlices]int | [windowSlices + 1]int](counts T) int {
 	total := 0
 	for i := range len(counts) {
 		total += counts[i]
--- a/internal/serve/quota/quota_test.go
+++ b/internal/serve/quota/quota_test.go
@@ -13,10 +13,10 @@
 	rule  = Rule{Ratio: 0.2, Reserve: 58, Window: 10 * time.Second}
 )
 
-// Half of the targets fail. Every process repeats what it may, and together
-// they would send several times the load to what is left. In no window of ten
-// seconds do they pass the bound, however the requests lie.
-func TestAllProcessesTogetherKeepTheBound(t *testing.T) {
+// Half of the targets fail. Without the bound, every process would retry, and together they would
+// send several times the load to the remaining targets. The bound must hold in every window of ten
+// seconds, whatever the order of requests.
+func TestProcessesTogetherStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "processes")
 		budgets := make([]*Budget, n)
@@ -24,8 +24,8 @@
 			budgets[i] = New(rule, start)
 			budgets[i].Members(n, start)
 		}
-		now := start.Add(settle)
-		var requests, repeats []time.Time
+		now := start.Add(settlePeriod)
+		var requests, retries []time.Time
 		for range rapid.IntRange(1, 600).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "gap")) * time.Millisecond)
 			b := budgets[rapid.IntRange(0, n-1).Draw(t, "process")]
@@ -35,41 +35,41 @@
 				continue
 			}
 			if b.TakeRetry("s", now) {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
-			sent := within(repeats, now)
-			allowed := rule.Ratio*float64(within(requests, now)) + rule.Reserve
+			sent := countWithin(retries, now)
+			allowed := rule.Ratio*float64(countWithin(requests, now)) + rule.Reserve
 			if float64(sent) > allowed {
-				t.Fatalf("%d repeats, %.1f allowed", sent, allowed)
+				t.Fatalf("%d retries, %.1f allowed", sent, allowed)
 			}
 		}
 	})
 }
 
-// Targets fail while processes are killed, one or all, replaced, added and cut
-// off from each other. Each that starts knows nothing of what was spent before
-// it. Together they still keep the bound in every window.
-func TestProcessesThatComeAndGoKeepTheBound(t *testing.T) {
+// Targets fail while processes are killed, one or all, replaced, added and cut off from each other.
+// A new process doesn't know what was spent before it started. Together they must still keep the
+// bound in every window.
+func TestChangingProcessesStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var budgets []*Budget
 		for range rapid.IntRange(1, 12).Draw(t, "processes") {
 			budgets = append(budgets, New(rule, start))
 		}
 		now := start
-		meet := func() {
+		updateMembers := func() {
 			for _, b := range budgets {
 				b.Members(len(budgets), now)
 			}
 		}
-		meet()
+		updateMembers()
 		now = now.Add(2 * rule.Window)
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "gap")) * time.Millisecond)
 			i := rapid.IntRange(0, len(budgets)-1).Draw(t, "process")
 			switch rapid.IntRange(0, 39).Draw(t, "what") {
 			case 0:
-				budgets[i] = Again(rule, now) // killed, and back at once
+				budgets[i] = Again(rule, now) // killed and restarted immediately
 			case 1:
 				for k := range budgets {
 					budgets[k] = Again(rule, now)
@@ -83,25 +83,25 @@
 			case 4:
 				budgets[i].Members(1, now) // cut off
 			case 5, 6, 7, 8, 9, 10:
-				meet()
+				updateMembers()
 			case 11, 12, 13, 14:
 				budgets[i].AddRequest("s", now)
 				requests = append(requests, now)
 			default:
 				for budgets[i].TakeRetry("s", now) {
-					repeats = append(repeats, now)
+					retries = append(retries, now)
 				}
 			}
-			sent := within(repeats, now)
-			allowed := rule.Ratio*float64(within(requests, now)) + rule.Reserve
+			sent := countWithin(retries, now)
+			allowed := rule.Ratio*float64(countWithin(requests, now)) + rule.Reserve
 			if float64(sent) > allowed {
-				t.Fatalf("%d repeats, %.1f allowed", sent, allowed)
+				t.Fatalf("%d retries, %.1f allowed", sent, allowed)
 			}
 		}
 	})
 }
 
-func within(times []time.Time, now time.Time) int {
+func countWithin(times []time.Time, now time.Time) int {
 	n := 0
 	for _, at := range times {
 		if now.Sub(at) < rule.Window {
@@ -111,9 +111,9 @@
 	return n
 }
 
-// A process that starts knows of no peers yet. If it took the whole reserve for
-// itself, a cluster that starts together would spend it many times over.
-func TestNothingOfTheReserveBeforeThePeersAreKnown(t *testing.T) {
+// A process that starts knows no peers yet. If it took the whole reserve for itself, a cluster that
+// starts at once would spend the reserve many times over.
+func TestReserveIsHeldBackUntilPeersAreKnown(t *testing.T) {
 	b := New(rule, start)
 	assert.Assert(t, !b.TakeRetry("s", start))
 	b.Members(9, start.Add(time.Second))
@@ -121,9 +121,9 @@
 	assert.Assert(t, b.TakeRetry("s", start.Add(3*time.Second)))
 }
 
-// A process that is cut off from its peers sees none, while they go on spending
-// their parts of the reserve.
-func TestOneThatIsCutOffKeepsToItsPart(t *testing.T) {
+// A process that is cut off from its peers sees none of them, while they continue to spend their
+// parts of the reserve.
+func TestPartitionedProcessKeepsToItsReserveShare(t *testing.T) {
 	b := New(rule, start)
 	b.Members(9, start)
 	now := start.Add(5 * time.Second)
@@ -132,10 +132,10 @@
 	for b.TakeRetry("s", now) {
 		sent++
 	}
-	assert.Equal(t, sent, int(margin*rule.Reserve/9))
+	assert.Equal(t, sent, int(boundShare*rule.Reserve/9))
 }
 
-func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
+func TestServicesHaveSeparateBudgets(t *testing.T) {
 	b := New(Rule{Ratio: 0.5, Window: 10 * time.Second}, start)
 	for range 10 {
 		b.AddRequest("a", start)
@@ -145,12 +145,12 @@
 	assert.Assert(t, b.RetriesLeft("a", start) > 3)
 }
 
-// The operators lower the bound while repeats are being sent. What was counted
-// before counts against the new bound too.
-func TestANewRuleHoldsForWhatWasCounted(t *testing.T) {
+// Operators lower the bound while retries are being sent. Earlier counts must count against the new
+// bound too.
+func TestNewRuleAppliesToEarlierCounts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := New(Rule{Ratio: 0.2, Reserve: 100, Window: 10 * time.Second}, now)
-	now = now.Add(settle)
+	now = now.Add(settlePeriod)
 	for range 50 {
 		assert.Assert(t, b.TakeRetry("s", now))
 	}
@@ -160,10 +160,10 @@
 	assert.Assert(t, !b.TakeRetry("s", now), "the reserve is held back after a change of the window")
 }
 
-// The settings name a window too short to be divided for counting, at the start or
-// when they change. The next request must not end the process.
-func TestAWindowTooShortToCountInIsPassedOver(t *testing.T) {
-	for _, window := range []time.Duration{1, slices - 1, -time.Second, 0} {
+// The settings contain a window too short to be divided into slices, at the start or after a
+// change. The next request must not crash the process.
+func TestTooShortWindowIsReplacedByDefault(t *testing.T) {
+	for _, window := range []time.Duration{1, windowSlices - 1, -time.Second, 0} {
 		short := Rule{Ratio: 0.2, Reserve: 58, Window: window}
 		b := New(short, start)
 		b.AddRequest("s", start)
@@ -172,6 +172,6 @@
 		changed.SetRule(short, start)
 		changed.AddRequest("s", start)
 		changed.AddRequest("s", start.Add(time.Second))
-		assert.Assert(t, !b.TakeRetry("s", start.Add(time.Second)), "two requests pay for no repeat")
+		assert.Assert(t, !b.TakeRetry("s", start.Add(time.Second)), "two requests do not allow a retry")
 	}
 }
