--- a/internal/serve/warmup/warmup.go
+++ b/internal/serve/warmup/warmup.go
@@ -1,12 +1,12 @@
-// Package warmup bounds the requests that all processes together send to a cold
-// target, without a coordinator. A target that has just started, or has become cold
-// again, crashes if it gets more than its service's rate.
+// Package warmup bounds the requests that all processes together send to a cold target, without a
+// coordinator. A target that has just started, or has become cold again, crashes if it gets more
+// requests than its service's cold rate.
 //
-// As many processes as the target bears requests a second hold a turn there, the
-// first by rendezvous over the members, and each of them uses its turn once in a
-// little over a second. Where there are fewer processes than turns they all hold one
-// and use it more often. A process that knows only a part of the members holds a turn
-// as rarely as if the others, unseen, went on using theirs.
+// If a cold target can handle n requests a second, n processes hold a permit for it: those that
+// rank first by rendezvous hashing over the members. Each uses its permit once in a little over a
+// second. If there are fewer processes than permits, they all hold one and use it more often. A
+// process that sees only some of the members uses permits as rarely as if the members that it
+// doesn't see continued to use theirs.
 package warmup
 
 import (
@@ -19,16 +19,16 @@
 	"github.com/vanillagate/vanillagate/internal/serve/pool"
 )
 
-// Rule is how much a service's cold targets bear.
+// Rule is the request rate that a service's cold targets can handle.
 type Rule struct {
-	// PerSecond is the requests a second at one target; 0 is no bound.
+	// PerSecond is the number of requests a second for one target; 0 means no bound.
 	PerSecond float64
 	// Time is how long a target stays cold after its start.
 	Time time.Duration
 }
 
-// IsCold tells whether a target must be taken for cold: it says so, or it may have
-// started again or become cold unnoticed.
+// IsCold reports whether a target must be treated as cold: it reports so, or it may have restarted
+// or become cold unnoticed.
 func (r Rule) IsCold(v pool.View, now time.Time) bool {
 	if r.PerSecond <= 0 {
 		return false
@@ -37,89 +37,92 @@
 }
 
 const (
-	// spacing is the shortest pause between two requests of one holder, in parts of
-	// the time in which its turn comes. It covers requests that overtake each other.
-	spacing = 1.2
-	// settling is how long a process that has just started knows too little of its
-	// peers to hold turns.
-	settling = 600 * time.Millisecond
-	// apart is the part of its turns that a group of processes uses which lost sight of
-	// others. How many of its members hold one is by lot then.
-	apart = 0.7
+	// pauseFactor is the shortest pause between two requests of a permit holder, as a multiple of
+	// the permit's period. It allows for requests that overtake each other.
+	pauseFactor = 1.2
+	// startupDelay is how long a process that has just started knows too few of its peers to hold
+	// permits.
+	startupDelay = 600 * time.Millisecond
+	// partitionShare is the part of its permits that a group of processes uses after it lost sight
+	// of others: the number of permit holders in the group is then random.
+	partitionShare = 0.7
 )
 
-// Limiter gives this process's turns at cold targets. It is safe for concurrent use.
+// Limiter decides when this process may send a request to a cold target. It is safe for concurrent
+// use.
 type Limiter struct {
 	network peer.Network
-	// most tells the highest number of processes lately.
-	most    func() int
-	started time.Time
+	// recentMax returns the highest recent number of processes.
+	recentMax func() int
+	started   time.Time
 
-	mu sync.Mutex // guards what follows; a leaf
-	// next is when this process's turn at a target comes again, by ID.
+	mu sync.Mutex // guards the fields below; no other lock is taken while it is held
+	// next holds the time of this process's next permitted request to a target, by target ID.
 	next map[string]time.Time
-	// ranks are this process's at targets, by ID, as of view.
+	// ranks holds this process's rank for a target, by target ID, as of view.
 	ranks map[string]int
 	view  *peer.View
 }
 
-// New makes a gate. most tells the highest number of processes lately.
-func New(network peer.Network, most func() int, now time.Time) *Limiter {
-	return &Limiter{network: network, most: most, started: now, next: map[string]time.Time{}}
+// New returns a limiter. recentMax returns the highest recent number of processes.
+func New(network peer.Network, recentMax func() int, now time.Time) *Limiter {
+	return &Limiter{network: network, recentMax: recentMax, started: now, next: map[string]time.Time{}}
 }
 
-// Allowed tells whether this process has a turn at a target now.
-func (g *Limiter) Allowed(target string, rule Rule, now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	_, open := g.turn(target, rule, now)
-	return open
+// Allowed reports whether this process may send a request to a target now.
+func (l *Limiter) Allowed(target string, rule Rule, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	_, allowed := l.permit(target, rule, now)
+	return allowed
 }
 
-// Take uses the turn at a target, if there is one now.
-func (g *Limiter) Take(target string, rule Rule, now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	pause, open := g.turn(target, rule, now)
-	if open {
-		g.next[target] = now.Add(pause)
+// Take uses the permit for a target, if this process may send a request now, and reports whether it
+// may.
+func (l *Limiter) Take(target string, rule Rule, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	pause, allowed := l.permit(target, rule, now)
+	if allowed {
+		l.next[target] = now.Add(pause)
 	}
-	return open
+	return allowed
 }
 
-// turn gives the pause after the next turn, and whether that has come. The caller
-// holds mu.
-func (g *Limiter) turn(target string, rule Rule, now time.Time) (time.Duration, bool) {
-	if now.Sub(g.started) < settling {
+// permit returns the pause after a request sent now, and whether one may be sent. The caller holds
+// mu.
+func (l *Limiter) permit(target string, rule Rule, now time.Time) (time.Duration, bool) {
+	if now.Sub(l.started) < startupDelay {
 		return 0, false
 	}
-	view := g.network.View()
+	view := l.network.View()
 	known := 1 + len(view.Members)
-	t := turns{known: known, most: max(known, g.most()), rank: g.rank(view, target), luck: luck(target, view.Self.Incarnation)}
-	pause, holds := t.pause(rule.PerSecond)
-	return pause, holds && !now.Before(g.next[target])
+	p := permits{known: known, recentMax: max(known, l.recentMax()), rank: l.rank(view, target), lot: lot(target, view.Self.Incarnation)}
+	pause, holds := p.pause(rule.PerSecond)
+	return pause, holds && !now.Before(l.next[target])
 }
 
-// rank is how many members precede this process at a target. The caller holds mu.
-func (g *Limiter) rank(view *peer.View, target string) int {
-	if g.view != view {
-		g.view, g.ranks = view, map[string]int{}
+// rank returns the number of members that rank before this process for a target. The caller holds
+// mu.
+func (l *Limiter) rank(view *peer.View, target string) int {
+	if l.view != view {
+		l.view, l.ranks = view, map[string]int{}
 	}
-	rank, found := g.ranks[target]
+	rank, found := l.ranks[target]
 	if !found {
 		rank = rankOf(view, target)
-		g.ranks[target] = rank
+		l.ranks[target] = rank
 	}
 	return rank
 }
 
-// Cleanup drops what is kept of targets whose turn has long come.
-func (g *Limiter) Cleanup(now time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for target, next := range g.next {
+// Cleanup removes the targets whose pause is over.
+func (l *Limiter) Cleanup(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for target, next := range l.next {
 		if now.After(next) {
-			delete(g.next, target)
+			delete(l.next, target)
 		}
 	}
 }
@@ -136,40 +139,39 @@
 	return before
 }
 
-// luck is a number in [0, 1), drawn once for each pair.
-func luck(target string, self peer.Incarnation) float64 {
+// lot returns a pseudo-random number in [0, 1) that is fixed for each pair of target and process.
+func lot(target string, self peer.Incarnation) float64 {
 	return float64(member.Hash(target+"\x00"+string(self))>>11) / (1 << 53)
 }
 
-// turns is what decides on a process's turns at one target.
-type turns struct {
-	// known is how many processes this one knows, itself included, most the highest
-	// number lately.
-	known, most int
-	// rank of this process at the target; 0 is the first.
+// permits holds the inputs that determine a process's permits for one target.
+type permits struct {
+	// known is the number of processes that this one knows, including itself; recentMax is the
+	// highest recent number of processes.
+	known, recentMax int
+	// rank of this process for the target; 0 is the first.
 	rank int
-	// luck in [0, 1) decides where less than a whole turn is left.
-	luck float64
+	// lot in [0, 1) decides who holds the remaining fraction of a permit.
+	lot float64
 }
 
-// pause gives the time between two requests of this process, and whether it may send
-// any.
-func (t turns) pause(perSecond float64) (time.Duration, bool) {
+// pause returns the time between two requests of this process, and whether it may send any.
+func (p permits) pause(perSecond float64) (time.Duration, bool) {
 	if perSecond <= 0 {
 		return 0, true
 	}
 	held := perSecond
-	if t.known < t.most {
-		held *= apart * float64(t.known) / float64(t.most)
+	if p.known < p.recentMax {
+		held *= partitionShare * float64(p.known) / float64(p.recentMax)
 	}
 	period := 1.0
 	if perSecond < 1 {
 		held, period = held/perSecond, 1/perSecond
 	}
-	if held >= float64(t.known) {
-		period, held = float64(t.known)/held, float64(t.known)
+	if held >= float64(p.known) {
+		period, held = float64(p.known)/held, float64(p.known)
 	}
 	whole := math.Floor(held)
-	holds := float64(t.rank) < whole || (float64(t.rank) == whole && t.luck < held-whole)
-	return time.Duration(spacing * period * float64(time.Second)), holds
+	holds := float64(p.rank) < whole || (float64(p.rank) == whole && p.lot < held-whole)
+	return time.Duration(pauseFactor * period * float64(time.Second)), holds
 }
--- a/internal/serve/warmup/warmup_test.go
+++ b/internal/serve/warmup/warmup_test.go
@@ -15,36 +15,36 @@
 
 var start = time.Unix(1000, 0)
 
-// The users' bound on the requests at one cold target in any second.
+// bound is the users' bound on the requests to one cold target in any second.
 const (
 	perSecond = 14.0
 	bound     = perSecond*1.5 + 5
 )
 
-// admission is a way to bound the requests at cold targets.
-type admission interface {
+// rateLimiter is a way to bound the requests to cold targets.
+type rateLimiter interface {
 	Take(target string, rule Rule, now time.Time) bool
 }
 
-// fleet makes the gates of n processes that were once most. Each knows those of its
-// own group only.
-func fleet(n, groups, most int) []admission {
+// newLimiters returns the limiters of n processes that were recentMax at their peak. Each process
+// knows only those of its own group.
+func newLimiters(n, groups, recentMax int) []rateLimiter {
 	clusters := make([]*servetest.Cluster, groups)
 	for i := range clusters {
 		clusters[i] = &servetest.Cluster{}
 	}
-	var list []admission
+	var list []rateLimiter
 	for i := range n {
 		node := clusters[i%groups].Add(fmt.Sprintf("vm-%d", i), "z")
-		list = append(list, New(node, func() int { return most }, start.Add(-time.Minute)))
+		list = append(list, New(node, func() int { return recentMax }, start.Add(-time.Minute)))
 	}
 	return list
 }
 
-// evenShares are the gates of n processes of which each has an even part of the rate,
-// saved up to one request.
-func evenShares(n int) []admission {
-	var list []admission
+// newEvenShares returns limiters that give each of n processes an even share of the rate, with a
+// burst of one request.
+func newEvenShares(n int) []rateLimiter {
+	var list []rateLimiter
 	for range n {
 		list = append(list, &evenShare{pause: time.Duration(float64(n) / perSecond * float64(time.Second)), next: map[string]time.Time{}})
 	}
@@ -56,7 +56,7 @@
 	next  map[string]time.Time
 }
 
-// Take is part of admission.
+// Take implements rateLimiter.
 func (e *evenShare) Take(target string, _ Rule, now time.Time) bool {
 	if now.Before(e.next[target]) {
 		return false
@@ -65,20 +65,20 @@
 	return true
 }
 
-// offered plays ten seconds in which requests come to random processes and try some
-// cold targets at random until one takes them. It gives the most that one target got
-// in a second, and how many requests a second were taken in all.
-func offered(seed uint64, gates []admission, targets int, rate float64) (most int, taken float64) {
+// simulate runs ten seconds in which requests arrive at random processes and try cold targets in
+// random order until one takes them. It returns the most requests that one target got in a second,
+// and the total rate of requests taken.
+func simulate(seed uint64, limiters []rateLimiter, targets int, rate float64) (most int, taken float64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	rule := Rule{PerSecond: perSecond, Time: 3 * time.Second}
 	arrivals := map[string][]time.Time{}
 	total := 0
 	const length = 10 * time.Second
 	for now := start; now.Sub(start) < length; now = now.Add(time.Duration(random.ExpFloat64() / rate * float64(time.Second))) {
-		gate := gates[random.IntN(len(gates))]
+		limiter := limiters[random.IntN(len(limiters))]
 		for _, i := range random.Perm(targets) {
 			target := fmt.Sprintf("engine-%d", i)
-			if gate.Take(target, rule, now) {
+			if limiter.Take(target, rule, now) {
 				late := time.Duration(random.Float64() * float64(50*time.Millisecond))
 				arrivals[target] = append(arrivals[target], now.Add(late))
 				total++
@@ -87,13 +87,13 @@
 		}
 	}
 	for _, list := range arrivals {
-		most = max(most, busiest(list))
+		most = max(most, busiestSecond(list))
 	}
 	return most, float64(total) / length.Seconds()
 }
 
-// busiest is the most arrivals in any second.
-func busiest(list []time.Time) int {
+// busiestSecond returns the most arrivals in any second.
+func busiestSecond(list []time.Time) int {
 	slices.SortFunc(list, time.Time.Compare)
 	most, from := 0, 0
 	for to, at := range list {
@@ -105,69 +105,71 @@
 	return most
 }
 
-// Many processes that don't ask each other send their requests to a few engines that
-// have just come back, and crash them.
-func TestAColdTargetGetsNoMoreThanItBears(t *testing.T) {
+// Guards against many processes without coordination sending their requests to a few engines that
+// have just come back, and crashing them.
+func TestColdTargetStaysWithinBound(t *testing.T) {
 	for _, n := range []int{1, 3, 14, 85, 300} {
 		for _, groups := range []int{1, 2, 5} {
 			if groups > n {
 				continue
 			}
 			for seed := range uint64(4) {
-				most, _ := offered(seed, fleet(n, groups, n), 2, 2000)
+				most, _ := simulate(seed, newLimiters(n, groups, n), 2, 2000)
 				assert.Assert(t, float64(most) <= bound, "%d processes in %d groups, seed %d: %d in a second", n, groups, seed, most)
 			}
 		}
 	}
 }
 
-// All processes are cut off from each other at once.
-func TestProcessesThatKnowNobodyKeepToTheBoundTogether(t *testing.T) {
+// All processes are cut off from each other at the same time. Together they must still keep the
+// bound.
+func TestPartitionedProcessesStayWithinBoundTogether(t *testing.T) {
 	for seed := range uint64(10) {
-		most, _ := offered(seed, fleet(85, 85, 85), 5, 2000)
+		most, _ := simulate(seed, newLimiters(85, 85, 85), 5, 2000)
 		assert.Assert(t, float64(most) <= bound, "seed %d: %d in a second", seed, most)
 	}
 }
 
-// Cold engines are all there is for a while, or a crowd waits for a single one. Turns
-// serve most of the load and never send the crowd; even shares serve all and send it.
-func TestTurnsBesideEvenShares(t *testing.T) {
+// Compares permits with even shares. If only cold engines are available, permits serve more than
+// half of the load. If many requests wait for a single cold engine, permits keep the bound and even
+// shares exceed it.
+func TestPermitsComparedWithEvenShares(t *testing.T) {
 	const engines, rate = 30, 258
-	turnsMost, turnsTaken := offered(1, fleet(85, 1, 85), engines, rate)
-	sharesMost, sharesTaken := offered(1, evenShares(85), engines, rate)
-	t.Logf("turns: %d at most, %.0f a second taken; even shares: %d, %.0f", turnsMost, turnsTaken, sharesMost, sharesTaken)
-	assert.Assert(t, turnsTaken > rate/2, "%.0f a second", turnsTaken)
-	crowdTurns, _ := offered(2, fleet(85, 1, 85), 1, 2000)
-	crowdShares, _ := offered(2, evenShares(85), 1, 2000)
-	t.Logf("one cold engine, 2,000 requests a second: turns %d at most, even shares %d", crowdTurns, crowdShares)
-	assert.Assert(t, float64(crowdTurns) <= bound && float64(crowdShares) > bound)
+	permitsMost, permitsTaken := simulate(1, newLimiters(85, 1, 85), engines, rate)
+	sharesMost, sharesTaken := simulate(1, newEvenShares(85), engines, rate)
+	t.Logf("permits: %d at most, %.0f a second taken; even shares: %d, %.0f", permitsMost, permitsTaken, sharesMost, sharesTaken)
+	assert.Assert(t, permitsTaken > rate/2, "%.0f a second", permitsTaken)
+	burstPermits, _ := simulate(2, newLimiters(85, 1, 85), 1, 2000)
+	burstShares, _ := simulate(2, newEvenShares(85), 1, 2000)
+	t.Logf("one cold engine, 2,000 requests a second: permits %d at most, even shares %d", burstPermits, burstShares)
+	assert.Assert(t, float64(burstPermits) <= bound && float64(burstShares) > bound)
 }
 
-// A process that starts knows nobody yet and takes all turns for its own.
-func TestAProcessThatHasJustStartedHoldsNoTurn(t *testing.T) {
-	gate := New((&servetest.Cluster{}).Add("a", "z"), func() int { return 1 }, start)
+// A process that has just started knows no peers yet and would take all permits for itself.
+func TestNewProcessHoldsNoPermit(t *testing.T) {
+	limiter := New((&servetest.Cluster{}).Add("a", "z"), func() int { return 1 }, start)
 	rule := Rule{PerSecond: perSecond}
-	assert.Assert(t, !gate.Take("e", rule, start.Add(settling/2)))
-	assert.Assert(t, gate.Take("e", rule, start.Add(settling)))
+	assert.Assert(t, !limiter.Take("e", rule, start.Add(startupDelay/2)))
+	assert.Assert(t, limiter.Take("e", rule, start.Add(startupDelay)))
 }
 
-// A target that bears less than a request a second still gets some.
-func TestSlowRatesLeaveTurns(t *testing.T) {
+// A target that can handle less than one request a second must still get some.
+func TestRatesBelowOnePerSecondLeaveAPermit(t *testing.T) {
 	holders := 0
 	for rank := range 10 {
-		pause, holds := turns{known: 10, most: 10, rank: rank}.pause(0.25)
+		pause, holds := permits{known: 10, recentMax: 10, rank: rank}.pause(0.25)
 		if holds {
 			holders++
 			assert.Assert(t, pause >= 4*time.Second)
 		}
 	}
 	assert.Equal(t, holders, 1)
-	_, holds := turns{known: 1, most: 1}.pause(0)
+	_, holds := permits{known: 1, recentMax: 1}.pause(0)
 	assert.Assert(t, holds, "no bound")
 }
 
-// A target was out of sight and may have started again, though its entry is old.
-func TestATargetThatWasOutOfSightCountsAsCold(t *testing.T) {
+// A target that got no requests for a while may have restarted, even if its entry is old.
+func TestUnobservedTargetCountsAsCold(t *testing.T) {
 	rule := Rule{PerSecond: perSecond, Time: 3 * time.Second}
 	for _, tc := range []struct {
 		view pool.View
@@ -181,5 +183,5 @@
 	} {
 		assert.Equal(t, rule.IsCold(tc.view, start), tc.cold, "%+v", tc)
 	}
-	assert.Assert(t, !Rule{Time: time.Second}.IsCold(pool.View{Away: start}, start), "a service without the bound")
+	assert.Assert(t, !Rule{Time: time.Second}.IsCold(pool.View{Away: start}, start), "a service without a bound")
 }
