--- a/internal/serve/leaveout/leaveout.go
+++ b/internal/serve/leaveout/leaveout.go
@@ -1,6 +1,5 @@
-// Package leaveout names the mechanisms of the serving core that can be switched
-// off one at a time, so that what each is worth can be measured against the rest.
-// In production nothing is left out.
+// Package leaveout names the mechanisms of the serving core that can be disabled one at a time, to
+// measure what each contributes (ablation). In production none is disabled.
 package leaveout
 
 import (
@@ -9,64 +8,65 @@
 	"strings"
 )
 
-// Mechanism is one part of the policy.
+// Mechanism is the name of a mechanism that can be disabled.
 type Mechanism string
 
-// The mechanisms, by the job that each does.
+// The mechanisms, each with what it does.
 const (
-	// Sharing: one process gathers for a shard. Without it each gathers for itself.
+	// Sharing: one process, the gatherer, batches the stage items of all processes for a shard of
+	// targets. Without it each process batches only its own.
 	Sharing Mechanism = "sharing"
-	// Reservations: a request is refused before its first stage where its stages
-	// can't be done in time. Without them all are taken.
+	// Reservations: a request is refused before its first stage if its stages can't finish in time.
+	// Without them all requests are accepted.
 	Reservations Mechanism = "reservations"
-	// Reserve: capacity is kept for more urgent requests still to come.
+	// Reserve: capacity is kept for more urgent requests that may still arrive.
 	Reserve Mechanism = "reserve"
-	// LeastShare: no kind of request gets less than a part of what it asks for.
+	// LeastShare: each kind of request gets at least a minimum share of what it asks for.
 	LeastShare Mechanism = "least-share"
-	// DueOrder: items are made in the order in which they are due. Without it
-	// they are made as they come.
+	// DueOrder: items are processed in the order of their due times. Without it they are processed
+	// in the order of arrival.
 	DueOrder Mechanism = "due-order"
-	// ShortCalls: while few items wait, a call carries no more than the most urgent of
-	// them has time for.
+	// ShortCalls: while few items wait, a call carries no more items than the most urgent of them
+	// has time for.
 	ShortCalls Mechanism = "short-calls"
-	// SpareTarget: the last free target of a shard waits for something urgent.
+	// SpareTarget: the last free target of a shard is kept for urgent items.
 	SpareTarget Mechanism = "spare-target"
-	// OwnZone: an item waits for a target where its inputs are.
+	// OwnZone: an item waits for a target in the zone of its inputs.
 	OwnZone Mechanism = "own-zone"
-	// OneZone: all stages of a chain are made in one zone at a large site.
+	// OneZone: at a large site, all stages of a chain run in one zone.
 	OneZone Mechanism = "one-zone"
-	// Affinity: each shared prompt is sent to one engine, which has read it.
+	// Affinity: requests with the same shared prompt go to the engine that has already read it.
 	Affinity Mechanism = "affinity"
-	// SlowTargets: stage targets that work slowly are passed over.
+	// SlowTargets: slow stage targets are skipped.
 	SlowTargets Mechanism = "slow-targets"
-	// EarlyRelease: inputs are given back once they have been fetched.
+	// EarlyRelease: inputs are released as soon as they have been fetched.
 	EarlyRelease Mechanism = "early-release"
-	// LearntEngines: engines' times to the first event are learnt.
+	// LearntEngines: the engines' times to the first event are learned.
 	LearntEngines Mechanism = "learnt-engines"
-	// Failover: a gatherer that doesn't answer is replaced. Without it its items
-	// wait for it.
+	// Failover: a gatherer that doesn't answer is replaced. Without it, items wait for their
+	// gatherer.
 	Failover Mechanism = "failover"
-	// Allocators: results are given back to the process that had them made. Without
-	// it they go to the one that gathers now in the reader's eyes.
+	// Allocators: a result is released at the process that requested it from the target. Without
+	// it, the release goes to the process that the reader considers the gatherer now.
 	Allocators Mechanism = "allocators"
-	// StrongOnly: weak VMs don't gather.
+	// StrongOnly: VMs with little capacity don't become gatherers.
 	StrongOnly Mechanism = "strong-only"
-	// LeavingAlone: a target that took no connection is left alone for a while.
+	// LeavingAlone: a target that refused a connection gets no requests for a while.
 	LeavingAlone Mechanism = "leaving-alone"
-	// Watchers: a few processes follow the store for all.
+	// Watchers: a few processes read the store's changes on behalf of all.
 	Watchers Mechanism = "watchers"
-	// Containment: a request that crashes its targets gets no more of them.
+	// Containment: a request that crashes its targets is not retried at further targets.
 	Containment Mechanism = "containment"
-	// EngineAccounts: processes ask what an engine reads for others before they send it
-	// a prompt.
+	// EngineAccounts: before a process sends a prompt to an engine, it asks the engine's tracker
+	// what the engine reads for other processes.
 	EngineAccounts Mechanism = "engine-accounts"
-	// Warmup: the requests at a cold target are bounded over all processes.
+	// Warmup: the request rate to a cold target is bounded across all processes.
 	Warmup Mechanism = "warmup"
-	// FewKept: unused connections to targets are bounded by what they accept.
+	// FewKept: the number of idle connections to a target is bounded by the number that it accepts.
 	FewKept Mechanism = "few-kept"
 )
 
-// All lists the mechanisms.
+// All returns all mechanisms.
 func All() []Mechanism {
 	return []Mechanism{
 		Sharing, Reservations, Reserve, LeastShare, DueOrder, ShortCalls, SpareTarget, OwnZone, OneZone, Affinity, SlowTargets, EarlyRelease, LearntEngines,
@@ -74,24 +74,24 @@
 	}
 }
 
-// Set is what is left out. The zero value leaves nothing out.
-type Set struct{ names []Mechanism }
+// Set is a set of disabled mechanisms. The zero value disables none.
+type Set struct{ mechanisms []Mechanism }
 
-// Of makes a set.
-func Of(names ...Mechanism) Set { return Set{names: names} }
+// Of returns a set of mechanisms.
+func Of(mechanisms ...Mechanism) Set { return Set{mechanisms: mechanisms} }
 
-// Has tells whether a mechanism is left out.
-func (s Set) Has(m Mechanism) bool { return slices.Contains(s.names, m) }
+// Has reports whether a mechanism is disabled.
+func (s Set) Has(m Mechanism) bool { return slices.Contains(s.mechanisms, m) }
 
-// Parse reads names separated by commas; the empty text leaves nothing out.
+// Parse parses mechanism names separated by commas. The empty text is the empty set.
 func Parse(text string) (Set, error) {
 	var s Set
 	for _, name := range strings.FieldsFunc(text, func(r rune) bool { return r == ',' }) {
 		m := Mechanism(strings.TrimSpace(name))
 		if !slices.Contains(All(), m) {
-			return Set{}, fmt.Errorf("no mechanism %q; there are %v", m, All())
+			return Set{}, fmt.Errorf("unknown mechanism %q; known mechanisms: %v", m, All())
 		}
-		s.names = append(s.names, m)
+		s.mechanisms = append(s.mechanisms, m)
 	}
 	return s, nil
 }
--- a/internal/serve/leaveout/leaveout_test.go
+++ b/internal/serve/leaveout/leaveout_test.go
@@ -14,7 +14,7 @@
 	} {
 		s, err := Parse(text)
 		assert.NilError(t, err, text)
-		assert.DeepEqual(t, s.names, want)
+		assert.DeepEqual(t, s.mechanisms, want)
 	}
 	_, err := Parse("affinity,everything")
 	assert.ErrorContains(t, err, "everything")
