--- a/internal/serve/engines/tracker.go
+++ b/internal/serve/engines/tracker.go
@@ -1,7 +1,7 @@
 // Package engines tracks, across all processes, the prompts that model engines are reading. A long
 // prompt blocks an engine for up to a second, and a single process sees only a few of an engine's
 // prompts, so it would consider nearly all engines idle. Therefore each engine has a tracker, one
-// of the VMs with the most capacity, which is asked before a prompt is sent to the engine. The
+// of the VMs with the most CPU, which is asked before a prompt is sent to the engine. The
 // state is soft: while processes see different members, two trackers each hold a part of it, and if
 // a tracker doesn't answer, the prompt is sent without asking.
 //
--- a/internal/serve/leaveout/leaveout.go
+++ b/internal/serve/leaveout/leaveout.go
@@ -49,7 +49,7 @@
 	// Allocators: a result is released at the process that requested it from the target. Without
 	// it, the release goes to the process that the reader considers the gatherer now.
 	Allocators Mechanism = "allocators"
-	// StrongOnly: VMs with little capacity don't become gatherers.
+	// StrongOnly: VMs with little CPU don't become gatherers.
 	StrongOnly Mechanism = "strong-only"
 	// LeavingAlone: a target that refused a connection gets no requests for a while.
 	LeavingAlone Mechanism = "leaving-alone"
--- a/internal/serve/pool/table.go
+++ b/internal/serve/pool/table.go
@@ -146,7 +146,7 @@
 	t.notifyRetired(retired)
 }
 
-// reset returns the targets that left use. The caller holds mu.
+// reset replaces the list and returns the targets that left use. The caller holds mu.
 func (t *Table) reset(entries []Entry, asOf uint64, now time.Time) []*Target {
 	present := make(map[string]bool, len(entries))
 	changes := make([]Change, 0, len(entries))
@@ -179,8 +179,8 @@
 	}
 }
 
-// apply returns the targets that left use. Applied changes are added to history, unless it is nil.
-// The caller holds mu.
+// apply applies changes and returns the targets that left use. Applied changes are added to history,
+// unless it is nil. The caller holds mu.
 func (t *Table) apply(changes []Change, history *changeLog, now time.Time) []*Target {
 	var retired []*Target
 	touched := changedIDs{}
--- a/internal/serve/pool/target.go
+++ b/internal/serve/pool/target.go
@@ -59,9 +59,9 @@
 	Report   Report
 	// Weight is 0 for an ejected target and 1 for a healthy one.
 	Weight float64
-	// ColdUntil is when the target stops being cold according to its entry. Away is the
-	// end of the latest period in which this process sent it no requests, so that it may have
-	// restarted or become cold unnoticed.
+	// ColdUntil is when the target stops being cold according to its entry. Away is the end of the
+	// latest period in which this process sent it no requests, so that it may have restarted or
+	// become cold unnoticed.
 	ColdUntil, Away time.Time
 	// Cold is set by the caller that decides whether the target counts as cold.
 	Cold bool
--- a/internal/serve/quota/quota.go
+++ b/internal/serve/quota/quota.go
@@ -55,10 +55,10 @@
 	return &Budget{rule: rule.withValidWindow(), byService: map[string]*window{}, members: 1, membersChanged: now}
 }
 
-// Again returns a budget for a process that replaces another. It gets nothing of the
-// reserve for a whole window, since its predecessor may just have spent its part. Otherwise the
-// reserve could be spent twice within one window, for example if all processes were killed during
-// an outage of targets.
+// Again returns a budget for a process that replaces another. It gets nothing of the reserve for a
+// whole window, since its predecessor may just have spent its part. Otherwise the reserve could be
+// spent twice within one window, for example if all processes were killed during an outage of
+// targets.
 func Again(rule Rule, now time.Time) *Budget {
 	b := New(rule, now)
 	b.noReserveUntil = now.Add(b.rule.Window)
@@ -78,9 +78,9 @@
 	b.rule = rule
 }
 
-// Members sets the number of processes that share the reserve. The number is lowered by at
-// most a fifth at a time: a process that is cut off from its peers must not take the whole reserve,
-// since they continue to spend their parts.
+// Members sets the number of processes that share the reserve. The number is lowered by at most a
+// fifth at a time, and only after memberCountHold: a process that is cut off from its peers must not
+// take the whole reserve, since they continue to spend their parts.
 func (b *Budget) Members(n int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -104,7 +104,7 @@
 }
 
 // memberCountHold is how long a higher member count is kept before it is lowered. It is many times
-// the length of an ordinary network partition, several seconds.
+// the length of an ordinary network partition, which is several seconds.
 const memberCountHold = 30 * time.Second
 
 // AddRequest counts the first arrival of a request at a service.
--- a/internal/serve/warmup/warmup.go
+++ b/internal/serve/warmup/warmup.go
@@ -44,7 +44,7 @@
 	// permits.
 	startupDelay = 600 * time.Millisecond
 	// partitionShare is the part of its permits that a group of processes uses after it lost sight
-	// of others: the number of permit holders in the group is then random.
+	// of others: the number of permit holders in the group is then random and may be above average.
 	partitionShare = 0.7
 )
 
