--- a/internal/serve/place/place.go
+++ b/internal/serve/place/place.go
@@ -31,9 +31,9 @@
 	return tokens, last
 }
 
-// Affinity returns the key by which prompts with the same shared parts go to the same engine;
+// AffinityKey returns the key by which prompts with the same shared parts go to the same engine;
 // empty if there are no shared parts.
-func (p Prompt) Affinity() string {
+func (p Prompt) AffinityKey() string {
 	_, last := p.shared()
 	return last
 }
@@ -156,7 +156,7 @@
 // affineEngine returns the ID of the engine that has read a prompt's shared parts, chosen by
 // rendezvous hashing; empty if there is none.
 func affineEngine(views []pool.View, p Prompt) string {
-	last := p.Affinity()
+	last := p.AffinityKey()
 	if last == "" {
 		return ""
 	}
--- a/internal/serve/plan/plan.go
+++ b/internal/serve/plan/plan.go
@@ -209,8 +209,8 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// Rank returns a request's effective priority: the team's if it is set, otherwise the route's.
-func Rank(r *Route, t *Team) int {
+// EffectivePriority returns a request's effective priority: the team's if it is set, otherwise the route's.
+func EffectivePriority(r *Route, t *Team) int {
 	if t != nil && t.Priority != nil {
 		return *t.Priority
 	}
--- a/internal/serve/plan/plan_test.go
+++ b/internal/serve/plan/plan_test.go
@@ -75,9 +75,9 @@
 func TestTeamPriorityOverridesRoutePriority(t *testing.T) {
 	first := 0
 	r := &Route{Priority: 2}
-	assert.Equal(t, Rank(r, nil), 2)
-	assert.Equal(t, Rank(r, &Team{}), 2)
-	assert.Equal(t, Rank(r, &Team{Priority: &first}), 0)
+	assert.Equal(t, EffectivePriority(r, nil), 2)
+	assert.Equal(t, EffectivePriority(r, &Team{}), 2)
+	assert.Equal(t, EffectivePriority(r, &Team{Priority: &first}), 0)
 }
 
 func TestIdempotentRoutesAndResumableStreamsAreRepeatable(t *testing.T) {
--- a/internal/serve/pool/target.go
+++ b/internal/serve/pool/target.go
@@ -59,10 +59,10 @@
 	Report   Report
 	// Weight is 0 for an ejected target and 1 for a healthy one.
 	Weight float64
-	// ColdUntil is when the target stops being cold according to its entry. Away is the end of the
+	// ColdUntil is when the target stops being cold according to its entry. UnobservedUntil is the end of the
 	// latest period in which this process sent it no requests, so that it may have restarted or
 	// become cold unnoticed.
-	ColdUntil, Away time.Time
+	ColdUntil, UnobservedUntil time.Time
 	// Cold is set by the caller that decides whether the target counts as cold.
 	Cold bool
 }
@@ -136,7 +136,7 @@
 	}
 	return View{
 		Target: t, Slots: t.entry.Slots, InFlight: t.inFlight, Tokens: t.tokens,
-		Report: report, Weight: e.Weight(t.health, now), ColdUntil: t.coldUntil, Away: t.unobservedUntil,
+		Report: report, Weight: e.Weight(t.health, now), ColdUntil: t.coldUntil, UnobservedUntil: t.unobservedUntil,
 	}
 }
 
--- a/internal/serve/quota/quota.go
+++ b/internal/serve/quota/quota.go
@@ -55,11 +55,11 @@
 	return &Budget{rule: rule.withValidWindow(), byService: map[string]*window{}, members: 1, membersChanged: now}
 }
 
-// Again returns a budget for a process that replaces another. It gets nothing of the reserve for a
+// NewAfterRestart returns a budget for a process that replaces another. It gets nothing of the reserve for a
 // whole window, since its predecessor may just have spent its part. Otherwise the reserve could be
 // spent twice within one window, for example if all processes were killed during an outage of
 // targets.
-func Again(rule Rule, now time.Time) *Budget {
+func NewAfterRestart(rule Rule, now time.Time) *Budget {
 	b := New(rule, now)
 	b.noReserveUntil = now.Add(b.rule.Window)
 	return b
@@ -78,10 +78,10 @@
 	b.rule = rule
 }
 
-// Members sets the number of processes that share the reserve. The number is lowered by at most a
+// SetMemberCount sets the number of processes that share the reserve. The number is lowered by at most a
 // fifth at a time, and only after memberCountHold: a process that is cut off from its peers must not
 // take the whole reserve, since they continue to spend their parts.
-func (b *Budget) Members(n int, now time.Time) {
+func (b *Budget) SetMemberCount(n int, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if n > b.members {
@@ -96,7 +96,7 @@
 }
 
 // MemberCount returns the number of processes that share common limits. It falls slowly, see
-// Members.
+// SetMemberCount.
 func (b *Budget) MemberCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/serve/quota/quota_test.go
+++ b/internal/serve/quota/quota_test.go
@@ -22,7 +22,7 @@
 		budgets := make([]*Budget, n)
 		for i := range budgets {
 			budgets[i] = New(rule, start)
-			budgets[i].Members(n, start)
+			budgets[i].SetMemberCount(n, start)
 		}
 		now := start.Add(settlePeriod)
 		var requests, retries []time.Time
@@ -58,7 +58,7 @@
 		now := start
 		updateMembers := func() {
 			for _, b := range budgets {
-				b.Members(len(budgets), now)
+				b.SetMemberCount(len(budgets), now)
 			}
 		}
 		updateMembers()
@@ -69,19 +69,19 @@
 			i := rapid.IntRange(0, len(budgets)-1).Draw(t, "process")
 			switch rapid.IntRange(0, 39).Draw(t, "what") {
 			case 0:
-				budgets[i] = Again(rule, now) // killed and restarted immediately
+				budgets[i] = NewAfterRestart(rule, now) // killed and restarted immediately
 			case 1:
 				for k := range budgets {
-					budgets[k] = Again(rule, now)
+					budgets[k] = NewAfterRestart(rule, now)
 				}
 			case 2:
-				budgets = append(budgets, Again(rule, now))
+				budgets = append(budgets, NewAfterRestart(rule, now))
 			case 3:
 				if len(budgets) > 1 {
 					budgets = append(budgets[:i], budgets[i+1:]...)
 				}
 			case 4:
-				budgets[i].Members(1, now) // cut off
+				budgets[i].SetMemberCount(1, now) // cut off
 			case 5, 6, 7, 8, 9, 10:
 				updateMembers()
 			case 11, 12, 13, 14:
@@ -116,7 +116,7 @@
 func TestReserveIsHeldBackUntilPeersAreKnown(t *testing.T) {
 	b := New(rule, start)
 	assert.Assert(t, !b.TakeRetry("s", start))
-	b.Members(9, start.Add(time.Second))
+	b.SetMemberCount(9, start.Add(time.Second))
 	assert.Assert(t, !b.TakeRetry("s", start.Add(2*time.Second)))
 	assert.Assert(t, b.TakeRetry("s", start.Add(3*time.Second)))
 }
@@ -125,9 +125,9 @@
 // parts of the reserve.
 func TestPartitionedProcessKeepsToItsReserveShare(t *testing.T) {
 	b := New(rule, start)
-	b.Members(9, start)
+	b.SetMemberCount(9, start)
 	now := start.Add(5 * time.Second)
-	b.Members(1, now)
+	b.SetMemberCount(1, now)
 	sent := 0
 	for b.TakeRetry("s", now) {
 		sent++
--- a/internal/serve/run/attempt.go
+++ b/internal/serve/run/attempt.go
@@ -111,7 +111,7 @@
 	if j.team != nil {
 		info.Team = j.team.Name
 	}
-	info.Rank = plan.Rank(j.route, j.team)
+	info.Rank = plan.EffectivePriority(j.route, j.team)
 	if j.inputs != nil {
 		info.Inputs = j.inputs.handles
 	}
--- a/internal/serve/run/choose.go
+++ b/internal/serve/run/choose.go
@@ -28,7 +28,7 @@
 // prompt get the same candidates, among them the engine that has read the prompt. all
 // reports that the service has no other targets.
 func (j *job) candidates(now time.Time) (views []pool.View, all bool) {
-	name := j.req.Prompt.Affinity()
+	name := j.req.Prompt.AffinityKey()
 	if name == "" {
 		name = j.req.ID
 	}
--- a/internal/serve/run/graph.go
+++ b/internal/serve/run/graph.go
@@ -52,7 +52,7 @@
 			continue
 		}
 		list = append(list, gather.ReservationRequest{
-			Service: s.Service, Stage: i, Items: g.pieces(i), Due: g.due(i), Rank: plan.Rank(g.job.route, g.job.team),
+			Service: s.Service, Stage: i, Items: g.pieces(i), Due: g.due(i), Rank: plan.EffectivePriority(g.job.route, g.job.team),
 			Zone: g.zoneOf(i),
 		})
 	}
@@ -87,7 +87,7 @@
 // engineZone returns the zone in which the request will probably run; empty if any.
 func (g *stageGraph) engineZone() string {
 	j := g.job
-	if j.LeaveOut.Has(leaveout.Affinity) || j.req.Prompt.Affinity() == "" {
+	if j.LeaveOut.Has(leaveout.Affinity) || j.req.Prompt.AffinityKey() == "" {
 		return ""
 	}
 	views, _ := j.candidates(time.Now())
@@ -172,7 +172,7 @@
 	for piece := range g.pieces(i) {
 		item := gather.Item{
 			Key:  gather.Key{Request: j.req.ID, Stage: i, Piece: piece},
-			Rank: plan.Rank(j.route, j.team), Bytes: s.ResultBytes, Inputs: from,
+			Rank: plan.EffectivePriority(j.route, j.team), Bytes: s.ResultBytes, Inputs: from,
 			Zone: zone, CrossZoneBytes: cross,
 		}
 		if len(s.After) == 0 {
--- a/internal/serve/run/idle_conns_test.go
+++ b/internal/serve/run/idle_conns_test.go
@@ -28,7 +28,7 @@
 	} {
 		now := time.Now()
 		budget := quota.New(quota.Rule{}, now)
-		budget.Members(tc.processes, now)
+		budget.SetMemberCount(tc.processes, now)
 		plans := &plan.Holder{}
 		plans.Apply(&plan.Plan{Version: 1, Services: []plan.Service{{Name: "desk", MaxConnections: tc.accepted}}})
 		j := &job{Executor: &Executor{Plans: plans, Budget: budget}, service: "desk"}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -55,7 +55,7 @@
 
 func (o Options) budget(now time.Time) *quota.Budget {
 	if o.Again {
-		return quota.Again(o.Budget, now)
+		return quota.NewAfterRestart(o.Budget, now)
 	}
 	return quota.New(o.Budget, now)
 }
@@ -180,9 +180,9 @@
 	for wait.For(s.life, housekeepPeriod) {
 		now := time.Now()
 		s.client.Prune(now)
-		s.budget.Members(1+len(s.network.View().Members), now)
+		s.budget.SetMemberCount(1+len(s.network.View().Members), now)
 		if s.warmup != nil {
-			s.warmup.Cleanup(now)
+			s.warmup.Prune(now)
 		}
 		if s.engines != nil {
 			s.engines.Sweep(now)
--- a/internal/serve/warmup/warmup.go
+++ b/internal/serve/warmup/warmup.go
@@ -33,7 +33,7 @@
 	if r.PerSecond <= 0 {
 		return false
 	}
-	return now.Before(v.ColdUntil) || now.Before(v.Away.Add(r.Time))
+	return now.Before(v.ColdUntil) || now.Before(v.UnobservedUntil.Add(r.Time))
 }
 
 const (
@@ -116,8 +116,8 @@
 	return rank
 }
 
-// Cleanup removes the targets whose pause is over.
-func (l *Limiter) Cleanup(now time.Time) {
+// Prune removes the targets whose pause is over.
+func (l *Limiter) Prune(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for target, next := range l.next {
--- a/internal/serve/warmup/warmup_test.go
+++ b/internal/serve/warmup/warmup_test.go
@@ -178,10 +178,10 @@
 		{pool.View{}, false},
 		{pool.View{ColdUntil: start.Add(time.Second)}, true},
 		{pool.View{ColdUntil: start}, false},
-		{pool.View{Away: start.Add(-2 * time.Second)}, true},
-		{pool.View{Away: start.Add(-3 * time.Second)}, false},
+		{pool.View{UnobservedUntil: start.Add(-2 * time.Second)}, true},
+		{pool.View{UnobservedUntil: start.Add(-3 * time.Second)}, false},
 	} {
 		assert.Equal(t, rule.IsCold(tc.view, start), tc.cold, "%+v", tc)
 	}
-	assert.Assert(t, !Rule{Time: time.Second}.IsCold(pool.View{Away: start}, start), "a service without a bound")
+	assert.Assert(t, !Rule{Time: time.Second}.IsCold(pool.View{UnobservedUntil: start}, start), "a service without a bound")
 }
