--- a/internal/command/change/change.go
+++ b/internal/command/change/change.go
@@ -31,9 +31,9 @@
 	Body    json.RawMessage
 	Deleted bool
 	By      string
-	// Expect is the revision of the item's last change that the operator has
+	// ExpectedRevision is the revision of the item's last change that the operator has
 	// seen; zero for an item that does not exist.
-	Expect config.Revision
+	ExpectedRevision config.Revision
 }
 
 // Result says what became of a request.
@@ -57,11 +57,11 @@
 
 // Outcome is the answer to a request. Which fields are set depends on Result.
 type Outcome struct {
-	Result   Result
-	Revision config.Revision
-	Last     config.LastChange
-	Faults   []string
-	Err      error
+	Result           Result
+	Revision         config.Revision
+	Last             config.LastChange
+	ValidationErrors []string
+	Err              error
 }
 
 // Bounds of one submission.
@@ -125,13 +125,13 @@
 		return s.failed(err)
 	}
 	if found := Validate(s.state, s.req); len(found) > 0 {
-		return s.refuse(ctx, Outcome{Result: Invalid, Faults: found})
+		return s.refuse(ctx, Outcome{Result: Invalid, ValidationErrors: found})
 	}
 	last, err := lastChange(item)
 	if err != nil {
 		return s.failed(err)
 	}
-	if !expected(last, s.req.Expect) {
+	if !expected(last, s.req.ExpectedRevision) {
 		return s.refuse(ctx, Outcome{Result: Conflict, Last: last})
 	}
 	return s.commit(ctx, item)
@@ -166,7 +166,7 @@
 	revision := s.state.Revision + 1
 	writes, err := writesOf(s.req, revision, item, s.now())
 	if err != nil {
-		return Outcome{Result: Invalid, Faults: []string{err.Error()}}, false
+		return Outcome{Result: Invalid, ValidationErrors: []string{err.Error()}}, false
 	}
 	conflicts, err := s.table.Commit(ctx, writes)
 	if err != nil {
@@ -214,7 +214,7 @@
 	}
 	if accepted.Fingerprint != fingerprint(s.req) {
 		fault := fmt.Sprintf("change id %q: in use by another change, revision %d", s.req.ID, accepted.Revision)
-		return Outcome{Result: Invalid, Faults: []string{fault}}, true, nil
+		return Outcome{Result: Invalid, ValidationErrors: []string{fault}}, true, nil
 	}
 	return Outcome{Result: Accepted, Revision: accepted.Revision}, true, nil
 }
--- a/internal/command/change/change_test.go
+++ b/internal/command/change/change_test.go
@@ -18,7 +18,7 @@
 
 func contract(id, customer string, share int, expect config.Revision) Request {
 	body, _ := json.Marshal(config.Contract{Customer: customer, Share: share})
-	return Request{ID: id, Kind: config.KindContract, Name: customer, Body: body, By: "day", Expect: expect}
+	return Request{ID: id, Kind: config.KindContract, Name: customer, Body: body, By: "day", ExpectedRevision: expect}
 }
 
 func submitter(store *memory.Store) *Submitter { return New(store, config.NewState) }
@@ -131,7 +131,7 @@
 	store := memory.New()
 	ctx := limited(t)
 	submitter(store).Submit(ctx, contract("c1", "granite", 1, 0))
-	deletion := Request{ID: "c2", Kind: config.KindContract, Name: "granite", Deleted: true, By: "day", Expect: 1}
+	deletion := Request{ID: "c2", Kind: config.KindContract, Name: "granite", Deleted: true, By: "day", ExpectedRevision: 1}
 	assert.Equal(t, submitter(store).Submit(ctx, deletion).Revision, config.Revision(2))
 	assert.Equal(t, submitter(store).Submit(ctx, contract("c3", "granite", 1, 0)).Revision, config.Revision(3))
 }
--- a/internal/command/change/model_test.go
+++ b/internal/command/change/model_test.go
@@ -127,7 +127,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expect := state.Last[config.ItemKey(config.KindContract, name)].Revision
+	expect := state.LastChanges[config.ItemKey(config.KindContract, name)].Revision
 	if rapid.IntRange(0, 3).Draw(t, "stale") == 0 {
 		expect = 0
 	}
@@ -168,7 +168,7 @@
 			t.Fatalf("change %s stands at %d and %d", c.ID, other, c.Revision)
 		}
 		revisionOf[c.ID] = c.Revision
-		if expect := m.asked[c.ID].Expect; expect != last[c.Name] {
+		if expect := m.asked[c.ID].ExpectedRevision; expect != last[c.Name] {
 			t.Fatalf("change %s expected %d and replaced %d", c.ID, expect, last[c.Name])
 		}
 		last[c.Name] = c.Revision
--- a/internal/command/change/validate.go
+++ b/internal/command/change/validate.go
@@ -178,7 +178,7 @@
 
 func validateStop(f *faults, name string, s config.Stop) {
 	f.wantf(s.ID == name, "id %q: must be the item's name %q", s.ID, name)
-	f.wantf(s.On == config.StopTarget || s.On == config.StopVM, "on %q: target or vm", s.On)
+	f.wantf(s.Subject == config.StopTarget || s.Subject == config.StopVM, "on %q: target or vm", s.Subject)
 	_, err := netip.ParseAddrPort(s.Address)
 	f.wantf(err == nil, "address %q: IP:port", s.Address)
 }
@@ -195,7 +195,7 @@
 }
 
 func exists(state *config.State, kind config.Kind, name string) bool {
-	last, found := state.Last[config.ItemKey(kind, name)]
+	last, found := state.LastChanges[config.ItemKey(kind, name)]
 	return found && !last.Deleted
 }
 
--- a/internal/command/change/validate_test.go
+++ b/internal/command/change/validate_test.go
@@ -16,7 +16,7 @@
 	state.Pools["app"] = config.Pool{Name: "app", Kind: config.TargetService}
 	state.Pipelines["quote"] = config.Pipeline{Name: "quote", Stages: []config.Stage{{Name: "g", Pool: "llm"}}}
 	state.Contracts["other"] = config.Contract{Customer: "other", KeyHashes: []string{hash}}
-	state.Last["pool/llm"] = config.LastChange{Revision: 1}
+	state.LastChanges["pool/llm"] = config.LastChange{Revision: 1}
 	cases := []struct {
 		name string
 		kind config.Kind
--- a/internal/command/claim/claims_test.go
+++ b/internal/command/claim/claims_test.go
@@ -59,7 +59,7 @@
 			defer mu.Unlock()
 			if out.Result == Claimed {
 				sent++
-				claims.FinishLater(out.Grant, Answer{Status: 201, ContentType: "text/plain", Body: body})
+				claims.FinishAsync(out.Grant, Answer{Status: 201, ContentType: "text/plain", Body: body})
 				return
 			}
 			assert.Check(t, out.Result == Taken && out.Finished && out.Err == nil)
--- a/internal/command/claim/finish.go
+++ b/internal/command/claim/finish.go
@@ -11,13 +11,13 @@
 	"github.com/vanillagate/vanillagate/internal/wait"
 )
 
-// Finish says what became of recording an outcome, or of a release.
-type Finish int
+// FinishResult says what became of recording an outcome, or of a release.
+type FinishResult int
 
 // The results of Finish and Release.
 const (
 	// Recorded: it stands in the claim's row.
-	Recorded Finish = iota + 1
+	Recorded FinishResult = iota + 1
 	// Superseded: another holder has the claim by now.
 	Superseded
 	// Unrecorded: the store gave no answer before the deadline. It may stand.
@@ -30,7 +30,7 @@
 
 // Finish records the outcome of a request that ran, until the context's
 // deadline. A caller that asks again gets it once it is recorded.
-func (c *Claims) Finish(ctx context.Context, grant Grant, got Answer) Finish {
+func (c *Claims) Finish(ctx context.Context, grant Grant, got Answer) FinishResult {
 	recorded := record(grant, got)
 	if recorded.Object != "" && !c.putObject(ctx, recorded.Object, got.Body) {
 		return Unrecorded
@@ -41,10 +41,10 @@
 	return c.settle(ctx, grant, row)
 }
 
-// FinishLater is Finish in the background, for as long as the store may be
+// FinishAsync is Finish in the background, for as long as the store may be
 // down. Call it before the caller is answered where the answer must not wait
 // for the store.
-func (c *Claims) FinishLater(grant Grant, got Answer) {
+func (c *Claims) FinishAsync(grant Grant, got Answer) {
 	c.later.do(len(got.Body), func(ctx context.Context) { c.Finish(ctx, grant, got) })
 }
 
@@ -53,21 +53,21 @@
 // afterwards. The row stays, because its version must go on growing: a row
 // that was deleted and inserted again would start at the first token, and
 // a late write of an earlier holder would then pass for the new one's.
-func (c *Claims) Release(ctx context.Context, grant Grant) Finish {
+func (c *Claims) Release(ctx context.Context, grant Grant) FinishResult {
 	row := heldBy(grant.Request)
 	row.State = Released
 	return c.settle(ctx, grant, row)
 }
 
-// ReleaseLater is Release in the background.
-func (c *Claims) ReleaseLater(grant Grant) {
+// ReleaseAsync is Release in the background.
+func (c *Claims) ReleaseAsync(grant Grant) {
 	c.later.do(0, func(ctx context.Context) { c.Release(ctx, grant) })
 }
 
 // settle replaces the row under the grant's token. After a lost answer the
 // same write is made again; that it finds its own row means that the lost one
 // took effect.
-func (c *Claims) settle(ctx context.Context, grant Grant, row Row) Finish {
+func (c *Claims) settle(ctx context.Context, grant Grant, row Row) FinishResult {
 	write := settling(grant, row)
 	for pause := retryMin; ; pause = min(2*pause, laterMax) {
 		result := c.batches.write(ctx, write)
@@ -88,14 +88,14 @@
 	}
 }
 
-func settled(result placed, grant Grant, state State) Finish {
+func settled(result placed, grant Grant, state State) FinishResult {
 	if result.done {
 		return Recorded
 	}
 	return settledBy(result.found, grant, state)
 }
 
-func settledBy(found *backing.Row, grant Grant, state State) Finish {
+func settledBy(found *backing.Row, grant Grant, state State) FinishResult {
 	if found == nil || found.Version != uint64(grant.Token)+1 {
 		return Superseded
 	}
--- a/internal/command/claim/look.go
+++ b/internal/command/claim/look.go
@@ -2,9 +2,9 @@
 
 import "context"
 
-// Look reads who stands under an identity without claiming it; nil where
+// Lookup reads who stands under an identity without claiming it; nil where
 // nobody ever did.
-func (c *Claims) Look(ctx context.Context, id Identity) (*Row, error) {
+func (c *Claims) Lookup(ctx context.Context, id Identity) (*Row, error) {
 	found, err := c.table.Get(ctx, id.rowKey())
 	if err != nil || found == nil {
 		return nil, err
--- a/internal/command/cost/rates.go
+++ b/internal/command/cost/rates.go
@@ -9,15 +9,15 @@
 type Sample struct {
 	// Target is the address of the target.
 	Target string
-	// Engine is what the target said that the call cost; Took how long this
+	// ReportedTime is what the target said that the call cost; Took how long this
 	// process waited for it.
-	Engine, Took time.Duration
-	// Uncached is how many prompt tokens had to be read, and Generated how many
+	ReportedTime, Took time.Duration
+	// UncachedTokens is how many prompt tokens had to be read, and GeneratedTokens how many
 	// were generated. Both are zero for targets that generate nothing.
-	Uncached, Generated int
+	UncachedTokens, GeneratedTokens int
 }
 
-// Rates estimates what calls cost of which no target told anything: those that
+// Estimator estimates what calls cost of which no target told anything: those that
 // were cancelled or broke. It learns from the calls that ended well. The zero
 // value is ready for use.
 //
@@ -25,7 +25,7 @@
 // queueing and the network take, and that does not grow with a slow target. An
 // engine shares its steps among many calls, so that time says little; there
 // prompt tokens and generated tokens have a price each.
-type Rates struct {
+type Estimator struct {
 	mu     sync.Mutex // guards byPool; a leaf
 	byPool map[string]*rate
 }
@@ -65,9 +65,9 @@
 // fade is what each call leaves of the calls before it.
 const fade = 0.98
 
-// Learn takes in a call that ended well.
-func (r *Rates) Learn(pool string, s Sample) {
-	if s.Engine <= 0 {
+// RecordCall takes in a call that ended well.
+func (r *Estimator) RecordCall(pool string, s Sample) {
+	if s.ReportedTime <= 0 {
 		return
 	}
 	r.mu.Lock()
@@ -81,17 +81,17 @@
 		r.byPool[pool] = known
 	}
 	known.learn(s)
-	if s.Generated == 0 {
-		known.saw(s.Target, s.Engine)
+	if s.GeneratedTokens == 0 {
+		known.saw(s.Target, s.ReportedTime)
 	}
 }
 
 func (k *rate) learn(s Sample) {
-	p, g, e := float64(s.Uncached), float64(s.Generated), float64(s.Engine)
+	p, g, e := float64(s.UncachedTokens), float64(s.GeneratedTokens), float64(s.ReportedTime)
 	add := func(sum *float64, x float64) { *sum = *sum*fade + x }
 	add(&k.calls, 1)
 	add(&k.engine, e)
-	add(&k.overhead, float64(max(0, s.Took-s.Engine)))
+	add(&k.overhead, float64(max(0, s.Took-s.ReportedTime)))
 	add(&k.p, p)
 	add(&k.pp, p*p)
 	add(&k.g, g)
@@ -104,7 +104,7 @@
 // Estimate is what a call cost that ended without saying so; zero while no call
 // of the pool has ended well. Uncached is taken to be as usual: an engine says
 // it at the end only.
-func (r *Rates) Estimate(pool string, s Sample) time.Duration {
+func (r *Estimator) Estimate(pool string, s Sample) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.byPool[pool]
@@ -115,7 +115,7 @@
 		return known.byTime(s)
 	}
 	prompt, generated := known.prices()
-	us := prompt*known.p/known.calls + generated*float64(s.Generated)
+	us := prompt*known.p/known.calls + generated*float64(s.GeneratedTokens)
 	return min(time.Duration(us), s.Took)
 }
 
@@ -139,9 +139,9 @@
 	return max(time.Duration(k.engine/k.calls), min(last[0], last[1]))
 }
 
-// PromptPrice is what reading one prompt token that isn't cached takes at a
+// PromptTokenTime is what reading one prompt token that isn't cached takes at a
 // pool; zero while that isn't known.
-func (r *Rates) PromptPrice(pool string) time.Duration {
+func (r *Estimator) PromptTokenTime(pool string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.byPool[pool]
--- a/internal/command/cost/rates_test.go
+++ b/internal/command/cost/rates_test.go
@@ -9,16 +9,16 @@
 )
 
 func TestRatesEstimateWhatNoTargetTold(t *testing.T) {
-	var r Rates
+	var r Estimator
 	for i := range 50 {
 		// 1 ms for each generated token and 0.1 ms for each prompt token; the
 		// time taken has nothing to do with it.
 		tokens, prompt := 5+i%7, 100+10*(i%3)
 		engine := time.Duration(tokens)*time.Millisecond + time.Duration(prompt)*100*time.Microsecond
-		r.Learn("llm", Sample{Engine: engine, Took: time.Second, Uncached: prompt, Generated: tokens})
-		r.Learn("alike", Sample{Engine: 10 * time.Millisecond, Took: time.Second, Uncached: 10, Generated: 10})
-		r.Learn("encoder", Sample{Engine: 8 * time.Millisecond, Took: 10 * time.Millisecond})
-		r.Learn("silent", Sample{Took: time.Second})
+		r.RecordCall("llm", Sample{ReportedTime: engine, Took: time.Second, UncachedTokens: prompt, GeneratedTokens: tokens})
+		r.RecordCall("alike", Sample{ReportedTime: 10 * time.Millisecond, Took: time.Second, UncachedTokens: 10, GeneratedTokens: 10})
+		r.RecordCall("encoder", Sample{ReportedTime: 8 * time.Millisecond, Took: 10 * time.Millisecond})
+		r.RecordCall("silent", Sample{Took: time.Second})
 	}
 	tests := []struct {
 		name string
@@ -26,9 +26,9 @@
 		call Sample
 		want time.Duration
 	}{
-		{"a stream that broke", "llm", Sample{Took: time.Second, Generated: 20}, 31 * time.Millisecond},
-		{"never more than the time that passed", "llm", Sample{Took: 5 * time.Millisecond, Generated: 20}, 5 * time.Millisecond},
-		{"calls that are all alike", "alike", Sample{Took: time.Second, Generated: 5}, 5 * time.Millisecond},
+		{"a stream that broke", "llm", Sample{Took: time.Second, GeneratedTokens: 20}, 31 * time.Millisecond},
+		{"never more than the time that passed", "llm", Sample{Took: 5 * time.Millisecond, GeneratedTokens: 20}, 5 * time.Millisecond},
+		{"calls that are all alike", "alike", Sample{Took: time.Second, GeneratedTokens: 5}, 5 * time.Millisecond},
 		{"a straggler that lost to a hedge", "encoder", Sample{Took: 30 * time.Millisecond}, 28 * time.Millisecond},
 		{"a call that waited for long", "encoder", Sample{Took: time.Second}, 32 * time.Millisecond},
 		{"no time to run", "encoder", Sample{Took: time.Millisecond}, 0},
@@ -49,16 +49,16 @@
 )
 
 // knowing has seen a pool's calls at a target that is as usual.
-func knowing(pool, address string) *Rates {
-	r := &Rates{}
+func knowing(pool, address string) *Estimator {
+	r := &Estimator{}
 	for range 50 {
-		r.Learn(pool, endedWell(address))
+		r.RecordCall(pool, endedWell(address))
 	}
 	return r
 }
 
 func endedWell(address string) Sample {
-	return Sample{Target: address, Engine: engineOfTest, Took: engineOfTest + waitOfTest}
+	return Sample{Target: address, ReportedTime: engineOfTest, Took: engineOfTest + waitOfTest}
 }
 
 // A target becomes many times slower than the others of its pool. Hedges win
@@ -73,7 +73,7 @@
 	}
 	got := r.Estimate("retriever", Sample{Target: "a", Took: longCall})
 	assert.Equal(t, got.Round(time.Microsecond), 4*engineOfTest, "a target that is not slow")
-	r.Learn("retriever", endedWell("b"))
+	r.RecordCall("retriever", endedWell("b"))
 	got = r.Estimate("retriever", Sample{Target: "b", Took: longCall})
 	assert.Equal(t, got.Round(time.Microsecond), 4*engineOfTest, "a target that is slow no longer")
 }
@@ -86,16 +86,16 @@
 	for range 10 {
 		got := r.Estimate("retriever", Sample{Target: "a", Took: time.Second})
 		assert.Equal(t, got.Round(time.Microsecond), 4*engineOfTest)
-		r.Learn("retriever", endedWell("a"))
+		r.RecordCall("retriever", endedWell("a"))
 	}
 }
 
 // Targets come and go for as long as a process runs. What is known of those that
 // are gone must not fill its memory.
 func TestRatesRememberABoundedNumberOfTargets(t *testing.T) {
-	r := &Rates{}
+	r := &Estimator{}
 	for i := range 3 * maxTargets {
-		r.Learn("retriever", endedWell(strconv.Itoa(i)))
+		r.RecordCall("retriever", endedWell(strconv.Itoa(i)))
 		r.Estimate("retriever", Sample{Target: "e" + strconv.Itoa(i), Took: longCall})
 	}
 	assert.Assert(t, len(r.byPool["retriever"].byTarget) <= maxTargets)
--- a/internal/command/lease/decide.go
+++ b/internal/command/lease/decide.go
@@ -18,18 +18,18 @@
 
 func (r Row) term() time.Duration { return time.Duration(r.TermMS) * time.Millisecond }
 
-// Seen is a lease's row as it was last read.
-type Seen struct {
+// ObservedRow is a lease's row as it was last read.
+type ObservedRow struct {
 	Row     Row
 	Version uint64
 	// Since is a moment after the row was first read at this version.
 	Since Instant
 }
 
-// Ask is how a lease is asked for.
-type Ask struct {
-	// Wanted is false where the lease must not be asked for yet.
-	Wanted  bool
+// AcquireDecision is how a lease is asked for.
+type AcquireDecision struct {
+	// Acquire is false where the lease must not be asked for yet.
+	Acquire bool
 	If      backing.Condition
 	Version uint64
 }
@@ -42,23 +42,23 @@
 // counts from before it asked, has ended on any clock. Our own row, which we
 // also find where the answer to an earlier asking was lost, may be renewed at
 // any time: nobody else holds while it stands.
-func Decide(me peer.Incarnation, seen *Seen, now Instant) Ask {
+func Decide(me peer.Incarnation, seen *ObservedRow, now Instant) AcquireDecision {
 	if seen == nil {
-		return Ask{Wanted: true, If: backing.IfAbsent}
+		return AcquireDecision{Acquire: true, If: backing.IfAbsent}
 	}
 	ours := seen.Row.Holder == me
 	waited := now.Mono-seen.Since.Mono >= seen.Row.term()
 	if ours || seen.Row.Released || waited {
-		return Ask{Wanted: true, If: backing.IfVersion, Version: seen.Version}
+		return AcquireDecision{Acquire: true, If: backing.IfVersion, Version: seen.Version}
 	}
-	return Ask{}
+	return AcquireDecision{}
 }
 
 // Observe notes a row that was just read. The wait of a taker goes on only
 // where the version is the same as before.
-func Observe(before *Seen, row Row, version uint64, now Instant) *Seen {
+func Observe(before *ObservedRow, row Row, version uint64, now Instant) *ObservedRow {
 	if before != nil && before.Version == version {
 		return before
 	}
-	return &Seen{Row: row, Version: version, Since: now}
+	return &ObservedRow{Row: row, Version: version, Since: now}
 }
--- a/internal/command/lease/lease_test.go
+++ b/internal/command/lease/lease_test.go
@@ -18,7 +18,7 @@
 func at(mono, wall time.Duration) Instant { return Instant{Mono: mono, Wall: noon.Add(wall)} }
 
 func TestTermHolds(t *testing.T) {
-	term := Term{Token: 1, Asked: at(0, 0), Length: length}
+	term := Term{Token: 1, RequestedAt: at(0, 0), Length: length}
 	cases := []struct {
 		name string
 		now  Instant
@@ -44,16 +44,16 @@
 	released.Released = true
 	cases := []struct {
 		name string
-		seen *Seen
+		seen *ObservedRow
 		now  Instant
-		want Ask
+		want AcquireDecision
 	}{
-		{"no row", nil, at(0, 0), Ask{Wanted: true, If: backing.IfAbsent}},
-		{"own", &Seen{Row: Row{Holder: "a"}, Version: 3}, at(0, 0), Ask{Wanted: true, If: backing.IfVersion, Version: 3}},
-		{"released", &Seen{Row: released, Version: 3}, at(0, 0), Ask{Wanted: true, If: backing.IfVersion, Version: 3}},
-		{"waited a term", &Seen{Row: other, Version: 3}, at(length, 0), Ask{Wanted: true, If: backing.IfVersion, Version: 3}},
-		{"only the wall clock went on", &Seen{Row: other, Version: 3}, at(time.Second, length), Ask{}},
-		{"waited less", &Seen{Row: other, Version: 3}, at(length-1, length), Ask{}},
+		{"no row", nil, at(0, 0), AcquireDecision{Acquire: true, If: backing.IfAbsent}},
+		{"own", &ObservedRow{Row: Row{Holder: "a"}, Version: 3}, at(0, 0), AcquireDecision{Acquire: true, If: backing.IfVersion, Version: 3}},
+		{"released", &ObservedRow{Row: released, Version: 3}, at(0, 0), AcquireDecision{Acquire: true, If: backing.IfVersion, Version: 3}},
+		{"waited a term", &ObservedRow{Row: other, Version: 3}, at(length, 0), AcquireDecision{Acquire: true, If: backing.IfVersion, Version: 3}},
+		{"only the wall clock went on", &ObservedRow{Row: other, Version: 3}, at(time.Second, length), AcquireDecision{}},
+		{"waited less", &ObservedRow{Row: other, Version: 3}, at(length-1, length), AcquireDecision{}},
 	}
 	for _, c := range cases {
 		assert.Equal(t, Decide("a", c.seen, c.now), c.want, c.name)
@@ -83,15 +83,15 @@
 	store := memory.New()
 	a, b := newProcess(store, "a"), newProcess(store, "b")
 	pools := []string{"llm"}
-	assert.NilError(t, a.Cycle(t.Context(), pools))
+	assert.NilError(t, a.AcquireOrRenew(t.Context(), pools))
 	oldToken, holds := a.Check("llm")
 	assert.Assert(t, holds)
-	assert.NilError(t, b.Cycle(t.Context(), pools))
+	assert.NilError(t, b.AcquireOrRenew(t.Context(), pools))
 	_, holds = b.Check("llm")
 	assert.Assert(t, !holds)
 	a.pass(length)
 	b.pass(length)
-	assert.NilError(t, b.Cycle(t.Context(), pools))
+	assert.NilError(t, b.AcquireOrRenew(t.Context(), pools))
 	newToken, holds := b.Check("llm")
 	assert.Assert(t, holds)
 	assert.Assert(t, newToken > oldToken)
@@ -106,17 +106,17 @@
 	store := memory.New()
 	a := newProcess(store, "a")
 	pools := []string{"llm"}
-	assert.NilError(t, a.Cycle(t.Context(), pools))
+	assert.NilError(t, a.AcquireOrRenew(t.Context(), pools))
 	a.pass(length / 2)
 	store.SetFaults(func(memory.Call) memory.Fault { return memory.LostAnswer })
-	assert.ErrorIs(t, a.Cycle(t.Context(), pools), backing.ErrUnknown)
+	assert.ErrorIs(t, a.AcquireOrRenew(t.Context(), pools), backing.ErrUnknown)
 	_, holds := a.Check("llm")
 	assert.Assert(t, holds)
 	a.pass(length / 2)
 	_, holds = a.Check("llm")
 	assert.Assert(t, !holds)
 	store.SetFaults(nil)
-	assert.NilError(t, a.Cycle(t.Context(), pools))
+	assert.NilError(t, a.AcquireOrRenew(t.Context(), pools))
 	_, holds = a.Check("llm")
 	assert.Assert(t, holds)
 }
@@ -127,11 +127,11 @@
 	store := memory.New()
 	a, b := newProcess(store, "a"), newProcess(store, "b")
 	pools := []string{"llm"}
-	assert.NilError(t, a.Cycle(t.Context(), pools))
+	assert.NilError(t, a.AcquireOrRenew(t.Context(), pools))
 	assert.NilError(t, a.Release(t.Context()))
 	_, holds := a.Check("llm")
 	assert.Assert(t, !holds)
-	assert.NilError(t, b.Cycle(t.Context(), pools))
+	assert.NilError(t, b.AcquireOrRenew(t.Context(), pools))
 	_, holds = b.Check("llm")
 	assert.Assert(t, holds)
 	token, _ := b.Check("llm")
@@ -144,12 +144,12 @@
 	store := memory.New()
 	a, b := newProcess(store, "a"), newProcess(store, "b")
 	pools := []string{"llm"}
-	assert.NilError(t, a.Cycle(t.Context(), pools))
+	assert.NilError(t, a.AcquireOrRenew(t.Context(), pools))
 	store.SetFaults(func(memory.Call) memory.Fault { return memory.LostAnswer })
 	assert.ErrorIs(t, a.ask(t.Context(), "llm", Decide("a", a.seen["llm"], a.now)), backing.ErrUnknown)
 	store.SetFaults(nil)
 	assert.NilError(t, a.Release(t.Context()))
-	assert.NilError(t, b.Cycle(t.Context(), pools))
+	assert.NilError(t, b.AcquireOrRenew(t.Context(), pools))
 	_, holds := b.Check("llm")
 	assert.Assert(t, holds)
 }
--- a/internal/command/lease/manager.go
+++ b/internal/command/lease/manager.go
@@ -28,7 +28,7 @@
 	clock  Clock
 	length time.Duration
 	// seen is used by Cycle and Release alone, which must not run at once.
-	seen map[string]*Seen
+	seen map[string]*ObservedRow
 
 	mu    sync.Mutex // guards terms
 	terms map[string]Term
@@ -43,7 +43,7 @@
 		me:     me,
 		clock:  clock,
 		length: length,
-		seen:   map[string]*Seen{},
+		seen:   map[string]*ObservedRow{},
 		terms:  map[string]Term{},
 	}
 }
@@ -63,15 +63,15 @@
 	return term.Token, true
 }
 
-// Cycle reads the leases and asks for those of the pools that are free or our
+// AcquireOrRenew reads the leases and asks for those of the pools that are free or our
 // own. An error ends it early; terms that were granted go on until they end.
-func (m *Manager) Cycle(ctx context.Context, pools []string) error {
+func (m *Manager) AcquireOrRenew(ctx context.Context, pools []string) error {
 	if err := m.read(ctx); err != nil {
 		return err
 	}
 	for _, pool := range pools {
 		ask := Decide(m.me, m.seen[pool], m.clock())
-		if !ask.Wanted {
+		if !ask.Acquire {
 			continue
 		}
 		if err := m.ask(ctx, pool, ask); err != nil {
@@ -107,7 +107,7 @@
 // ask makes one asking. Where its answer is lost the term before it goes on to
 // its end, and the next cycle finds the row, which is our own if the asking
 // took effect, and asks anew: a term never begins with a lost answer.
-func (m *Manager) ask(ctx context.Context, pool string, ask Ask) error {
+func (m *Manager) ask(ctx context.Context, pool string, ask AcquireDecision) error {
 	asked := m.clock()
 	body := Row{Holder: m.me, TermMS: m.length.Milliseconds()}
 	write := m.write(pool, body, ask)
@@ -119,12 +119,12 @@
 		return nil
 	}
 	version := backing.NextVersion(write)
-	m.seen[pool] = &Seen{Row: body, Version: version, Since: m.clock()}
-	m.set(pool, Term{Token: version, Asked: asked, Length: m.length})
+	m.seen[pool] = &ObservedRow{Row: body, Version: version, Since: m.clock()}
+	m.set(pool, Term{Token: version, RequestedAt: asked, Length: m.length})
 	return nil
 }
 
-func (m *Manager) write(pool string, body Row, ask Ask) backing.Write {
+func (m *Manager) write(pool string, body Row, ask AcquireDecision) backing.Write {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		panic(fmt.Sprintf("lease: encode: %v", err))
@@ -158,7 +158,7 @@
 func (m *Manager) release(ctx context.Context, pool string, version uint64) error {
 	body := Row{Holder: m.me, TermMS: m.length.Milliseconds(), Released: true}
 	for {
-		ask := Ask{If: backing.IfVersion, Version: version}
+		ask := AcquireDecision{If: backing.IfVersion, Version: version}
 		conflicts, err := m.table.Commit(ctx, []backing.Write{m.write(pool, body, ask)})
 		if err != nil || len(conflicts) == 0 {
 			return err
--- a/internal/command/lease/model_test.go
+++ b/internal/command/lease/model_test.go
@@ -173,7 +173,7 @@
 func (p *modelProc) cycle() {
 	p.inCall = true
 	defer func() { p.inCall = false }()
-	_ = p.Cycle(context.Background(), []string{modelPool}) // its errors are the store's
+	_ = p.AcquireOrRenew(context.Background(), []string{modelPool}) // its errors are the store's
 }
 
 // check is the promise: at no moment do two processes hold the lease.
--- a/internal/command/lease/term.go
+++ b/internal/command/lease/term.go
@@ -29,10 +29,10 @@
 // Term is a lease that was granted. The zero value does not hold.
 type Term struct {
 	Token uint64
-	// Asked is the moment before the lease was asked for. Counting from the
+	// RequestedAt is the moment before the lease was asked for. Counting from the
 	// answer would let the term end later here than where others count.
-	Asked  Instant
-	Length time.Duration
+	RequestedAt Instant
+	Length      time.Duration
 }
 
 // marginParts is the part of a term that is left unused, and the difference
@@ -49,8 +49,8 @@
 		return false
 	}
 	margin := t.Length / marginParts
-	mono := now.Mono - t.Asked.Mono
-	wall := now.Wall.Sub(t.Asked.Wall)
+	mono := now.Mono - t.RequestedAt.Mono
+	wall := now.Wall.Sub(t.RequestedAt.Wall)
 	if (mono - wall).Abs() > margin {
 		return false
 	}
--- a/internal/command/order/order_test.go
+++ b/internal/command/order/order_test.go
@@ -41,11 +41,11 @@
 	load := Order{SetModel: &targetapi.SetModelRequest{Model: "m"}}
 	unload := Order{UnloadAdapter: &targetapi.AdapterRequest{LoraName: "a"}}
 	all := []Candidate{
-		{Address: "e", Next: load},
-		{Address: "d", Next: load},
-		{Address: "c", Busy: true, Next: load},
+		{Address: "e", NextOrder: load},
+		{Address: "d", NextOrder: load},
+		{Address: "c", Busy: true, NextOrder: load},
 		{Address: "b"},
-		{Address: "a", Next: unload},
+		{Address: "a", NextOrder: unload},
 	}
 	var got []string
 	for _, c := range Choose(all, 2) {
--- a/internal/command/order/plan.go
+++ b/internal/command/order/plan.go
@@ -19,20 +19,20 @@
 	UnloadAdapter *targetapi.AdapterRequest
 }
 
-// None says that nothing is to be ordered.
-func (o Order) None() bool { return o == Order{} }
+// IsEmpty says that nothing is to be ordered.
+func (o Order) IsEmpty() bool { return o == Order{} }
 
-// Loads says that the order has the engine fetch weights.
-func (o Order) Loads() bool { return o.SetModel != nil || o.LoadAdapter != nil }
+// LoadsWeights says that the order has the engine fetch weights.
+func (o Order) LoadsWeights() bool { return o.SetModel != nil || o.LoadAdapter != nil }
 
-// Steers says whether the pool's engines are to be ordered at all.
-func Steers(pool config.Pool) bool { return pool.Kind == config.TargetEngine && pool.Model != "" }
+// IsManaged says whether the pool's engines are to be ordered at all.
+func IsManaged(pool config.Pool) bool { return pool.Kind == config.TargetEngine && pool.Model != "" }
 
 // Next is the next order that brings an engine from what it reports towards
 // what its pool wants: first the model, version and role, then the adapter,
 // then away with adapters that nobody wants.
 func Next(pool config.Pool, report targetapi.ModelList) Order {
-	if !Steers(pool) {
+	if !IsManaged(pool) {
 		return Order{}
 	}
 	base, adapters := split(report)
--- a/internal/command/order/rollout.go
+++ b/internal/command/order/rollout.go
@@ -4,8 +4,8 @@
 
 // Candidate is an engine with its next order.
 type Candidate struct {
-	Address string
-	Next    Order
+	Address   string
+	NextOrder Order
 	// Busy says that an earlier order to it is still on its way.
 	Busy bool
 }
@@ -26,8 +26,8 @@
 	var chosen []Candidate
 	for _, c := range sorted {
 		switch {
-		case c.Busy || c.Next.None():
-		case !c.Next.Loads():
+		case c.Busy || c.NextOrder.IsEmpty():
+		case !c.NextOrder.LoadsWeights():
 			chosen = append(chosen, c)
 		case free > 0:
 			free--
--- a/internal/command/snapshot/snapshot_test.go
+++ b/internal/command/snapshot/snapshot_test.go
@@ -62,7 +62,7 @@
 	f.Add([]byte(`null`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		state, err := query.Decode(raw)
-		if err == nil && (state.Pools == nil || state.Last == nil || state.Contracts == nil) {
+		if err == nil && (state.Pools == nil || state.LastChanges == nil || state.Contracts == nil) {
 			t.Fatal("a map is nil")
 		}
 	})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -137,8 +137,8 @@
 
 // Stop is an announced planned stop. It is in force until it is deleted.
 type Stop struct {
-	ID string   `json:"id"`
-	On StopKind `json:"on"`
+	ID      string   `json:"id"`
+	Subject StopKind `json:"on"`
 	// Address is the IP:port of the target, or of the entry VM's caller side.
 	Address string    `json:"address"`
 	Reason  string    `json:"reason,omitempty"`
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -14,9 +14,9 @@
 	Pipelines map[string]Pipeline `json:"pipelines"`
 	Services  map[string]Service  `json:"services"`
 	Stops     map[string]Stop     `json:"stops"`
-	// Last is the last change of each item by ItemKey, deletions included, so
+	// LastChanges is the last change of each item by ItemKey, deletions included, so
 	// that the loser of a race can be told who changed what.
-	Last map[string]LastChange `json:"last"`
+	LastChanges map[string]LastChange `json:"last"`
 }
 
 // LastChange says who last changed an item, and at which revision.
@@ -33,12 +33,12 @@
 // NewState is the state before any change.
 func NewState() *State {
 	return &State{
-		Contracts: map[string]Contract{},
-		Pools:     map[string]Pool{},
-		Pipelines: map[string]Pipeline{},
-		Services:  map[string]Service{},
-		Stops:     map[string]Stop{},
-		Last:      map[string]LastChange{},
+		Contracts:   map[string]Contract{},
+		Pools:       map[string]Pool{},
+		Pipelines:   map[string]Pipeline{},
+		Services:    map[string]Service{},
+		Stops:       map[string]Stop{},
+		LastChanges: map[string]LastChange{},
 	}
 }
 
@@ -81,7 +81,7 @@
 		return err
 	}
 	s.Revision = c.Revision
-	s.Last[ItemKey(c.Kind, c.Name)] = LastChange{Revision: c.Revision, ChangeID: c.ID, By: c.By, Deleted: c.Deleted}
+	s.LastChanges[ItemKey(c.Kind, c.Name)] = LastChange{Revision: c.Revision, ChangeID: c.ID, By: c.By, Deleted: c.Deleted}
 	return nil
 }
 
@@ -100,13 +100,13 @@
 
 func (s *State) clone() *State {
 	return &State{
-		Revision:  s.Revision,
-		Contracts: copyMap(s.Contracts),
-		Pools:     copyMap(s.Pools),
-		Pipelines: copyMap(s.Pipelines),
-		Services:  copyMap(s.Services),
-		Stops:     copyMap(s.Stops),
-		Last:      copyMap(s.Last),
+		Revision:    s.Revision,
+		Contracts:   copyMap(s.Contracts),
+		Pools:       copyMap(s.Pools),
+		Pipelines:   copyMap(s.Pipelines),
+		Services:    copyMap(s.Services),
+		Stops:       copyMap(s.Stops),
+		LastChanges: copyMap(s.LastChanges),
 	}
 }
 
--- a/internal/config/state_test.go
+++ b/internal/config/state_test.go
@@ -30,5 +30,5 @@
 	s, err := NewState().Apply(contractChange(1, 1), Change{Revision: 2, Kind: KindContract, Name: "a", Deleted: true})
 	assert.NilError(t, err)
 	assert.Equal(t, len(s.Contracts), 0)
-	assert.Equal(t, s.Last[ItemKey(KindContract, "a")].Deleted, true)
+	assert.Equal(t, s.LastChanges[ItemKey(KindContract, "a")].Deleted, true)
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -86,7 +86,7 @@
 	_, _ = body.ReadFrom(r.Body)
 	req := command.Request{
 		ID: r.Header.Get("Change-Id"), Kind: config.Kind(strings.TrimSuffix(r.PathValue("section"), "s")), Name: r.PathValue("name"),
-		Body: body.Bytes(), Deleted: r.Method == http.MethodDelete, By: r.Header.Get("X-Operator"), Expect: config.Revision(expect),
+		Body: body.Bytes(), Deleted: r.Method == http.MethodDelete, By: r.Header.Get("X-Operator"), ExpectedRevision: config.Revision(expect),
 	}
 	out := command.New(e.store, config.NewState).Submit(r.Context(), req)
 	switch {
@@ -98,7 +98,7 @@
 		detail := fmt.Sprintf("%s changed this item at revision %d", out.Last.By, out.Last.Revision)
 		reply(w, 412, problem.New(412, "conflict", "Somebody else changed it", detail, problem.NotRun))
 	default:
-		reply(w, 400, problem.New(400, "invalid", "Not valid", strings.Join(out.Faults, "; "), problem.NotRun))
+		reply(w, 400, problem.New(400, "invalid", "Not valid", strings.Join(out.ValidationErrors, "; "), problem.NotRun))
 	}
 }
 
--- a/internal/ctl/items.go
+++ b/internal/ctl/items.go
@@ -43,7 +43,7 @@
 	}
 	for i := range all {
 		all[i].Kind = kind
-		all[i].Last = state.Last[config.ItemKey(kind, all[i].Name)]
+		all[i].Last = state.LastChanges[config.ItemKey(kind, all[i].Name)]
 	}
 	slices.SortFunc(all, func(a, b item) int { return bytes.Compare([]byte(a.Name), []byte(b.Name)) })
 	return all
@@ -80,7 +80,7 @@
 	if cmd.IsSet(flagIf) {
 		return config.Revision(cmd.Uint64(flagIf))
 	}
-	return state.Last[config.ItemKey(kind, name)].Revision
+	return state.LastChanges[config.ItemKey(kind, name)].Revision
 }
 
 func (d *desk) getItem(kind config.Kind) action {
--- a/internal/ctl/stops.go
+++ b/internal/ctl/stops.go
@@ -43,9 +43,9 @@
 	case (target == "") == (vm == ""):
 		return stop, usagef("name either --target or --vm")
 	case target != "":
-		stop.On, stop.Address = config.StopTarget, target
+		stop.Subject, stop.Address = config.StopTarget, target
 	default:
-		stop.On, stop.Address = config.StopVM, vm
+		stop.Subject, stop.Address = config.StopVM, vm
 	}
 	if stop.ID == "" {
 		stop.ID = stop.Address
@@ -69,7 +69,7 @@
 			safe = "yes"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d of %d\t%d\t%s\t%s\n",
-			s.ID, s.On, s.Address, s.By, s.At.Format(time.RFC3339), s.Heeded, s.Reports, s.InFlight, safe, s.Reason)
+			s.ID, s.Subject, s.Address, s.By, s.At.Format(time.RFC3339), s.Heeded, s.Reports, s.InFlight, safe, s.Reason)
 	}
 }
 
--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -117,7 +117,7 @@
 	if err != nil {
 		return req, problem.New(400, "if-match", "Bad If-Match", "If-Match must be a revision.", problem.NotRun)
 	}
-	req.Expect = config.Revision(revision)
+	req.ExpectedRevision = config.Revision(revision)
 	switch {
 	case ctx.IsDelete():
 		req.Deleted = true
@@ -152,7 +152,7 @@
 			"%s changed this item at revision %d (change %s). Nothing of this change was applied.",
 			out.Last.By, out.Last.Revision, out.Last.ChangeID), problem.NotRun)
 	case change.Invalid:
-		return problem.New(400, "invalid", "Not a valid item", strings.Join(out.Faults, "; "), problem.NotRun)
+		return problem.New(400, "invalid", "Not a valid item", strings.Join(out.ValidationErrors, "; "), problem.NotRun)
 	case change.Unavailable:
 		return problem.New(503, "store-down", "The table service is down",
 			"Nothing was changed.", problem.NotRun).WithRetryAfter(claimRetry)
--- a/internal/entry/certainty.go
+++ b/internal/entry/certainty.go
@@ -169,7 +169,7 @@
 }
 
 func (c *certainty) claimOf(ctx context.Context, r refused) submissions.Claim {
-	row, err := c.server.claims.Look(ctx, claim.Identity{Customer: r.customer, IdempotencyKey: r.key})
+	row, err := c.server.claims.Lookup(ctx, claim.Identity{Customer: r.customer, IdempotencyKey: r.key})
 	switch {
 	case err != nil:
 		return submissions.ClaimUnknown
--- a/internal/entry/observer.go
+++ b/internal/entry/observer.go
@@ -21,7 +21,7 @@
 	server *Server
 	log    *zap.Logger
 	costs  *cost.Recorder
-	rates  cost.Rates
+	rates  cost.Estimator
 }
 
 func newObserver(s *Server) *observer {
@@ -69,7 +69,7 @@
 	}
 	if c.Waste == pipeline.NoWaste {
 		amount.Requests = 1
-		o.rates.Learn(c.Pool, sampleOf(c))
+		o.rates.RecordCall(c.Pool, sampleOf(c))
 		return amount
 	}
 	if c.EngineTime == 0 {
@@ -84,8 +84,8 @@
 
 func sampleOf(c pipeline.Charge) cost.Sample {
 	return cost.Sample{
-		Target: c.Target, Engine: c.EngineTime, Took: c.Took,
-		Uncached: c.Usage.PromptTokens - c.Usage.CachedTokens, Generated: c.Usage.CompletionTokens,
+		Target: c.Target, ReportedTime: c.EngineTime, Took: c.Took,
+		UncachedTokens: c.Usage.PromptTokens - c.Usage.CachedTokens, GeneratedTokens: c.Usage.CompletionTokens,
 	}
 }
 
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -112,7 +112,7 @@
 		Latencies: pipeline.NewLatencyTracker(), Observer: s.observer, Suspicion: s.suspects,
 	}
 	if !opts.Policy.NoAffinity {
-		s.prefixes = prefix.New(s.observer.rates.PromptPrice)
+		s.prefixes = prefix.New(s.observer.rates.PromptTokenTime)
 		s.executor.Prefixes = s.prefixes
 	}
 	s.keeper.OnChange(func(state *config.State) { s.stops.inForce(state) })
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -229,7 +229,7 @@
 	}
 	limit := began.Add(claimTerm)
 	if time.Now().After(limit) {
-		s.claims.ReleaseLater(out.Grant)
+		s.claims.ReleaseAsync(out.Grant)
 		return nil, lateClaim()
 	}
 	// The client looks at the limit again right before it sends: the process
@@ -237,11 +237,11 @@
 	answer, prob := s.dispatch(ctx, sc, sending{token: uint64(out.Grant.Token), before: limit})
 	switch {
 	case prob == nil:
-		s.claims.FinishLater(out.Grant, claim.Answer{
+		s.claims.FinishAsync(out.Grant, claim.Answer{
 			Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body,
 		})
 	case prob.Execution == problem.NotRun:
-		s.claims.ReleaseLater(out.Grant)
+		s.claims.ReleaseAsync(out.Grant)
 	}
 	return answer, prob
 }
--- a/internal/entry/stops.go
+++ b/internal/entry/stops.go
@@ -125,8 +125,8 @@
 // be refused is not announced: its loser would have half of it applied.
 func (st *stops) announce(req change.Request, stop config.Stop) bool {
 	state := st.state()
-	last := state.Last[config.ItemKey(config.KindStop, req.Name)]
-	expected := last.Revision == req.Expect || (req.Expect == 0 && last.Deleted)
+	last := state.LastChanges[config.ItemKey(config.KindStop, req.Name)]
+	expected := last.Revision == req.ExpectedRevision || (req.ExpectedRevision == 0 && last.Deleted)
 	if !expected || len(change.Validate(state, req)) > 0 {
 		return false
 	}
@@ -163,7 +163,7 @@
 			continue
 		}
 		withdrawn[a.Withdrawn] = true
-		if a.Stop != nil && a.Change != nil && state.Last[config.ItemKey(config.KindStop, a.Stop.ID)].Revision <= a.After {
+		if a.Stop != nil && a.Change != nil && state.LastChanges[config.ItemKey(config.KindStop, a.Stop.ID)].Revision <= a.After {
 			all = append(all, a)
 		}
 	}
@@ -180,12 +180,12 @@
 func (st *stops) all(kind config.StopKind) map[string]bool {
 	addresses := map[string]bool{}
 	for _, stop := range st.state().Stops {
-		if stop.On == kind {
+		if stop.Subject == kind {
 			addresses[stop.Address] = true
 		}
 	}
 	for _, a := range st.pending() {
-		if a.Stop.On == kind {
+		if a.Stop.Subject == kind {
 			addresses[a.Stop.Address] = true
 		}
 	}
@@ -272,7 +272,7 @@
 		st.server.putInForce(*a.Change, out.Revision)
 	case change.Conflict, change.Invalid:
 		st.server.log.Warn("Announced stop was refused.", zap.String("stop", a.Stop.ID),
-			zap.String("by", a.Change.By), zap.String("changed_by", out.Last.By), zap.Strings("faults", out.Faults))
+			zap.String("by", a.Change.By), zap.String("changed_by", out.Last.By), zap.Strings("faults", out.ValidationErrors))
 		st.withdraw(*a.Change)
 	}
 }
--- a/internal/query/status/merge.go
+++ b/internal/query/status/merge.go
@@ -67,7 +67,7 @@
 	all := []Stop{}
 	for _, planned := range s.Stops {
 		stop := Stop{Stop: planned}
-		if planned.On == config.StopVM {
+		if planned.Subject == config.StopVM {
 			stop.countVM(s.Reports)
 		} else {
 			stop.countTarget(s.Reports)
--- a/internal/query/status/merge_test.go
+++ b/internal/query/status/merge_test.go
@@ -38,9 +38,9 @@
 		Reports: reports,
 		Listed:  []backing.VM{{Address: "10.0.0.3:80", Role: backing.RoleEntry, Zone: "c"}, {Address: "10.0.0.1:80", Role: backing.RoleEntry}},
 		Stops: []config.Stop{
-			{ID: "s1", On: config.StopTarget, Address: "t1"},
-			{ID: "s2", On: config.StopVM, Address: "10.0.0.2:80"},
-			{ID: "s3", On: config.StopTarget, Address: "t9"},
+			{ID: "s1", Subject: config.StopTarget, Address: "t1"},
+			{ID: "s2", Subject: config.StopVM, Address: "10.0.0.2:80"},
+			{ID: "s3", Subject: config.StopTarget, Address: "t9"},
 		},
 	})
 	assert.Equal(t, got.Revision, config.Revision(7))
--- a/internal/steward/orders.go
+++ b/internal/steward/orders.go
@@ -21,7 +21,7 @@
 func (s *Steward) steeredPools() []string {
 	var names []string
 	for name, pool := range s.opts.Config().Pools {
-		if order.Steers(pool) {
+		if order.IsManaged(pool) {
 			names = append(names, name)
 		}
 	}
@@ -41,7 +41,7 @@
 
 func (s *Steward) orderPool(ctx context.Context, pool config.Pool) {
 	candidates := s.candidates(ctx, pool)
-	for _, c := range order.Choose(candidates, s.opts.LoadsAtOnce) {
+	for _, c := range order.Choose(candidates, s.opts.MaxConcurrentLoads) {
 		s.begin(ctx, pool.Name, c)
 	}
 }
@@ -78,7 +78,7 @@
 		s.log.Debug("engine gives no report", zap.String("target", address), zap.Error(err))
 		return candidate, false
 	}
-	candidate.Next = order.Next(pool, report)
+	candidate.NextOrder = order.Next(pool, report)
 	return candidate, true
 }
 
@@ -100,7 +100,7 @@
 func (s *Steward) stopping() map[string]bool {
 	addresses := map[string]bool{}
 	for _, stop := range s.opts.Config().Stops {
-		if stop.On == config.StopTarget {
+		if stop.Subject == config.StopTarget {
 			addresses[stop.Address] = true
 		}
 	}
@@ -139,7 +139,7 @@
 			log.Info("lease lapsed before an order")
 			return
 		}
-		result, err := s.client.Send(context.WithoutCancel(ctx), c.Address, c.Next, token, id)
-		log.Info("order given", zap.String("result", string(result)), zap.Uint64("token", token), zap.Any("order", c.Next), zap.Error(err))
+		result, err := s.client.Send(context.WithoutCancel(ctx), c.Address, c.NextOrder, token, id)
+		log.Info("order given", zap.String("result", string(result)), zap.Uint64("token", token), zap.Any("order", c.NextOrder), zap.Error(err))
 	})
 }
--- a/internal/steward/program/program.go
+++ b/internal/steward/program/program.go
@@ -115,8 +115,8 @@
 		Period: cmd.Duration(flagConfigPeriod),
 	})
 	s := steward.New(steward.Options{
-		Me: me, Table: shared.Table, VMs: shared.VMs, Config: known(keeper), Log: log,
-		Term: cmd.Duration(flagLeaseTerm), Period: cmd.Duration(flagPeriod), LoadsAtOnce: cmd.Int(flagLoadsAtOnce),
+		OwnIncarnation: me, Table: shared.Table, VMs: shared.VMs, Config: known(keeper), Log: log,
+		LeaseTerm: cmd.Duration(flagLeaseTerm), Period: cmd.Duration(flagPeriod), MaxConcurrentLoads: cmd.Int(flagLoadsAtOnce),
 	})
 	// The network outlives the signal, so that the planned stop is told.
 	if err := node.Start(context.WithoutCancel(ctx)); err != nil {
--- a/internal/steward/steward.go
+++ b/internal/steward/steward.go
@@ -20,18 +20,18 @@
 
 // Options are what a Steward is made of. All are required.
 type Options struct {
-	Me    peer.Incarnation
-	Table backing.Table
-	VMs   backing.VMList
+	OwnIncarnation peer.Incarnation
+	Table          backing.Table
+	VMs            backing.VMList
 	// Config is the configuration in force in this process.
 	Config func() *config.State
 	Log    *zap.Logger
-	// Term is the length of a lease.
-	Term time.Duration
+	// LeaseTerm is the length of a lease.
+	LeaseTerm time.Duration
 	// Period is how often VM list and engines are looked at.
 	Period time.Duration
-	// LoadsAtOnce bounds how many engines of a pool fetch weights together.
-	LoadsAtOnce int
+	// MaxConcurrentLoads bounds how many engines of a pool fetch weights together.
+	MaxConcurrentLoads int
 }
 
 // drainTime is how long a planned stop waits for orders on their way; an
@@ -60,7 +60,7 @@
 	return &Steward{
 		opts:   opts,
 		log:    logging.Part(opts.Log, "steward"),
-		leases: lease.NewManager(opts.Table, opts.Me, lease.SystemClock(), opts.Term),
+		leases: lease.NewManager(opts.Table, opts.OwnIncarnation, lease.SystemClock(), opts.LeaseTerm),
 		client: order.NewClient(),
 		busy:   map[string]bool{},
 	}
@@ -121,7 +121,7 @@
 }
 
 func (s *Steward) renew(ctx context.Context) {
-	if err := s.leases.Cycle(ctx, s.steeredPools()); err != nil && ctx.Err() == nil {
+	if err := s.leases.AcquireOrRenew(ctx, s.steeredPools()); err != nil && ctx.Err() == nil {
 		s.log.Warn("leases can't be renewed", zap.Error(err))
 	}
 }
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -61,7 +61,7 @@
 	body, err := json.Marshal(config.Pool{Name: "llm", Kind: config.TargetEngine, Model: "m", Version: version})
 	assert.NilError(t, err)
 	out := change.New(store, config.NewState).Submit(t.Context(), change.Request{
-		ID: "wants-" + version, Kind: config.KindPool, Name: "llm", Body: body, By: "day", Expect: expect,
+		ID: "wants-" + version, Kind: config.KindPool, Name: "llm", Body: body, By: "day", ExpectedRevision: expect,
 	})
 	assert.Equal(t, out.Result, change.Accepted)
 	return out.Revision
@@ -79,8 +79,8 @@
 // start runs a steward until the returned function is called.
 func start(t *testing.T, me string, store *memory.Store, f *fleet.Fleet) (*Steward, func()) {
 	s := New(Options{
-		Me: peer.Incarnation(me), Table: store, VMs: listOf(f), Config: inForce(t, store), Log: zap.NewNop(),
-		Term: term, Period: 50 * time.Millisecond, LoadsAtOnce: 2,
+		OwnIncarnation: peer.Incarnation(me), Table: store, VMs: listOf(f), Config: inForce(t, store), Log: zap.NewNop(),
+		LeaseTerm: term, Period: 50 * time.Millisecond, MaxConcurrentLoads: 2,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -158,8 +158,8 @@
 func TestStoppingEngineGetsNoOrder(t *testing.T) {
 	f := engines(t, true)
 	state := config.NewState()
-	state.Stops["s"] = config.Stop{ID: "s", On: config.StopTarget, Address: f.Targets["llm"][0]}
-	s := New(Options{Me: "a", Table: memory.New(), Config: func() *config.State { return state }, Log: zap.NewNop(), Term: term})
+	state.Stops["s"] = config.Stop{ID: "s", Subject: config.StopTarget, Address: f.Targets["llm"][0]}
+	s := New(Options{OwnIncarnation: "a", Table: memory.New(), Config: func() *config.State { return state }, Log: zap.NewNop(), LeaseTerm: term})
 	s.vms = listOf(f)
 	assert.DeepEqual(t, s.engines("llm"), f.Targets["llm"][1:])
 }
--- a/test/configuration_test.go
+++ b/test/configuration_test.go
@@ -213,7 +213,7 @@
 // rotateKey gives the customer another key in place of the one he has.
 func (c *cluster) rotateKey(address string) config.Revision {
 	c.t.Helper()
-	last := stateAt(address).Last[config.ItemKey(config.KindContract, customer)].Revision
+	last := stateAt(address).LastChanges[config.ItemKey(config.KindContract, customer)].Revision
 	item := config.Contract{Customer: customer, KeyHashes: []string{hashOf(laterKey)}}
 	return change(address, "night shift", "rotate", "contracts/"+customer, item, last).accepted(c.t)
 }
--- a/test/identity_test.go
+++ b/test/identity_test.go
@@ -251,7 +251,7 @@
 	c.t.Helper()
 	var state config.State
 	assert.NilError(c.t, json.Unmarshal(operate(at, http.MethodGet, "config", nil, nil).body, &state))
-	return state.Last[config.ItemKey(kind, name)].Revision
+	return state.LastChanges[config.ItemKey(kind, name)].Revision
 }
 
 // orderModel has an engine serve another model or version.
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -21,7 +21,7 @@
 const soon = 3 * time.Second
 
 func stopOf(id, target string) config.Stop {
-	return config.Stop{ID: id, On: config.StopTarget, Address: target, By: "night shift", At: time.Now().UTC()}
+	return config.Stop{ID: id, Subject: config.StopTarget, Address: target, By: "night shift", At: time.Now().UTC()}
 }
 
 // announceStop has a stop announced at one entry VM.
--- a/test/long_test.go
+++ b/test/long_test.go
@@ -362,7 +362,7 @@
 	for _, address := range c.addresses() {
 		state := stateAt(address)
 		for name, revision := range accepted {
-			if state.Last[config.ItemKey(config.KindContract, name)].Revision != revision {
+			if state.LastChanges[config.ItemKey(config.KindContract, name)].Revision != revision {
 				t.Errorf("%s: accepted change of %s at revision %d is not in force", address, name, revision)
 			}
 		}
--- a/test/status_test.go
+++ b/test/status_test.go
@@ -28,7 +28,7 @@
 	c.waitLinked()
 	leaving := c.entries[2]
 	c.put(c.entries[0].address, "stops/disk", config.Stop{
-		ID: "disk", On: config.StopVM, Address: leaving.address, By: "night shift",
+		ID: "disk", Subject: config.StopVM, Address: leaving.address, By: "night shift",
 	}, 0)
 	waitFor(t, "the stop to be safe", func() bool {
 		st := c.status(leaving.address)
--- a/test/steward_test.go
+++ b/test/steward_test.go
@@ -50,7 +50,7 @@
 	state := stateAt(address)
 	pool := state.Pools["llm"]
 	pool.Version = version
-	return c.put(address, "pools/llm", pool, state.Last[config.ItemKey(config.KindPool, "llm")].Revision)
+	return c.put(address, "pools/llm", pool, state.LastChanges[config.ItemKey(config.KindPool, "llm")].Revision)
 }
 
 // versions are what the engines say that they serve.
