--- a/internal/standin/program/edge.go
+++ b/internal/standin/program/edge.go
@@ -75,7 +75,7 @@
 		return standin.Tally{}, eris.Wrap(err, "stand-ins")
 	}
 	defer site.Close()
-	vms, err := site.VMs(cmd.String(flagFolder), edgeAddresses, cmd.Int(flagVMs))
+	vms, err := site.WriteVMSettings(cmd.String(flagFolder), edgeAddresses, cmd.Int(flagVMs))
 	if err != nil {
 		return standin.Tally{}, eris.Wrap(err, "settings")
 	}
--- a/test/platform_explain_test.go
+++ b/test/platform_explain_test.go
@@ -38,7 +38,7 @@
 // answer was whole.
 func (e *edgeSite) send(path, id string) (status int, whole bool) {
 	e.t.Helper()
-	req, err := http.NewRequest(http.MethodPost, "http://"+e.vms[0].Requests()+path, strings.NewReader("body"))
+	req, err := http.NewRequest(http.MethodPost, "http://"+e.vms[0].RequestAddress()+path, strings.NewReader("body"))
 	assert.NilError(e.t, err)
 	req.Host = standin.Host
 	req.Header.Set("X-Attempt-Id", id)
@@ -72,12 +72,12 @@
 	e := startEdges(t, 3)
 	all := func(targets []*standin.Target, b standin.Behaviour) {
 		for _, target := range targets {
-			target.Behave(func(*http.Request) standin.Behaviour { return b })
+			target.SetBehaviour(func(*http.Request) standin.Behaviour { return b })
 		}
 	}
 
 	// A refusal: every target of the service was full.
-	all(e.site.Desks, standin.Sheds)
+	all(e.site.Desks, standin.RejectsRequest)
 	status, _ := e.send("/book/x", "refused-1")
 	assert.Equal(t, status, 503)
 	story := e.explain("refused-1")
@@ -104,7 +104,7 @@
 	assert.Assert(t, strings.Contains(story, "after_event="), story)
 
 	// A request that was served leaves no line, which says so much.
-	all(e.site.Desks, standin.Well)
+	all(e.site.Desks, standin.Normal)
 	status, _ = e.send("/ask/x", "fine-1")
 	assert.Equal(t, status, 200)
 	assert.Assert(t, strings.Contains(e.explain("fine-1"), "No line about fine-1."))
--- a/test/platform_planned_work_test.go
+++ b/test/platform_planned_work_test.go
@@ -89,13 +89,13 @@
 	t.Cleanup(w.keepLogs)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	callers := &standin.Callers{Site: w.edges.site, VMs: w.edges.vms, PerSecond: plannedRate, Long: true, Stale: true}
+	callers := &standin.Callers{Site: w.edges.site, VMs: w.edges.vms, PerSecond: plannedRate, LongRequests: true, StaleAddresses: true}
 	done := make(chan standin.Tally, 1)
 	go func() { done <- callers.Run(ctx, time.Hour) }() // until cancelled
 	w.goOn()
 	cancel()
 	tally := <-done
-	w.check(tally, callers.Misses())
+	w.check(tally, callers.FailedRequests())
 }
 
 // graceSince is a grace period and since when a settings file has it.
@@ -112,7 +112,7 @@
 func TestPlatformLeavingVMTakesNoMoreThanItCanFinish(t *testing.T) {
 	t.Parallel()
 	e := startEdges(t, 3)
-	callers := &standin.Callers{Site: e.site, VMs: e.vms, PerSecond: plannedRate, Long: true, Only: e.vms[0].Requests()}
+	callers := &standin.Callers{Site: e.site, VMs: e.vms, PerSecond: plannedRate, LongRequests: true, OnlyAddress: e.vms[0].RequestAddress()}
 	done := make(chan standin.Tally, 1)
 	go func() { done <- callers.Run(context.Background(), (1+firstGrace)*time.Second) }()
 	time.Sleep(time.Second)
@@ -121,7 +121,7 @@
 	tally := <-done
 	t.Log(tally)
 	notSent := 0
-	for _, miss := range callers.Misses() {
+	for _, miss := range callers.FailedRequests() {
 		if miss.NotSent() {
 			notSent++
 			continue
@@ -131,7 +131,7 @@
 	assert.Equal(t, tally.Failed, 0)
 	assert.Equal(t, tally.Lost, notSent)
 	assert.Assert(t, tally.Answered > plannedRate, "too little was served to say anything: %v", tally)
-	assert.Assert(t, tally.Crossed == 0 && tally.Doubled == 0 && tally.FalseRefusals == 0, "%v", tally)
+	assert.Assert(t, tally.WrongAnswers == 0 && tally.RanTwice == 0 && tally.FalseRefusals == 0, "%v", tally)
 }
 
 // The platform tells a process that its settings have changed while it still reads
@@ -234,7 +234,7 @@
 	for i := range 2 {
 		desk := &standin.Target{
 			ID: fmt.Sprintf("i-spare-%d", i), Service: spareService, Zone: fmt.Sprintf("zone-%c", 'a'+i), Slots: 6,
-			Work: 10 * time.Millisecond, Slower: 25,
+			WorkTime: 10 * time.Millisecond, SlowFactor: 25,
 		}
 		assert.NilError(w.t, desk.Start("127.0.0.1:0"))
 		site.Desks = append(site.Desks, desk)
@@ -554,7 +554,7 @@
 }
 
 // check is the reckoning.
-func (w *plannedWork) check(tally standin.Tally, misses []standin.Miss) {
+func (w *plannedWork) check(tally standin.Tally, misses []standin.FailedRequest) {
 	t := w.t
 	t.Log(tally)
 	w.mu.Lock()
@@ -578,7 +578,7 @@
 	}
 	assert.Check(t, tally.Lost == 0, "%v", tally)
 	assert.Check(t, tally.Failed == 0, "%v", tally)
-	assert.Check(t, tally.Crossed == 0 && tally.Doubled == 0 && tally.FalseRefusals == 0, "%v", tally)
+	assert.Check(t, tally.WrongAnswers == 0 && tally.RanTwice == 0 && tally.FalseRefusals == 0, "%v", tally)
 	assert.Check(t, tally.Answered > tally.Requests*9/10, "too little was served to say anything: %v", tally)
 	if !t.Failed() {
 		return
--- a/test/platform_shutdown_test.go
+++ b/test/platform_shutdown_test.go
@@ -142,7 +142,7 @@
 	for n := 1; n <= tails; n++ {
 		target := &standin.Target{
 			ID: fmt.Sprintf("i-tail-%d", n), Service: fmt.Sprintf("tail-%d", n), Zone: "zone-a", Slots: 300, Events: tailEvents,
-			EventEvery: time.Duration(n) * time.Second / tailEvents,
+			EventInterval: time.Duration(n) * time.Second / tailEvents,
 		}
 		assert.NilError(s.t, target.Start("127.0.0.1:0"))
 		s.site.Desks = append(s.site.Desks, target)
@@ -213,7 +213,7 @@
 
 // dial gives nil where nobody listens.
 func (s *shutdown) dial() *caller {
-	conn, err := net.Dial("tcp", s.vms[0].Requests())
+	conn, err := net.Dial("tcp", s.vms[0].RequestAddress())
 	if err != nil {
 		return nil
 	}
@@ -280,7 +280,7 @@
 func (s *shutdown) ran() map[string]bool {
 	ran := map[string]bool{}
 	for _, target := range s.site.Desks {
-		for _, seen := range target.Seen() {
+		for _, seen := range target.ReceivedRequests() {
 			ran[seen.ID] = true
 		}
 	}
@@ -367,7 +367,7 @@
 // closedPort is when the process has closed its port for requests.
 func (s *shutdown) closedPort(t *testing.T) time.Duration {
 	t.Helper()
-	times := s.logged(t, `Port closed.","address":"`+s.vms[0].Requests())
+	times := s.logged(t, `Port closed.","address":"`+s.vms[0].RequestAddress())
 	assert.Equal(t, len(times), 1)
 	return times[0]
 }
@@ -442,7 +442,7 @@
 func TestPlatformStarvedShutdownAnswersAllThatItGivesUp(t *testing.T) {
 	t.Parallel()
 	playShutdown(t, (*shutdown).starve, func(s *shutdown) {
-		s.site.Desks[len(s.site.Desks)-1].Behave(func(*http.Request) standin.Behaviour { return standin.Hangs })
+		s.site.Desks[len(s.site.Desks)-1].SetBehaviour(func(*http.Request) standin.Behaviour { return standin.Hangs })
 		s.dialNew(250, fmt.Sprintf("/tail-%d/x", tails), 0, 2*time.Second)
 	}, func(t *testing.T, s *shutdown) { s.answered(t, "new") })
 }
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -30,7 +30,7 @@
 	t.Cleanup(site.Close)
 	base, err := standin.FreeLoopback(n)
 	assert.NilError(t, err)
-	vms, err := site.VMs(t.TempDir(), base, n)
+	vms, err := site.WriteVMSettings(t.TempDir(), base, n)
 	assert.NilError(t, err)
 	return &edgeSite{t: t, site: site, vms: vms, runs: make([]*process, n)}
 }
@@ -96,8 +96,8 @@
 	}
 	tally := <-done
 	e.t.Log(tally)
-	assert.Equal(e.t, tally.Crossed, 0)
-	assert.Equal(e.t, tally.Doubled, 0)
+	assert.Equal(e.t, tally.WrongAnswers, 0)
+	assert.Equal(e.t, tally.RanTwice, 0)
 	assert.Equal(e.t, tally.FalseRefusals, 0)
 	return tally
 }
@@ -212,18 +212,18 @@
 	var n atomic.Int64
 	tally := e.load(60, 9*time.Second, func() {
 		time.Sleep(time.Second)
-		e.site.Store.SetFault(func(string) standin.Fault { return standin.Silent })
-		e.site.Desks[0].Behave(func(*http.Request) standin.Behaviour {
+		e.site.Store.SetFault(func(string) standin.Fault { return standin.NoResponse })
+		e.site.Desks[0].SetBehaviour(func(*http.Request) standin.Behaviour {
 			if n.Add(1)%2 == 0 {
 				return standin.LosesAnswer
 			}
-			return standin.Well
+			return standin.Normal
 		})
 		e.runs[0].kill(t)
 		e.start(0)
 		time.Sleep(4 * time.Second)
 		e.site.Store.SetFault(nil)
-		e.site.Desks[0].Behave(nil)
+		e.site.Desks[0].SetBehaviour(nil)
 	})
 	assert.Assert(t, tally.Attainment() > 0.8, "%v", tally)
 }
