--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -162,7 +162,7 @@
 		ReadBufferSize:        maxHeaderBytes,
 		MaxRequestBodySize:    s.opts.MaxBody,
 		ReadTimeout:           readTimeout,
-		IdleTimeout:           idle.Mark,
+		IdleTimeout:           idle.DynamicTimeout,
 		TLSConfig:             s.opts.TLS,
 		NoDefaultServerHeader: true,
 		NoDefaultDate:         true,
--- a/internal/entry/suspicion.go
+++ b/internal/entry/suspicion.go
@@ -27,12 +27,12 @@
 func (sp *suspicion) heard(item peer.Item) {
 	var e suspect.Evidence
 	if json.Unmarshal(item.Body, &e) == nil {
-		sp.table.Heard(e, time.Now())
+		sp.table.MergeEvidence(e, time.Now())
 	}
 }
 
 func (sp *suspicion) tell(e suspect.Evidence) {
-	sp.server.publish(peer.TopicSuspect, string(e.Fingerprint), suspect.Memory, e)
+	sp.server.publish(peer.TopicSuspect, string(e.Fingerprint), suspect.EvidenceTTL, e)
 }
 
 // Crashed is part of pipeline.Suspicion.
@@ -53,7 +53,7 @@
 }
 
 // Ask is part of pipeline.Suspicion.
-func (sp *suspicion) Ask(f suspect.Fingerprint) suspect.Leave {
+func (sp *suspicion) Ask(f suspect.Fingerprint) suspect.Permission {
 	leave, news := sp.table.Ask(f, time.Now())
 	if news != nil {
 		sp.tell(*news)
@@ -62,14 +62,14 @@
 }
 
 // Done is part of pipeline.Suspicion.
-func (sp *suspicion) Done(f suspect.Fingerprint, leave suspect.Leave) {
-	if leave == suspect.Alone {
+func (sp *suspicion) Done(f suspect.Fingerprint, leave suspect.Permission) {
+	if leave == suspect.Isolated {
 		sp.table.Done(f)
 	}
 }
 
 // MayGoOn is part of pipeline.Suspicion.
-func (sp *suspicion) MayGoOn(f suspect.Fingerprint, leave suspect.Leave) bool {
+func (sp *suspicion) MayGoOn(f suspect.Fingerprint, leave suspect.Permission) bool {
 	return sp.table.MayGoOn(f, leave, time.Now())
 }
 
@@ -98,7 +98,7 @@
 	now := time.Now()
 	var list []string
 	for _, t := range sp.server.targets.Status(now) {
-		if t.Pool == pool && !t.Leaving && !sp.table.Died(t.Address, now) {
+		if t.Pool == pool && !t.Leaving && !sp.table.DiedRecently(t.Address, now) {
 			list = append(list, t.Address)
 		}
 	}
--- a/internal/idle/idle.go
+++ b/internal/idle/idle.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// Mark stands for the idle time where fasthttp wants it fixed. It is longer than
+	// DynamicTimeout stands for the idle time where fasthttp wants it fixed. It is longer than
 	// any other time that fasthttp waits to read.
-	Mark = 1000 * time.Hour
+	DynamicTimeout = 1000 * time.Hour
 	// takeTime is how long a request that is there may take to be taken in: it needs
 	// no waiting, but the process may stand still once more.
 	takeTime = time.Second
@@ -131,7 +131,7 @@
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle = time.Until(t) > Mark/2
+	c.idle = time.Until(t) > DynamicTimeout/2
 	if c.idle {
 		c.idleSince = time.Now()
 		t = c.idleEnd()
--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -43,7 +43,7 @@
 // caller would wait for an answer and get none.
 func TestARequestThatCameInTimeIsReadAfterTheIdleTime(t *testing.T) {
 	server, caller := pair(t, 20*time.Millisecond)
-	assert.NilError(t, server.SetReadDeadline(time.Now().Add(Mark)))
+	assert.NilError(t, server.SetReadDeadline(time.Now().Add(DynamicTimeout)))
 	_, err := caller.Write([]byte("GET"))
 	assert.NilError(t, err)
 	time.Sleep(60 * time.Millisecond) // nobody reads
@@ -55,7 +55,7 @@
 
 func TestAnUnusedConnectionEndsWithItsIdleTime(t *testing.T) {
 	server, _ := pair(t, 20*time.Millisecond)
-	assert.NilError(t, server.SetReadDeadline(time.Now().Add(Mark)))
+	assert.NilError(t, server.SetReadDeadline(time.Now().Add(DynamicTimeout)))
 	begun := time.Now()
 	_, err := server.Read(make([]byte, 16))
 	assert.Assert(t, errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
@@ -67,7 +67,7 @@
 	var idleTime atomic.Int64
 	idleTime.Store(int64(50 * time.Millisecond))
 	server, caller := pairWith(t, func() time.Duration { return time.Duration(idleTime.Load()) })
-	assert.NilError(t, server.SetReadDeadline(time.Now().Add(Mark)))
+	assert.NilError(t, server.SetReadDeadline(time.Now().Add(DynamicTimeout)))
 	idleTime.Store(int64(time.Hour))
 	time.AfterFunc(200*time.Millisecond, func() { _, _ = caller.Write([]byte("GET")) })
 	buffer := make([]byte, 16)
@@ -82,7 +82,7 @@
 	idleTime.Store(int64(100 * time.Millisecond))
 	server, _ := pairWith(t, func() time.Duration { return time.Duration(idleTime.Load()) })
 	begun := time.Now()
-	assert.NilError(t, server.SetReadDeadline(begun.Add(Mark)))
+	assert.NilError(t, server.SetReadDeadline(begun.Add(DynamicTimeout)))
 	idleTime.Store(int64(600 * time.Millisecond))
 	_, err := server.Read(make([]byte, 16))
 	assert.Assert(t, errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
@@ -103,7 +103,7 @@
 	assert.NilError(t, err)
 	idleTime.Store(int64(20 * time.Millisecond)) // while it is answered
 	begun := time.Now()
-	assert.NilError(t, server.SetReadDeadline(begun.Add(Mark)))
+	assert.NilError(t, server.SetReadDeadline(begun.Add(DynamicTimeout)))
 	_, err = server.Read(buffer)
 	assert.Assert(t, errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
 	assert.Assert(t, time.Since(begun) >= 390*time.Millisecond, "%v", time.Since(begun))
@@ -119,7 +119,7 @@
 	buffer := make([]byte, 16)
 	_, err = server.Read(buffer)
 	assert.NilError(t, err)
-	assert.NilError(t, server.SetReadDeadline(time.Now().Add(Mark)))
+	assert.NilError(t, server.SetReadDeadline(time.Now().Add(DynamicTimeout)))
 	idleTime.Store(int64(time.Hour))
 	read := make(chan error, 1)
 	go func() {
@@ -140,7 +140,7 @@
 // however much of it is there.
 func TestTheTimeForReadingARequestHolds(t *testing.T) {
 	server, caller := pair(t, time.Hour)
-	assert.NilError(t, server.SetReadDeadline(time.Now().Add(Mark)))
+	assert.NilError(t, server.SetReadDeadline(time.Now().Add(DynamicTimeout)))
 	assert.NilError(t, server.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
 	_, err := caller.Write([]byte("GET"))
 	assert.NilError(t, err)
@@ -202,7 +202,7 @@
 	server, err := listener.Accept()
 	assert.NilError(t, err)
 	defer func() { _ = server.Close() }()
-	assert.NilError(t, server.SetReadDeadline(time.Now().Add(Mark))) // unused, and nobody reads
+	assert.NilError(t, server.SetReadDeadline(time.Now().Add(DynamicTimeout))) // unused, and nobody reads
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go listener.Drain(ctx)
--- a/internal/member/digest.go
+++ b/internal/member/digest.go
@@ -1,12 +1,12 @@
 package member
 
-// Stamp names a record and its version in few bytes: Hash of the incarnation,
+// VersionStamp names a record and its version in few bytes: Hash of the incarnation,
 // then Seq and State together.
-type Stamp [2]uint64
+type VersionStamp [2]uint64
 
 const stateBits = 2
 
-func stampOf(r *row) Stamp { return Stamp{r.hash, version(r.Record)} }
+func stampOf(r *row) VersionStamp { return VersionStamp{r.hash, version(r.Record)} }
 
 func version(r Record) uint64 { return r.Seq<<stateBits | uint64(r.State) }
 
@@ -21,7 +21,7 @@
 	if r.State == Suspect {
 		r.State = Alive
 	}
-	return Mix(Hash(r.ID) + version(r))
+	return MixBits(Hash(r.ID) + version(r))
 }
 
 // Digest gives one number for each zone that has members: the same at two
@@ -36,17 +36,17 @@
 	return digest
 }
 
-// Differing lists the stamps of each zone where another's digest isn't ours.
-func (t *Table) Differing(theirs map[string]uint64) map[string][]Stamp {
-	differing := map[string][]Stamp{}
+// DifferingStamps lists the stamps of each zone where another's digest isn't ours.
+func (t *Table) DifferingStamps(theirs map[string]uint64) map[string][]VersionStamp {
+	differing := map[string][]VersionStamp{}
 	for zone, sum := range t.Digest() {
 		if theirs[zone] != sum {
-			differing[zone] = []Stamp{}
+			differing[zone] = []VersionStamp{}
 		}
 	}
 	for zone := range theirs {
 		if t.digests[zone] != theirs[zone] {
-			differing[zone] = []Stamp{}
+			differing[zone] = []VersionStamp{}
 		}
 	}
 	t.each(func(r *row) {
@@ -57,9 +57,9 @@
 	return differing
 }
 
-// Compare tells from another's stamps of differing zones which of our records
+// CompareStamps tells from another's stamps of differing zones which of our records
 // it lacks and which of its records we want.
-func (t *Table) Compare(theirs map[string][]Stamp) (give []Record, want []uint64) {
+func (t *Table) CompareStamps(theirs map[string][]VersionStamp) (give []Record, want []uint64) {
 	for zone, stamps := range theirs {
 		seen := make(map[uint64]bool, len(stamps))
 		for _, stamp := range stamps {
@@ -81,8 +81,8 @@
 	return give, want
 }
 
-// Wanted gives the records that another asked for by hash.
-func (t *Table) Wanted(hashes []uint64) []Record {
+// RecordsByHash gives the records that another asked for by hash.
+func (t *Table) RecordsByHash(hashes []uint64) []Record {
 	var records []Record
 	for _, hash := range hashes {
 		if held := t.find(hash); held != nil {
--- a/internal/member/links.go
+++ b/internal/member/links.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Bounds says how many links a process opens by itself. About as many are
+// LinkCounts says how many links a process opens by itself. About as many are
 // opened towards it by others.
-type Bounds struct {
+type LinkCounts struct {
 	// All is the number of others up to which a process links to all.
 	All int
 	// Ring is the number of links within the zone.
@@ -17,9 +17,9 @@
 	Across int
 }
 
-// DefaultBounds gives about 4 links in the zone, 2 to 4 to other zones of the
+// DefaultLinkCounts gives about 4 links in the zone, 2 to 4 to other zones of the
 // region and up to 2 to other regions.
-var DefaultBounds = Bounds{All: 8, Ring: 2, Across: 2}
+var DefaultLinkCounts = LinkCounts{All: 8, Ring: 2, Across: 2}
 
 // Links lists the members to which this process should hold links that it
 // opens itself. Members that are not dead are given as others.
@@ -27,7 +27,7 @@
 // The graph of all links is connected by construction when all processes know
 // the same members: each zone is a ring by hash, each zone has a link to the
 // next zone of its region in the order of names, each region one to the next.
-func Links(self Record, others []Record, bounds Bounds) []Record {
+func Links(self Record, others []Record, bounds LinkCounts) []Record {
 	if len(others) <= bounds.All {
 		return others
 	}
@@ -121,7 +121,7 @@
 	at := follower(ring, own)
 	chosen := []Record{ring[(at+1)%len(ring)].Record}
 	for chord := 1; chord < n; chord++ {
-		target := ring[follower(ring, Mix(own+uint64(chord)))]
+		target := ring[follower(ring, MixBits(own+uint64(chord)))]
 		if target.ID != self.ID {
 			chosen = append(chosen, target.Record)
 		}
--- a/internal/member/links_test.go
+++ b/internal/member/links_test.go
@@ -25,7 +25,7 @@
 }
 
 // graph gives each member's links, those that others opened too.
-func graph(all []Record, bounds Bounds) map[string]map[string]bool {
+func graph(all []Record, bounds LinkCounts) map[string]map[string]bool {
 	links := map[string]map[string]bool{}
 	for _, r := range all {
 		links[r.ID] = map[string]bool{}
@@ -71,7 +71,7 @@
 			r.Zone = fmt.Sprint("z", rapid.IntRange(0, 4).Draw(t, "zone"))
 			all = append(all, r)
 		}
-		bounds := Bounds{All: rapid.IntRange(0, 8).Draw(t, "all"), Ring: rapid.IntRange(1, 3).Draw(t, "ring"), Across: rapid.IntRange(1, 2).Draw(t, "across")}
+		bounds := LinkCounts{All: rapid.IntRange(0, 8).Draw(t, "all"), Ring: rapid.IntRange(1, 3).Draw(t, "ring"), Across: rapid.IntRange(1, 2).Draw(t, "across")}
 		assert.Assert(t, hops(all, graph(all, bounds)) >= 0, "not connected")
 	})
 }
@@ -88,7 +88,7 @@
 	}
 	for _, c := range cases {
 		all := population(c.regions, c.zones, c.perZone)
-		links := graph(all, DefaultBounds)
+		links := graph(all, DefaultLinkCounts)
 		sum := 0
 		for _, of := range links {
 			sum += len(of)
@@ -106,7 +106,7 @@
 	all := population(1, 1, 100)
 	lone := record("lone", 1)
 	lone.Region, lone.Zone = "r0", "other"
-	links := graph(append(all, lone), DefaultBounds)
+	links := graph(append(all, lone), DefaultLinkCounts)
 	assert.Assert(t, len(links["lone"]) >= 1 && len(links["lone"]) <= 6, "%d", len(links["lone"]))
 }
 
@@ -116,11 +116,11 @@
 	self := record("self", 1)
 	self.Region, self.Zone = "a", "b/c"
 	var others []Record
-	for i := range DefaultBounds.All + 1 {
+	for i := range DefaultLinkCounts.All + 1 {
 		other := record(fmt.Sprintf("other-%d", i), 1)
 		other.Region, other.Zone = "a/b", "c"
 		others = append(others, other)
 	}
-	assert.Assert(t, len(Links(self, others, DefaultBounds)) > 0)
-	assert.Assert(t, len(Links(others[0], append(others[1:], self), DefaultBounds)) > 0)
+	assert.Assert(t, len(Links(self, others, DefaultLinkCounts)) > 0)
+	assert.Assert(t, len(Links(others[0], append(others[1:], self), DefaultLinkCounts)) > 0)
 }
--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -25,13 +25,13 @@
 	// Start orders the incarnations at one address: the highest is the one
 	// that runs, all others are dead. Unix microseconds of the start, raised
 	// by the process when it hears of a higher one at its own address.
-	Start  uint64 `json:"s"`
-	Peer   string `json:"p"`
-	Caller string `json:"c,omitempty"`
-	Zone   string `json:"z"`
-	Region string `json:"r"`
-	// Power is the VM's share of a core in percent, 0 where it isn't told.
-	Power int `json:"w,omitempty"`
+	Start      uint64 `json:"s"`
+	PeerAddr   string `json:"p"`
+	CallerAddr string `json:"c,omitempty"`
+	Zone       string `json:"z"`
+	Region     string `json:"r"`
+	// CPUShare is the VM's share of a core in percent, 0 where it isn't told.
+	CPUShare int `json:"w,omitempty"`
 	// Seq grows each time the process contradicts a claim about itself.
 	Seq   uint64 `json:"q,omitempty"`
 	State State  `json:"t,omitempty"`
@@ -60,11 +60,11 @@
 func Hash(id string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id)) // a hash.Hash never fails
-	return Mix(h.Sum64())
+	return MixBits(h.Sum64())
 }
 
-// Mix spreads the bits of x, so that similar names don't lie side by side.
-func Mix(x uint64) uint64 {
+// MixBits spreads the bits of x, so that similar names don't lie side by side.
+func MixBits(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -72,5 +72,5 @@
 	return x ^ x>>33
 }
 
-// Rank ranks a holder for an item by rendezvous, both given by their hashes.
-func Rank(item, holder uint64) uint64 { return Mix(item ^ holder) }
+// RendezvousScore ranks a holder for an item by rendezvous, both given by their hashes.
+func RendezvousScore(item, holder uint64) uint64 { return MixBits(item ^ holder) }
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -68,9 +68,9 @@
 	return t.self
 }
 
-// Raise gives this process a new Seq, so that what it says from now on stands
+// IncrementSeq gives this process a new Seq, so that what it says from now on stands
 // over every older claim about it.
-func (t *Table) Raise() Record {
+func (t *Table) IncrementSeq() Record {
 	t.setSelf(func(r *Record) { r.Seq++ })
 	return t.self
 }
@@ -88,10 +88,10 @@
 	if claim.ID == t.self.ID {
 		return t.answer(claim)
 	}
-	if claim.Peer == t.self.Peer && claim.State != Dead {
+	if claim.PeerAddr == t.self.PeerAddr && claim.State != Dead {
 		return t.replaced(claim, now)
 	}
-	if newest := t.newest[claim.Peer]; newest != nil && newest.ID != claim.ID && later(newest.Record, claim) {
+	if newest := t.newest[claim.PeerAddr]; newest != nil && newest.ID != claim.ID && later(newest.Record, claim) {
 		// An older run at an address where a newer one was seen: whoever says
 		// that it lives hasn't heard of the replacement. Taking it in would
 		// send calls for the new process to an identity that is gone.
@@ -115,11 +115,11 @@
 // crown makes a row the newest at its address, if it is, and holds the one
 // that was newest before it dead.
 func (t *Table) crown(held *row, now time.Time) []Record {
-	old := t.newest[held.Peer]
+	old := t.newest[held.PeerAddr]
 	if old == held || old != nil && !later(held.Record, old.Record) {
 		return nil
 	}
-	t.newest[held.Peer] = held
+	t.newest[held.PeerAddr] = held
 	if old == nil || old.State == Dead {
 		return nil
 	}
@@ -188,7 +188,7 @@
 	t.change(held, now, func(r *Record) {
 		r.Seq = claim.Seq
 		r.State = claim.State
-		r.Caller = claim.Caller
+		r.CallerAddr = claim.CallerAddr
 	})
 	return []Record{held.Record}
 }
@@ -219,9 +219,9 @@
 	return []Record{held.Record}
 }
 
-// Tick lets time pass: suspects that didn't contradict and members that left
+// Expire lets time pass: suspects that didn't contradict and members that left
 // are held dead, old tombstones are forgotten. It gives the records to spread.
-func (t *Table) Tick(now time.Time) []Record {
+func (t *Table) Expire(now time.Time) []Record {
 	var changed []Record
 	for id, held := range t.rows {
 		age := now.Sub(held.since)
@@ -237,13 +237,13 @@
 	return changed
 }
 
-// Forget drops all that is believed of others and gives the addresses where
+// Reset drops all that is believed of others and gives the addresses where
 // members that weren't dead could be asked anew.
-func (t *Table) Forget() []string {
+func (t *Table) Reset() []string {
 	var addresses []string
 	for _, held := range t.rows {
 		if held.State != Dead {
-			addresses = append(addresses, held.Peer)
+			addresses = append(addresses, held.PeerAddr)
 		}
 	}
 	t.clear()
@@ -253,14 +253,14 @@
 // Version grows with every change of what Self, Get and Living give.
 func (t *Table) Version() uint64 { return t.version }
 
-// Population grows with every change of whom Living lists, whatever is believed of them.
-func (t *Table) Population() uint64 { return t.population }
+// MembershipVersion grows with every change of whom Living lists, whatever is believed of them.
+func (t *Table) MembershipVersion() uint64 { return t.population }
 
-// Count is how many Living lists.
-func (t *Table) Count() int { return t.alive }
+// MemberCount is how many Living lists.
+func (t *Table) MemberCount() int { return t.alive }
 
-// Any gives one of those that Living lists, drawn by lot; false where there is none.
-func (t *Table) Any() (Record, bool) {
+// AnyMember gives one of those that Living lists, drawn by lot; false where there is none.
+func (t *Table) AnyMember() (Record, bool) {
 	for _, held := range t.rows {
 		if held.State != Dead {
 			return held.Record, true
@@ -278,8 +278,8 @@
 	return held.Record, true
 }
 
-// Living lists the others that are not dead, in no order.
-func (t *Table) Living() []Record {
+// LiveMembers lists the others that are not dead, in no order.
+func (t *Table) LiveMembers() []Record {
 	living := make([]Record, 0, t.alive)
 	for _, held := range t.rows {
 		if held.State != Dead {
@@ -289,8 +289,8 @@
 	return living
 }
 
-// LivesAt tells whether a member that isn't dead is known at an address.
-func (t *Table) LivesAt(address string) bool {
+// HasMemberAt tells whether a member that isn't dead is known at an address.
+func (t *Table) HasMemberAt(address string) bool {
 	newest := t.newest[address]
 	return newest != nil && newest.State != Dead
 }
@@ -337,7 +337,7 @@
 	t.digests[gone.ZoneKey()] ^= mark(gone.Record)
 	delete(t.rows, id)
 	delete(t.byHash, gone.hash)
-	if t.newest[gone.Peer] == gone {
-		delete(t.newest, gone.Peer)
+	if t.newest[gone.PeerAddr] == gone {
+		delete(t.newest, gone.PeerAddr)
 	}
 }
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -16,7 +16,7 @@
 )
 
 func record(id string, started uint64) Record {
-	return Record{ID: id, Start: started, Peer: "addr-" + id, Zone: "a", Region: "r1"}
+	return Record{ID: id, Start: started, PeerAddr: "addr-" + id, Zone: "a", Region: "r1"}
 }
 
 func in(r Record, state State, seq uint64) Record {
@@ -26,7 +26,7 @@
 }
 
 func at(r Record, address string) Record {
-	r.Peer = address
+	r.PeerAddr = address
 	return r
 }
 
@@ -83,13 +83,13 @@
 		{20 * time.Second, Dead, Dead},
 	}
 	for _, step := range steps {
-		table.Tick(start.Add(step.after))
+		table.Expire(start.Add(step.after))
 		suspect, _ := table.Get("suspect")
 		leaving, _ := table.Get("leaving")
 		assert.Equal(t, suspect.State, step.suspect, "after %s", step.after)
 		assert.Equal(t, leaving.State, step.leaving, "after %s", step.after)
 	}
-	table.Tick(start.Add(70 * time.Second))
+	table.Expire(start.Add(70 * time.Second))
 	_, found := table.Get("suspect")
 	assert.Assert(t, !found, "the tombstone is kept")
 }
@@ -104,7 +104,7 @@
 			}
 			// The old one contradicts, as a frozen process does that wakes.
 			table.Apply(in(old, Alive, 9), start)
-			living := table.Living()
+			living := table.LiveMembers()
 			assert.Equal(t, len(living), 1)
 			assert.Equal(t, living[0].ID, "fresh")
 		})
@@ -113,15 +113,15 @@
 
 func TestLaterStartAtOwnAddressIsOutbid(t *testing.T) {
 	table := NewTable(self, testLimits)
-	changed := table.Apply(at(record("old", 500), self.Peer), start)
+	changed := table.Apply(at(record("old", 500), self.PeerAddr), start)
 	assert.Equal(t, changed[len(changed)-1].ID, "self")
 	assert.Equal(t, table.Self().Start, uint64(501))
-	assert.Equal(t, len(table.Living()), 0)
+	assert.Equal(t, len(table.LiveMembers()), 0)
 	other := NewTable(record("other", 1), testLimits)
 	other.Apply(self, start)
-	other.Apply(at(record("old", 500), self.Peer), start)
+	other.Apply(at(record("old", 500), self.PeerAddr), start)
 	other.Apply(table.Self(), start)
-	assert.Equal(t, other.Living()[0].ID, "self")
+	assert.Equal(t, other.LiveMembers()[0].ID, "self")
 }
 
 // Whatever is claimed of a process, in whatever order, once it hears the
@@ -136,7 +136,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 8).Draw(t, "seconds")) * time.Second)
 			claim := in(x.Self(), State(rapid.IntRange(0, 3).Draw(t, "state")), uint64(rapid.IntRange(0, 6).Draw(t, "seq")))
 			other.Apply(claim, now)
-			other.Tick(now)
+			other.Expire(now)
 		}
 		held, found := other.Get("x")
 		if !found {
@@ -167,16 +167,16 @@
 			exchange(b, a)
 		}
 		assert.DeepEqual(t, a.Digest(), b.Digest())
-		assert.Equal(t, len(a.Differing(b.Digest())), 0)
+		assert.Equal(t, len(a.DifferingStamps(b.Digest())), 0)
 	})
 }
 
 func exchange(a, b *Table) {
-	give, want := a.Compare(b.Differing(a.Digest()))
+	give, want := a.CompareStamps(b.DifferingStamps(a.Digest()))
 	for _, r := range give {
 		b.Apply(r, start)
 	}
-	for _, r := range b.Wanted(want) {
+	for _, r := range b.RecordsByHash(want) {
 		a.Apply(r, start)
 	}
 }
@@ -185,7 +185,7 @@
 	table := NewTable(self, testLimits)
 	table.Apply(record("x", 1), start)
 	table.Apply(in(record("y", 1), Dead, 0), start)
-	assert.DeepEqual(t, table.Forget(), []string{"addr-x"})
-	assert.Equal(t, len(table.Living()), 0)
+	assert.DeepEqual(t, table.Reset(), []string{"addr-x"})
+	assert.Equal(t, len(table.LiveMembers()), 0)
 	assert.DeepEqual(t, table.Digest(), NewTable(self, testLimits).Digest())
 }
--- a/internal/peer/crowd_test.go
+++ b/internal/peer/crowd_test.go
@@ -20,13 +20,13 @@
 	defer n.mu.Unlock()
 	told := 0
 	for i := range 2000 {
-		joined := member.Record{ID: fmt.Sprint("m", i), Start: 1, Peer: fmt.Sprint("10.0.0.1:", i), Zone: "a", Region: "r"}
+		joined := member.Record{ID: fmt.Sprint("m", i), Start: 1, PeerAddr: fmt.Sprint("10.0.0.1:", i), Zone: "a", Region: "r"}
 		told += len(n.withoutCrowd(n.apply([]member.Record{joined}, now), isJoin, now))
 	}
 	assert.Equal(t, told, maxJoinsTold)
-	assert.Equal(t, n.table.Count(), 2000)
+	assert.Equal(t, n.table.MemberCount(), 2000)
 	assert.Assert(t, n.behind, "what wasn't told is to be found by comparing")
-	suspect := member.Record{ID: "m7", Start: 1, Peer: "10.0.0.1:7", Zone: "a", Region: "r", State: member.Suspect}
+	suspect := member.Record{ID: "m7", Start: 1, PeerAddr: "10.0.0.1:7", Zone: "a", Region: "r", State: member.Suspect}
 	assert.Equal(t, len(n.withoutCrowd(n.apply([]member.Record{suspect}, now), isJoin, now)), 1, "a suspicion is always told")
 }
 
--- a/internal/peer/failure_test.go
+++ b/internal/peer/failure_test.go
@@ -328,12 +328,12 @@
 
 // A process is frozen in the middle of a handshake with one that dies meanwhile.
 func TestAHandshakeFromBeforeAFreezeBringsNoDeadMemberBack(t *testing.T) {
-	dead := member.Record{ID: "dead", Start: 1, Peer: "127.0.0.1:1", Zone: "a", Region: "r1"}
+	dead := member.Record{ID: "dead", Start: 1, PeerAddr: "127.0.0.1:1", Zone: "a", Region: "r1"}
 	keys := keyBytes([]string{testKey})
 	dials := func(n *Node, ours, theirs net.Conn) {
 		n.opts.Dial = func(context.Context, string) (net.Conn, error) { return ours, nil }
 		n.tasks.Go(func() { _, _ = welcome(theirs, keys, dead) })
-		_, _ = n.dial(n.ctx, dead.Peer)
+		_, _ = n.dial(n.ctx, dead.PeerAddr)
 	}
 	isDialed := func(n *Node, ours, theirs net.Conn) {
 		n.tasks.Go(func() { _, _ = greet(theirs, keys, dead) })
@@ -368,8 +368,8 @@
 
 // What came before a freeze is read after it, also from a link that another has replaced.
 func TestAMessageFromBeforeAFreezeBringsNoDeadMemberBack(t *testing.T) {
-	peer := member.Record{ID: "peer", Start: 1, Peer: "127.0.0.1:1", Zone: "a", Region: "r1"}
-	dead := member.Record{ID: "dead", Start: 1, Peer: "127.0.0.1:2", Zone: "a", Region: "r1"}
+	peer := member.Record{ID: "peer", Start: 1, PeerAddr: "127.0.0.1:1", Zone: "a", Region: "r1"}
+	dead := member.Record{ID: "dead", Start: 1, PeerAddr: "127.0.0.1:2", Zone: "a", Region: "r1"}
 	n := unbeaten(t)
 	open := func() *link {
 		ours, theirs := net.Pipe()
--- a/internal/peer/joins.go
+++ b/internal/peer/joins.go
@@ -38,7 +38,7 @@
 	}
 	self := n.table.Self().ID
 	return slices.DeleteFunc(changed, func(r member.Record) bool {
-		if r.State == member.Dead && n.table.LivesAt(r.Peer) {
+		if r.State == member.Dead && n.table.HasMemberAt(r.PeerAddr) {
 			n.logDeath(r)
 			return true
 		}
@@ -86,7 +86,7 @@
 	joined := n.joins.unlogged
 	n.joins.unlogged = nil
 	if len(joined) > maxJoinsLogged {
-		n.log.Info("Members joined.", zap.Int("members", len(joined)), zap.Int("known", n.table.Count()))
+		n.log.Info("Members joined.", zap.Int("members", len(joined)), zap.Int("known", n.table.MemberCount()))
 		return
 	}
 	for _, r := range joined {
--- a/internal/peer/live.go
+++ b/internal/peer/live.go
@@ -68,7 +68,7 @@
 	n.clock.beat(instantOf(now))
 	if !n.health.busy() {
 		// Suspects may have contradicted, and this process not yet have read it.
-		n.announce(n.table.Tick(now), nil)
+		n.announce(n.table.Expire(now), nil)
 	}
 	n.store.sweep(now)
 	n.publishPaced(now)
@@ -134,7 +134,7 @@
 	n.log.Warn("This process stood still; it learns anew who its peers are.")
 	n.freezes++
 	n.traffic.freezes.Inc(1)
-	n.hints = append(n.hints, n.table.Forget()...)
+	n.hints = append(n.hints, n.table.Reset()...)
 	n.stale = true
 	clear(n.missing)
 	n.order = nil
@@ -156,17 +156,17 @@
 // others come and go. In a start of all it would else open links to new neighbours at each
 // beat, and so would those to it. The caller holds mu.
 func (n *Node) planLinks(now time.Time) {
-	count := n.table.Count()
+	count := n.table.MemberCount()
 	crowd := count > n.opts.LinkBounds.All && count < 2*n.plan.members && n.plan.members < 2*count
 	switch {
-	case n.table.Population() == n.plan.population:
+	case n.table.MembershipVersion() == n.plan.population:
 		return
 	case crowd && now.Sub(n.plan.at) < n.opts.Period:
 		return
 	}
 	n.plan = plan{
-		links:      member.Links(n.table.Self(), n.table.Living(), n.opts.LinkBounds),
-		population: n.table.Population(), members: count, at: now,
+		links:      member.Links(n.table.Self(), n.table.LiveMembers(), n.opts.LinkBounds),
+		population: n.table.MembershipVersion(), members: count, at: now,
 	}
 }
 
@@ -179,14 +179,14 @@
 			l.used = now
 			continue
 		}
-		open = n.wantDial(open, r.Peer)
+		open = n.wantDial(open, r.PeerAddr)
 	}
 	tried := 0
 	for _, i := range rand.Perm(len(n.hints)) {
 		if tried == seedsAtOnce {
 			break
 		}
-		if address := n.hints[i]; address != n.table.Self().Peer && !n.table.LivesAt(address) {
+		if address := n.hints[i]; address != n.table.Self().PeerAddr && !n.table.HasMemberAt(address) {
 			open = n.wantDial(open, address)
 			tried++
 		}
@@ -332,7 +332,7 @@
 
 // stray is a random member. The caller holds mu.
 func (n *Node) stray() string {
-	r, _ := n.table.Any()
+	r, _ := n.table.AnyMember()
 	return r.ID
 }
 
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -77,8 +77,8 @@
 
 // digestAnswer is what the other holds where the views differ.
 type digestAnswer struct {
-	Zones  map[string][]member.Stamp `json:"z,omitempty"`
-	Topics map[Topic]itemDiff        `json:"t,omitempty"`
+	Zones  map[string][]member.VersionStamp `json:"z,omitempty"`
+	Topics map[Topic]itemDiff               `json:"t,omitempty"`
 }
 
 func (a digestAnswer) empty() bool { return len(a.Zones)+len(a.Topics) == 0 }
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -116,13 +116,13 @@
 func (n *Node) record() member.Record {
 	self := n.opts.Self
 	return member.Record{
-		ID:     string(self.Incarnation),
-		Start:  uint64(time.Now().UnixMicro()),
-		Peer:   self.PeerAddress,
-		Caller: self.CallerAddress,
-		Zone:   self.Zone,
-		Region: self.Region,
-		Power:  self.CPUPercent,
+		ID:         string(self.Incarnation),
+		Start:      uint64(time.Now().UnixMicro()),
+		PeerAddr:   self.PeerAddress,
+		CallerAddr: self.CallerAddress,
+		Zone:       self.Zone,
+		Region:     self.Region,
+		CPUShare:   self.CPUPercent,
 	}
 }
 
@@ -259,12 +259,12 @@
 func toMember(r member.Record) Member {
 	return Member{
 		Incarnation:   Incarnation(r.ID),
-		PeerAddress:   r.Peer,
-		CallerAddress: r.Caller,
+		PeerAddress:   r.PeerAddr,
+		CallerAddress: r.CallerAddr,
 		Zone:          r.Zone,
 		Region:        r.Region,
 		State:         memberStates[r.State],
-		CPUPercent:    r.Power,
+		CPUPercent:    r.CPUShare,
 	}
 }
 
@@ -275,7 +275,7 @@
 	member.Dead:    Dead,
 }
 
-func memberField(r member.Record) zap.Field { return zap.String("member", r.ID+"@"+r.Peer) }
+func memberField(r member.Record) zap.Field { return zap.String("member", r.ID+"@"+r.PeerAddr) }
 
 // Handle answers calls of a method. Call before Start.
 func (n *Node) Handle(method string, fn func(ctx context.Context, params json.RawMessage) (any, error)) {
@@ -563,7 +563,7 @@
 	case !found || held.State == member.Dead:
 		return nil, ErrUnknownMember
 	}
-	l, err := n.dial(ctx, held.Peer)
+	l, err := n.dial(ctx, held.PeerAddr)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -42,8 +42,8 @@
 	Period time.Duration
 	// TombstoneTTL is how long the dead are remembered; 0 is 900 periods.
 	TombstoneTTL time.Duration
-	// LinkBounds of the links; the zero value is member.DefaultBounds.
-	LinkBounds member.Bounds
+	// LinkBounds of the links; the zero value is member.DefaultLinkCounts.
+	LinkBounds member.LinkCounts
 	// PacedBytesPerSecond is what soft state of the whole system may cost a process, in
 	// bytes received a second; 0 is DefaultPacedBytesPerSecond. See pace.go.
 	PacedBytesPerSecond float64
@@ -68,8 +68,8 @@
 	if o.TombstoneTTL <= 0 {
 		o.TombstoneTTL = tombstonePeriods * o.Period
 	}
-	if o.LinkBounds == (member.Bounds{}) {
-		o.LinkBounds = member.DefaultBounds
+	if o.LinkBounds == (member.LinkCounts{}) {
+		o.LinkBounds = member.DefaultLinkCounts
 	}
 	if o.PacedBytesPerSecond <= 0 {
 		o.PacedBytesPerSecond = DefaultPacedBytesPerSecond
--- a/internal/peer/store.go
+++ b/internal/peer/store.go
@@ -56,12 +56,12 @@
 	_, _ = h.Write([]byte(origin)) // a hash.Hash never fails
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(key))
-	return member.Mix(h.Sum64())
+	return member.MixBits(h.Sum64())
 }
 
 func (e *entry) stamp() stamp { return stamp{e.hash, e.Version} }
 
-func (e *entry) mark() uint32 { return uint32(member.Mix(e.hash + e.Version)) }
+func (e *entry) mark() uint32 { return uint32(member.MixBits(e.hash + e.Version)) }
 
 func bucketOf(hash uint64) int { return int(hash % buckets) }
 
--- a/internal/peer/sync.go
+++ b/internal/peer/sync.go
@@ -99,7 +99,7 @@
 	if !n.awake(time.Now()) {
 		return exchangeRequest{}, false, errStale
 	}
-	request.Records, request.WantRecords = n.table.Compare(diff.Zones)
+	request.Records, request.WantRecords = n.table.CompareStamps(diff.Zones)
 	if len(request.Records)+len(request.WantRecords) > fewDiffer {
 		n.behind = true
 	}
@@ -154,7 +154,7 @@
 	if !n.awake(time.Now()) {
 		return nil, errStale
 	}
-	return digestAnswer{Zones: n.table.Differing(request.Zones), Topics: n.store.differing(request.Topics)}, nil
+	return digestAnswer{Zones: n.table.DifferingStamps(request.Zones), Topics: n.store.differing(request.Topics)}, nil
 }
 
 func (n *Node) serveExchange(l *link, params json.RawMessage) (any, error) {
@@ -169,7 +169,7 @@
 		return nil, errStale
 	}
 	return exchangeAnswer{
-		Records: n.table.Wanted(request.WantRecords),
+		Records: n.table.RecordsByHash(request.WantRecords),
 		Items:   boundItems(n.store.wanted(request.WantItems, time.Now())),
 	}, nil
 }
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -28,7 +28,7 @@
 }
 
 func viewOf(t *member.Table) *View {
-	living := t.Living()
+	living := t.LiveMembers()
 	v := &View{Self: toMember(t.Self()), Members: make([]Member, 0, len(living))}
 	for _, r := range living {
 		v.Members = append(v.Members, toMember(r))
--- a/internal/pipeline/acquire.go
+++ b/internal/pipeline/acquire.go
@@ -35,9 +35,9 @@
 	}
 	var lease *directory.Lease
 	switch leave {
-	case suspect.Free:
+	case suspect.Unrestricted:
 		lease = r.free(pool, want)
-	case suspect.Alone:
+	case suspect.Isolated:
 		lease = r.alone(ctx, pool, want)
 	}
 	if lease == nil {
@@ -51,10 +51,10 @@
 }
 
 // mayRun waits until a request may run, or gives why it may not.
-func (r *stageRun) mayRun(ctx context.Context) suspect.Leave {
+func (r *stageRun) mayRun(ctx context.Context) suspect.Permission {
 	for {
 		leave := r.x.Suspicion.Ask(r.w.req.Fingerprint())
-		if leave != suspect.Wait || !wait.For(ctx, quarantineWait) {
+		if leave != suspect.MustWait || !wait.For(ctx, quarantineWait) {
 			return leave
 		}
 	}
@@ -79,7 +79,7 @@
 		if lease := pool.Acquire(want, time.Now()); lease != nil {
 			return lease
 		}
-		goOn := r.x.Suspicion.MayGoOn(r.w.req.Fingerprint(), suspect.Alone)
+		goOn := r.x.Suspicion.MayGoOn(r.w.req.Fingerprint(), suspect.Isolated)
 		if !goOn || !wait.For(ctx, quarantineWait) {
 			return nil
 		}
@@ -94,7 +94,7 @@
 
 // guard ends an attempt when evidence comes that forbids it. The look after
 // the watch is set up catches what came in between.
-func (r *stageRun) guard(ctx context.Context, a *attempt, leave suspect.Leave) {
+func (r *stageRun) guard(ctx context.Context, a *attempt, leave suspect.Permission) {
 	fingerprint := r.w.req.Fingerprint()
 	ctx, cancel := context.WithCancel(ctx)
 	look := func() {
--- a/internal/pipeline/generate_test.go
+++ b/internal/pipeline/generate_test.go
@@ -25,14 +25,14 @@
 // quiet observes nothing and suspects nobody.
 type quiet struct{ Suspicion }
 
-func (quiet) Charged(Charge)                                  {}
-func (quiet) StageDone(string, string, string, time.Duration) {}
-func (quiet) Failed(string, string, string, error)            {}
-func (quiet) Check(suspect.Fingerprint) suspect.Verdict       { return "" }
-func (quiet) Ask(suspect.Fingerprint) suspect.Leave           { return suspect.Free }
-func (quiet) MayGoOn(suspect.Fingerprint, suspect.Leave) bool { return true }
-func (quiet) Watch(suspect.Fingerprint, func()) func()        { return func() {} }
-func (quiet) Done(suspect.Fingerprint, suspect.Leave)         {}
+func (quiet) Charged(Charge)                                       {}
+func (quiet) StageDone(string, string, string, time.Duration)      {}
+func (quiet) Failed(string, string, string, error)                 {}
+func (quiet) Check(suspect.Fingerprint) suspect.Verdict            { return "" }
+func (quiet) Ask(suspect.Fingerprint) suspect.Permission           { return suspect.Unrestricted }
+func (quiet) MayGoOn(suspect.Fingerprint, suspect.Permission) bool { return true }
+func (quiet) Watch(suspect.Fingerprint, func()) func()             { return func() {} }
+func (quiet) Done(suspect.Fingerprint, suspect.Permission)         {}
 
 // executorWith runs requests at one engine.
 func executorWith(t *testing.T, engine http.HandlerFunc) *Executor {
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -37,7 +37,7 @@
 
 // Fingerprint identifies the request by what its targets do for it.
 func (r *Request) Fingerprint() suspect.Fingerprint {
-	return suspect.Of(r.Customer, r.Pipeline.Name, r.Input)
+	return suspect.FingerprintOf(r.Customer, r.Pipeline.Name, r.Input)
 }
 
 // StageReport is what one stage took.
@@ -96,11 +96,11 @@
 	Cleared(f suspect.Fingerprint)
 	Check(f suspect.Fingerprint) suspect.Verdict
 	// Ask says how a request may run now; Done ends what it gave.
-	Ask(f suspect.Fingerprint) suspect.Leave
-	Done(f suspect.Fingerprint, leave suspect.Leave)
+	Ask(f suspect.Fingerprint) suspect.Permission
+	Done(f suspect.Fingerprint, leave suspect.Permission)
 	// MayGoOn says whether what Ask gave still stands; Watch has fn called when
 	// it may have changed, until stop is called.
-	MayGoOn(f suspect.Fingerprint, leave suspect.Leave) bool
+	MayGoOn(f suspect.Fingerprint, leave suspect.Permission) bool
 	Watch(f suspect.Fingerprint, fn func()) (stop func())
 	// Quarantine says on which of a pool's targets a suspect may run.
 	Quarantine(pool string) func(address string) bool
--- a/internal/pipeline/race_test.go
+++ b/internal/pipeline/race_test.go
@@ -37,19 +37,19 @@
 func (m *meeting) Charged(c Charge) { m.charges <- c }
 
 // Ask holds the third attempt, and the stage with it, until two have ended.
-func (m *meeting) Ask(suspect.Fingerprint) suspect.Leave {
+func (m *meeting) Ask(suspect.Fingerprint) suspect.Permission {
 	if m.asked.Add(1) <= 2 {
-		return suspect.Free
+		return suspect.Unrestricted
 	}
 	close(m.answer)
 	for range 2 {
 		<-m.ended
 	}
-	return suspect.Never
+	return suspect.Denied
 }
 
-func (m *meeting) Done(_ suspect.Fingerprint, leave suspect.Leave) {
-	if leave == suspect.Free {
+func (m *meeting) Done(_ suspect.Fingerprint, leave suspect.Permission) {
+	if leave == suspect.Unrestricted {
 		m.ended <- struct{}{}
 	}
 }
--- a/internal/serve/engines/tracker.go
+++ b/internal/serve/engines/tracker.go
@@ -199,7 +199,7 @@
 	best := uint64(0)
 	at := member.Hash(engine)
 	for _, c := range able {
-		if rank := member.Rank(at, c.hash); first == "" || rank > best {
+		if rank := member.RendezvousScore(at, c.hash); first == "" || rank > best {
 			first, best = c.id, rank
 		}
 	}
--- a/internal/serve/follow/follow_test.go
+++ b/internal/serve/follow/follow_test.go
@@ -424,7 +424,7 @@
 		time.Sleep(5 * time.Second)
 		for round := range uint64(6) {
 			for i, p := range all {
-				if p.isWatcher() && nodes[i].Living() {
+				if p.isWatcher() && nodes[i].Running() {
 					nodes[i].Kill()
 					p.store = newFakeStore()
 					break
@@ -434,7 +434,7 @@
 			store.putPlan(2 + round)
 			time.Sleep(1900 * time.Millisecond)
 			for i, p := range all {
-				if nodes[i].Living() {
+				if nodes[i].Running() {
 					assert.Equal(t, p.plans.Version(), 2+round, "process %d", i)
 				}
 			}
--- a/internal/serve/follow/list_server_test.go
+++ b/internal/serve/follow/list_server_test.go
@@ -23,7 +23,7 @@
 	for i := range n {
 		p := newProcess(store)
 		node := network.Add(fmt.Sprintf("vm-%d", i), fmt.Sprintf("zone-%d", i%5))
-		node.Link(slowLink)
+		node.SetSendRate(slowLink)
 		p.UsePeers(node)
 		p.SetPropagationBound(bound)
 		all = append(all, p)
--- a/internal/serve/gather/evacuation_test.go
+++ b/internal/serve/gather/evacuation_test.go
@@ -18,7 +18,7 @@
 
 // divided is a process with a service of three zones, five targets each, which are
 // three shards.
-func divided(life context.Context, pools *servetest.Pools) (*gather.Requester, *pool.Table) {
+func divided(life context.Context, pools *servetest.FakeTargets) (*gather.Requester, *pool.Table) {
 	table := pool.New(zap.NewNop())
 	var entries []pool.Entry
 	for i := range 15 {
@@ -44,7 +44,7 @@
 		defer synctest.Wait()
 		defer stop()
 		call := 300 * time.Millisecond
-		pools := &servetest.Pools{Services: map[string]*plan.Batch{
+		pools := &servetest.FakeTargets{Services: map[string]*plan.Batch{
 			"s": {Size: 1, CallTime: call, BufferBytes: 1000, Keep: 4 * time.Second},
 		}}
 		requester, table := divided(life, pools)
@@ -60,7 +60,7 @@
 			}()
 		}
 		time.Sleep(10 * time.Millisecond)
-		assert.Equal(t, pools.CallsOf("s"), 5, "five work, five wait")
+		assert.Equal(t, pools.CallCount("s"), 5, "five work, five wait")
 		table.ApplyEvacuations([]pool.EvacuationChange{{Evacuation: pool.Evacuation{Zone: "a", Revision: 2}}}, 2, time.Now())
 		for range cap(answers) {
 			assert.NilError(t, <-answers)
--- a/internal/serve/gather/failover_test.go
+++ b/internal/serve/gather/failover_test.go
@@ -21,7 +21,7 @@
 	node *servetest.Node
 }
 
-func members(life context.Context, pools *servetest.Pools, n int) []member {
+func members(life context.Context, pools *servetest.FakeTargets, n int) []member {
 	cluster := &servetest.Cluster{Delay: time.Millisecond}
 	var list []member
 	for i := range n {
@@ -63,7 +63,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		life, stop := context.WithCancel(context.Background())
 		defer stop()
-		pools := &servetest.Pools{Services: map[string]*plan.Batch{
+		pools := &servetest.FakeTargets{Services: map[string]*plan.Batch{
 			"s": {Size: 4, CallTime: 20 * time.Millisecond, BufferBytes: 1000, Keep: 4 * time.Second},
 		}}
 		list := members(life, pools, 2)
--- a/internal/serve/gather/owners.go
+++ b/internal/serve/gather/owners.go
@@ -66,7 +66,7 @@
 			}
 			return 1
 		}
-		return cmp.Compare(member.Rank(hash, o.hashes[b]), member.Rank(hash, o.hashes[a]))
+		return cmp.Compare(member.RendezvousScore(hash, o.hashes[b]), member.RendezvousScore(hash, o.hashes[a]))
 	})
 	list := make([]peer.Incarnation, len(order))
 	for i, at := range order {
--- a/internal/serve/gather/shards.go
+++ b/internal/serve/gather/shards.go
@@ -171,7 +171,7 @@
 func (l *loads) take(item uint64, hashes []uint64) int {
 	best, bestRank := -1, uint64(0)
 	for i, hash := range hashes {
-		if rank := member.Rank(item, hash); l.held[i] < l.most && (best < 0 || rank > bestRank) {
+		if rank := member.RendezvousScore(item, hash); l.held[i] < l.most && (best < 0 || rank > bestRank) {
 			best, bestRank = i, rank
 		}
 	}
--- a/internal/serve/gauges.go
+++ b/internal/serve/gauges.go
@@ -13,9 +13,9 @@
 	metrics.GetOrRegisterGauge(name, g.registry).Update(value)
 }
 
-// Observe sets the gauges. It looks at every target, so it is called for those who read
+// UpdateGauges sets the gauges. It looks at every target, so it is called for those who read
 // them, not regularly. Series by service are as many as the configuration has services.
-func (s *Server) Observe(now time.Time) {
+func (s *Server) UpdateGauges(now time.Time) {
 	g := gauges{registry: s.metrics}
 	g.set("plan.version", int64(s.plans.Version()))
 	g.set("targets.revision", int64(s.table.LastChangeRevision()))
--- a/internal/serve/run/evacuation_test.go
+++ b/internal/serve/run/evacuation_test.go
@@ -43,7 +43,7 @@
 	load.kinds = slices.Clone(load.kinds)
 	load.kinds[1].burst = 2
 	var told, back, lastCall time.Time
-	load.orders = func(all []*Executor, pools *servetest.Pools) {
+	load.orders = func(all []*Executor, pools *servetest.FakeTargets) {
 		time.Sleep(burstFrom + 2*time.Second)
 		told = time.Now()
 		tell(all, pool.EvacuationChange{Evacuation: pool.Evacuation{Zone: "a", Revision: 5}})
@@ -67,7 +67,7 @@
 func TestAnEvacuationThatLeavesTooLittleRefusesTheRest(t *testing.T) {
 	load := threeZones()
 	load.perService = map[string][]int{"notify": {10, 2, 1}}
-	load.orders = func(all []*Executor, _ *servetest.Pools) {
+	load.orders = func(all []*Executor, _ *servetest.FakeTargets) {
 		time.Sleep(4 * time.Second)
 		tell(all, pool.EvacuationChange{Evacuation: pool.Evacuation{Zone: "a", Revision: 5}})
 	}
--- a/internal/serve/run/executor.go
+++ b/internal/serve/run/executor.go
@@ -184,7 +184,7 @@
 	if j.team != nil {
 		team = j.team.Name
 	}
-	return suspect.Of(team, j.req.Method, j.req.Host, j.req.URI, string(j.req.Body))
+	return suspect.FingerprintOf(team, j.req.Method, j.req.Host, j.req.URI, string(j.req.Body))
 }
 
 // broke notes that a connection to a target broke under the request.
--- a/internal/serve/run/play_test.go
+++ b/internal/serve/run/play_test.go
@@ -73,7 +73,7 @@
 	// meanwhile is called beside the load with the processes' networks.
 	meanwhile func([]*servetest.Node)
 	// orders is called beside the load with the processes and the pools.
-	orders func([]*Executor, *servetest.Pools)
+	orders func([]*Executor, *servetest.FakeTargets)
 }
 
 // policy is how the stages are run: what is left out of it.
@@ -90,7 +90,7 @@
 // played is the outcome of a played load.
 type played struct {
 	kinds map[string]tally
-	pools *servetest.Pools
+	pools *servetest.FakeTargets
 	held  int
 	// refused are the requests that were given up.
 	refused map[string]bool
@@ -154,7 +154,7 @@
 func play(seed uint64, s site, p policy) played {
 	life, stop := context.WithCancel(context.Background())
 	defer stop()
-	pools := &servetest.Pools{Services: map[string]*plan.Batch{}, Slow: s.slow, Fail: s.fail, Stall: s.stall}
+	pools := &servetest.FakeTargets{Services: map[string]*plan.Batch{}, Slow: s.slow, Fail: s.fail, Stall: s.stall}
 	for _, service := range s.services {
 		pools.Services[service.Name] = service.Batch
 	}
@@ -180,7 +180,7 @@
 				}
 				time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 				at := executors[random.IntN(len(executors))]
-				if i := slices.Index(executors, at); i < s.behind || !nodes[i].Living() {
+				if i := slices.Index(executors, at); i < s.behind || !nodes[i].Running() {
 					continue // its callers go elsewhere
 				}
 				pieces, id := k.pieces(random), fmt.Sprintf("%s-%d", k.name, n)
@@ -206,7 +206,7 @@
 	}
 	all.Wait()
 	time.Sleep(time.Second)
-	out.held = pools.Held()
+	out.held = pools.HeldBytes()
 	return out
 }
 
@@ -250,7 +250,7 @@
 }
 
 // start makes the processes.
-func (s site) start(life context.Context, p policy, pools *servetest.Pools) (executors []*Executor, nodes []*servetest.Node) {
+func (s site) start(life context.Context, p policy, pools *servetest.FakeTargets) (executors []*Executor, nodes []*servetest.Node) {
 	cluster := &servetest.Cluster{Delay: time.Millisecond}
 	for i := range s.vms {
 		node := cluster.Add(fmt.Sprintf("vm-%d", i), zoneName(i%len(s.perZone)))
@@ -262,7 +262,7 @@
 
 func zoneName(i int) string { return string(rune('a' + i)) }
 
-func (s site) process(life context.Context, p policy, node *servetest.Node, pools *servetest.Pools, behind bool) *Executor {
+func (s site) process(life context.Context, p policy, node *servetest.Node, pools *servetest.FakeTargets, behind bool) *Executor {
 	table := pool.New(zap.NewNop())
 	table.Reset(s.entries(), 1, time.Now())
 	plans := &plan.Holder{}
@@ -497,7 +497,7 @@
 		life, stop := context.WithCancel(context.Background())
 		defer stop()
 		load := reservoir()
-		pools := &servetest.Pools{Services: map[string]*plan.Batch{}}
+		pools := &servetest.FakeTargets{Services: map[string]*plan.Batch{}}
 		for _, service := range load.services {
 			pools.Services[service.Name] = service.Batch
 		}
@@ -506,10 +506,10 @@
 		got := make(chan outcome, 1)
 		go func() { got <- ask(life, e, load.kinds[1], "r", []int{1, 8, 6}) }()
 		time.Sleep(200 * time.Millisecond)
-		assert.Equal(t, pools.CallsOf("intake"), 0)
+		assert.Equal(t, pools.CallCount("intake"), 0)
 		load.process(life, policy{}, cluster.Add("second", "a"), pools, false)
 		time.Sleep(100 * time.Millisecond)
-		assert.Equal(t, pools.CallsOf("intake"), 1)
+		assert.Equal(t, pools.CallCount("intake"), 1)
 		assert.Equal(t, <-got, inTime)
 		time.Sleep(time.Second)
 
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -193,24 +193,24 @@
 // Plans gives the configuration in force.
 func (s *Server) Plans() *plan.Holder { return s.plans }
 
-// BoundRetries puts another bound on the repeats of all processes together.
-func (s *Server) BoundRetries(rule quota.Rule) { s.budget.SetRule(rule, time.Now()) }
+// UpdateRetryBudget puts another bound on the repeats of all processes together.
+func (s *Server) UpdateRetryBudget(rule quota.Rule) { s.budget.SetRule(rule, time.Now()) }
 
-// BoundChanges puts another bound on the time until changes are in force.
-func (s *Server) BoundChanges(b follow.PropagationBound) { s.follower.SetPropagationBound(b) }
+// UpdatePropagationBound puts another bound on the time until changes are in force.
+func (s *Server) UpdatePropagationBound(b follow.PropagationBound) { s.follower.SetPropagationBound(b) }
 
 // Run answers one request; see run.Executor.
 func (s *Server) Run(ctx context.Context, r *run.Request) *run.Reply { return s.executor.Run(ctx, r) }
 
-// Begin counts a request as in flight until the returned function is called.
-func (s *Server) Begin() func() {
+// TrackRequest counts a request as in flight until the returned function is called.
+func (s *Server) TrackRequest() func() {
 	s.inFlight.Add(1)
 	var once sync.Once
 	return func() { once.Do(func() { s.inFlight.Add(-1) }) }
 }
 
-// Leaving tells whether this process is shutting down, and for how long.
-func (s *Server) Leaving() (time.Duration, bool) {
+// ShuttingDown tells whether this process is shutting down, and for how long.
+func (s *Server) ShuttingDown() (time.Duration, bool) {
 	since := s.leavingSince.Load()
 	if since == nil {
 		return 0, false
@@ -223,10 +223,10 @@
 	return s.leavingSince.Load() == nil && s.plans.Current() != nil && s.table.Loaded()
 }
 
-// Entries lists the addresses that a caller in a zone should use, its zone's
+// EntryAddresses lists the addresses that a caller in a zone should use, its zone's
 // first by lot. Those of other zones are left out while the zone has its part
 // of the VMs: what crosses zones costs.
-func (s *Server) Entries(zone string) []string {
+func (s *Server) EntryAddresses(zone string) []string {
 	var near, far []string
 	add := func(m peer.Member) {
 		if m.Zone == zone {
@@ -263,9 +263,9 @@
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
 
-// StartLeaving takes this process out of what callers and peers are told. It
+// BeginShutdown takes this process out of what callers and peers are told. It
 // goes on serving those that come all the same, for as long as the shutdown allows.
-func (s *Server) StartLeaving(d run.Shutdown) {
+func (s *Server) BeginShutdown(d run.Shutdown) {
 	now := time.Now()
 	s.leavingSince.Store(&now)
 	s.executor.StartShutdown(d)
--- a/internal/serve/servetest/network.go
+++ b/internal/serve/servetest/network.go
@@ -80,12 +80,12 @@
 	})
 }
 
-// Link bounds what the process sends, in bytes a second. What is to be sent waits in a
+// SetSendRate bounds what the process sends, in bytes a second. What is to be sent waits in a
 // queue.
-func (n *Node) Link(rate int) { n.set(func() { n.rate = rate }) }
+func (n *Node) SetSendRate(rate int) { n.set(func() { n.rate = rate }) }
 
-// Strength sets the VM's share of a core, in percent.
-func (n *Node) Strength(power int) { n.set(func() { n.self.CPUPercent = power }) }
+// SetCPUPercent sets the VM's share of a core, in percent.
+func (n *Node) SetCPUPercent(power int) { n.set(func() { n.self.CPUPercent = power }) }
 
 // queue puts a message into the sender's queue and gives the time until it is there.
 func (n *Node) queue(bytes int) time.Duration {
@@ -102,8 +102,8 @@
 	return n.free.Sub(now) + n.cluster.Delay
 }
 
-// Living tells whether the process wasn't killed.
-func (n *Node) Living() bool {
+// Running tells whether the process wasn't killed.
+func (n *Node) Running() bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return !n.dead
@@ -173,15 +173,15 @@
 	return list
 }
 
-// Published counts the items that all processes have published.
-func (c *Cluster) Published() int {
+// PublishedCount counts the items that all processes have published.
+func (c *Cluster) PublishedCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.published
 }
 
-// Calls counts the calls between processes.
-func (c *Cluster) Calls() int {
+// CallCount counts the calls between processes.
+func (c *Cluster) CallCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
--- a/internal/serve/servetest/stages.go
+++ b/internal/serve/servetest/stages.go
@@ -12,10 +12,10 @@
 	"github.com/vanillagate/vanillagate/internal/serve/pool"
 )
 
-// Pools is a model of stage targets: one call at a time, a call time that
+// FakeTargets is a model of stage targets: one call at a time, a call time that
 // hardly depends on the batch, and little space for results. It implements
 // gather.StageClient.
-type Pools struct {
+type FakeTargets struct {
 	Services map[string]*plan.Batch
 	// Slow multiplies the time of a target's calls, by ID.
 	Slow map[string]float64
@@ -39,7 +39,7 @@
 	Gone map[string]int
 }
 
-var _ gather.StageClient = (*Pools)(nil)
+var _ gather.StageClient = (*FakeTargets)(nil)
 
 // target is the model of one.
 type target struct {
@@ -54,7 +54,7 @@
 	gone  time.Time
 }
 
-func (p *Pools) of(id string) *target {
+func (p *FakeTargets) of(id string) *target {
 	if p.targets == nil {
 		p.made, p.called = map[gather.Key]bool{}, map[string]time.Time{}
 		p.targets, p.Calls, p.Items, p.Gone = map[string]*target{}, map[string]int{}, map[string]int{}, map[string]int{}
@@ -68,14 +68,14 @@
 }
 
 // LastCall is when a target in a zone was called last.
-func (p *Pools) LastCall(zone string) time.Time {
+func (p *FakeTargets) LastCall(zone string) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.called[zone]
 }
 
 // Run makes one call.
-func (p *Pools) Run(ctx context.Context, at *pool.Target, items []gather.Item, sent func()) ([]gather.Result, error) {
+func (p *FakeTargets) Run(ctx context.Context, at *pool.Target, items []gather.Item, sent func()) ([]gather.Result, error) {
 	batch := p.Services[at.Service]
 	if err := sleep(ctx, p.Stall); err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 	return results, nil
 }
 
-func (p *Pools) begin(at *pool.Target, batch *plan.Batch, items []gather.Item) ([]gather.Result, time.Duration, error) {
+func (p *FakeTargets) begin(at *pool.Target, batch *plan.Batch, items []gather.Item) ([]gather.Result, time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.of(at.Address)
@@ -117,7 +117,7 @@
 }
 
 // make makes one item. The caller holds mu.
-func (p *Pools) make(t *target, at *pool.Target, batch *plan.Batch, item gather.Item, gone time.Time) gather.Result {
+func (p *FakeTargets) make(t *target, at *pool.Target, batch *plan.Batch, item gather.Item, gone time.Time) gather.Result {
 	p.Items[at.Service]++
 	p.sweep(t)
 	out := gather.Result{Key: item.Key, Zone: at.Zone}
@@ -153,7 +153,7 @@
 	return out
 }
 
-func (p *Pools) sweep(t *target) {
+func (p *FakeTargets) sweep(t *target) {
 	now := time.Now()
 	for handle, r := range t.results {
 		if now.After(r.gone) {
@@ -164,7 +164,7 @@
 }
 
 // Free gives back results.
-func (p *Pools) Free(_ context.Context, at *pool.Target, handles []string) error {
+func (p *FakeTargets) Free(_ context.Context, at *pool.Target, handles []string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.of(at.Address)
@@ -175,15 +175,15 @@
 	return nil
 }
 
-// CallsOf counts the calls of a service so far.
-func (p *Pools) CallsOf(service string) int {
+// CallCount counts the calls of a service so far.
+func (p *FakeTargets) CallCount(service string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.Calls[service]
 }
 
-// Held is how many bytes of results lie at all targets.
-func (p *Pools) Held() int {
+// HeldBytes is how many bytes of results lie at all targets.
+func (p *FakeTargets) HeldBytes() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	total := 0
--- a/internal/serve/suspicion.go
+++ b/internal/serve/suspicion.go
@@ -100,7 +100,7 @@
 
 func (s *suspicion) learn(crashes []crash, now time.Time) {
 	for _, c := range crashes {
-		s.table.Heard(suspect.Evidence{
+		s.table.MergeEvidence(suspect.Evidence{
 			Fingerprint: c.Fingerprint, Crashes: []suspect.Crash{{Address: c.Address, At: now}},
 		}, now)
 	}
@@ -139,7 +139,7 @@
 // evidence lists the crashes under a request.
 func (s *suspicion) evidence(f suspect.Fingerprint) []crash {
 	var list []crash
-	for _, c := range s.table.Addresses(f, time.Now()) {
+	for _, c := range s.table.CrashedTargets(f, time.Now()) {
 		list = append(list, crash{Fingerprint: f, Address: c})
 	}
 	return list
@@ -147,7 +147,7 @@
 
 // Convicted tells that a request gets no more targets.
 func (s *suspicion) Convicted(f suspect.Fingerprint) bool {
-	return s.table.Crashes(f, time.Now()) >= crashesToConvict
+	return s.table.CrashCount(f, time.Now()) >= crashesToConvict
 }
 
 // ConnectionBroke looks whether the target died, and reports it if it did.
--- a/internal/serve/suspicion_test.go
+++ b/internal/serve/suspicion_test.go
@@ -39,8 +39,8 @@
 			}
 		}
 		time.Sleep(time.Second)
-		assert.Equal(t, cluster.Published(), 0)
-		assert.Assert(t, cluster.Calls() <= processes*crashesEach*collectors, "%d calls", cluster.Calls())
+		assert.Equal(t, cluster.PublishedCount(), 0)
+		assert.Assert(t, cluster.CallCount() <= processes*crashesEach*collectors, "%d calls", cluster.CallCount())
 	})
 }
 
@@ -53,12 +53,12 @@
 			all[0].crashed(suspect.Fingerprint(fmt.Sprint("request-", i)), fmt.Sprintf("10.0.0.%d:80", i/8))
 		}
 		time.Sleep(reportSpread + 10*time.Millisecond)
-		assert.Assert(t, cluster.Calls() <= 3, "%d calls", cluster.Calls())
-		before := cluster.Calls()
+		assert.Assert(t, cluster.CallCount() <= 3, "%d calls", cluster.CallCount())
+		before := cluster.CallCount()
 		all[0].crashed("later", "10.0.1.1:80")
 		all[0].crashed("later still", "10.0.1.1:80")
 		time.Sleep(reportPause + reportSpread)
-		assert.Assert(t, cluster.Calls()-before <= 3, "%d more calls", cluster.Calls()-before)
+		assert.Assert(t, cluster.CallCount()-before <= 3, "%d more calls", cluster.CallCount()-before)
 	})
 }
 
@@ -78,7 +78,7 @@
 				}
 			}
 			for i, s := range all {
-				if nodes[i].Living() {
+				if nodes[i].Running() {
 					assert.Assert(t, s.Convicted("culprit"), "process %d", i)
 					assert.Assert(t, !s.Convicted("another"), "process %d", i)
 				}
--- a/internal/serve/upstream/answer.go
+++ b/internal/serve/upstream/answer.go
@@ -62,7 +62,7 @@
 			return err
 		}
 	}
-	return ErrStray
+	return ErrUnrelatedAnswers
 }
 
 // frame finds out how the body's end is told.
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -70,8 +70,8 @@
 	return errors.As(err, &failure) && !failure.Sent
 }
 
-// ErrStray means that the target sent answers to other requests only.
-var ErrStray = errors.New("answers of other requests in place of ours")
+// ErrUnrelatedAnswers means that the target sent answers to other requests only.
+var ErrUnrelatedAnswers = errors.New("answers of other requests in place of ours")
 
 // maxStray is how many answers to earlier requests are read away before ours.
 const maxStray = 2
--- a/internal/serve/warmup/warmup.go
+++ b/internal/serve/warmup/warmup.go
@@ -126,10 +126,10 @@
 
 func rankOf(view *peer.View, target string) int {
 	at := member.Hash(target)
-	own := member.Rank(at, member.Hash(string(view.Self.Incarnation)))
+	own := member.RendezvousScore(at, member.Hash(string(view.Self.Incarnation)))
 	before := 0
 	for _, m := range view.Members {
-		if member.Rank(at, member.Hash(string(m.Incarnation))) > own {
+		if member.RendezvousScore(at, member.Hash(string(m.Incarnation))) > own {
 			before++
 		}
 	}
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -20,8 +20,8 @@
 // count: a caller may send the same request again with a new key.
 type Fingerprint string
 
-// Of hashes the parts of a request that decide what its targets do.
-func Of(parts ...string) Fingerprint {
+// FingerprintOf hashes the parts of a request that decide what its targets do.
+func FingerprintOf(parts ...string) Fingerprint {
 	h := fnv.New64a()
 	for _, p := range parts {
 		_, _ = h.Write([]byte(p))
@@ -61,20 +61,20 @@
 	Convicted Verdict = "convicted"
 )
 
-// Leave says how a request may run now.
-type Leave string
+// Permission says how a request may run now.
+type Permission string
 
 // The leaves.
 const (
-	// Free: like any other request.
-	Free Leave = "free"
-	// Alone: as the only try of this suspect, and on a target without another
+	// Unrestricted: like any other request.
+	Unrestricted Permission = "free"
+	// Isolated: as the only try of this suspect, and on a target without another
 	// suspect. Done ends it.
-	Alone Leave = "alone"
-	// Wait: another try of it has to end first, here or at another process.
-	Wait Leave = "wait"
-	// Never: it is convicted.
-	Never Leave = "never"
+	Isolated Permission = "alone"
+	// MustWait: another try of it has to end first, here or at another process.
+	MustWait Permission = "wait"
+	// Denied: it is convicted.
+	Denied Permission = "never"
 )
 
 const (
@@ -83,18 +83,18 @@
 	// sameCrash is how close two reports of a target's death have to be to
 	// count as one: several entry VMs see the same one.
 	sameCrash = time.Second
-	// Settle is how long evidence takes to reach the peers. An owner waits it
+	// PropagationDelay is how long evidence takes to reach the peers. An owner waits it
 	// out: another process may be reporting the same death, or losing a second
 	// target to the same request, right now.
-	Settle = 100 * time.Millisecond
+	PropagationDelay = 100 * time.Millisecond
 	// ownerTerm is how long a process owns a suspect. One that died or whose
 	// caller left would otherwise keep an innocent request from running for as
 	// long as evidence counts.
 	ownerTerm = 30 * time.Second
 	// deathTerm is how long no suspect is sent to a target that died.
 	deathTerm = 10 * time.Second
-	// Memory is how long evidence counts.
-	Memory = 10 * time.Minute
+	// EvidenceTTL is how long evidence counts.
+	EvidenceTTL = 10 * time.Minute
 	// maxRecords bounds the table. The oldest go first.
 	maxRecords = 4096
 )
@@ -132,13 +132,13 @@
 	return t.verdict(f, now)
 }
 
-// Crashes counts the targets that died under a request.
-func (t *Table) Crashes(f Fingerprint, now time.Time) int {
-	return len(t.Addresses(f, now))
+// CrashCount counts the targets that died under a request.
+func (t *Table) CrashCount(f Fingerprint, now time.Time) int {
+	return len(t.CrashedTargets(f, now))
 }
 
-// Addresses lists the targets that died under a request.
-func (t *Table) Addresses(f Fingerprint, now time.Time) []string {
+// CrashedTargets lists the targets that died under a request.
+func (t *Table) CrashedTargets(f Fingerprint, now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.current(f, now)
@@ -164,7 +164,7 @@
 // The caller holds mu.
 func (t *Table) current(f Fingerprint, now time.Time) *record {
 	r := t.records[f]
-	if r == nil || now.Sub(r.seenAt) > Memory {
+	if r == nil || now.Sub(r.seenAt) > EvidenceTTL {
 		return nil
 	}
 	return r
@@ -183,26 +183,26 @@
 
 // Ask says how a request may run now. Evidence that is not nil has to be told
 // to the peers: this process took over a suspect whose owner's time is up.
-func (t *Table) Ask(f Fingerprint, now time.Time) (Leave, *Evidence) {
+func (t *Table) Ask(f Fingerprint, now time.Time) (Permission, *Evidence) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch t.verdict(f, now) {
 	case Clear:
-		return Free, nil
+		return Unrestricted, nil
 	case Convicted:
-		return Never, nil
+		return Denied, nil
 	}
 	r := t.records[f]
 	held := &r.crashes[0]
 	switch {
 	case now.Sub(held.OwnedAt) > ownerTerm:
 		held.Owner, held.OwnedAt = t.self, now
-		return Wait, r.evidence(f)
-	case held.Owner != t.self || r.trial || now.Sub(held.OwnedAt) < Settle:
-		return Wait, nil
+		return MustWait, r.evidence(f)
+	case held.Owner != t.self || r.trial || now.Sub(held.OwnedAt) < PropagationDelay:
+		return MustWait, nil
 	default:
 		r.trial = true
-		return Alone, nil
+		return Isolated, nil
 	}
 }
 
@@ -216,11 +216,11 @@
 }
 
 // MayGoOn says whether a try that was let in may still run.
-func (t *Table) MayGoOn(f Fingerprint, leave Leave, now time.Time) bool {
+func (t *Table) MayGoOn(f Fingerprint, leave Permission, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	verdict := t.verdict(f, now)
-	if leave == Free || verdict != Suspected {
+	if leave == Unrestricted || verdict != Suspected {
 		return verdict == Clear
 	}
 	return t.records[f].crashes[0].Owner == t.self
@@ -299,8 +299,8 @@
 	r.crashes = kept
 }
 
-// Heard takes in a peer's evidence.
-func (t *Table) Heard(e Evidence, now time.Time) {
+// MergeEvidence takes in a peer's evidence.
+func (t *Table) MergeEvidence(e Evidence, now time.Time) {
 	defer t.tell(e.Fingerprint)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -314,7 +314,7 @@
 // get gives the record, a new one in place of one that no longer counts.
 func (t *Table) get(f Fingerprint, now time.Time) *record {
 	r := t.records[f]
-	if r != nil && now.Sub(r.seenAt) > Memory {
+	if r != nil && now.Sub(r.seenAt) > EvidenceTTL {
 		*r = record{trial: r.trial}
 	}
 	if r == nil {
@@ -367,9 +367,9 @@
 	}
 }
 
-// Died says whether a target died a short while ago, as far as is known here.
+// DiedRecently says whether a target died a short while ago, as far as is known here.
 // All processes hear the same deaths, so that they leave out the same targets.
-func (t *Table) Died(address string, now time.Time) bool {
+func (t *Table) DiedRecently(address string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at, found := t.deaths[address]
@@ -392,7 +392,7 @@
 	defer t.mu.Unlock()
 	var list []Report
 	for f, r := range t.records {
-		if v := r.verdict(); v != Clear && now.Sub(r.seenAt) <= Memory {
+		if v := r.verdict(); v != Clear && now.Sub(r.seenAt) <= EvidenceTTL {
 			list = append(list, Report{Fingerprint: f, Verdict: v, Crashes: len(r.crashes)})
 		}
 	}
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -9,21 +9,21 @@
 
 var start = time.Unix(1000, 0)
 
-func leave(t *Table, f Fingerprint, at time.Time) Leave {
+func leave(t *Table, f Fingerprint, at time.Time) Permission {
 	l, _ := t.Ask(f, at)
 	return l
 }
 
 func TestTwoCrashesConvict(t *testing.T) {
 	table := NewTable("p")
-	f := Of("quote", "poison")
-	assert.Equal(t, leave(table, f, start), Free)
+	f := FingerprintOf("quote", "poison")
+	assert.Equal(t, leave(table, f, start), Unrestricted)
 	table.Crashed(f, "a:1", start)
 	assert.Equal(t, table.Check(f, start), Suspected)
 	table.Crashed(f, "b:1", start.Add(time.Second))
 	assert.Equal(t, table.Check(f, start.Add(time.Second)), Convicted)
-	assert.Equal(t, leave(table, f, start.Add(time.Second)), Never)
-	later := start.Add(Memory + 2*time.Second)
+	assert.Equal(t, leave(table, f, start.Add(time.Second)), Denied)
+	later := start.Add(EvidenceTTL + 2*time.Second)
 	assert.Equal(t, table.Check(f, later), Clear)
 	table.Crashed(f, "c:1", later)
 	assert.Equal(t, table.Check(f, later), Suspected)
@@ -33,15 +33,15 @@
 // target that died. Tried again side by side, they would cost two more.
 func TestOneTryOfASuspectAtATime(t *testing.T) {
 	table := NewTable("p")
-	f := Of("quote", "poison")
+	f := FingerprintOf("quote", "poison")
 	table.Crashed(f, "a:1", start)
-	assert.Equal(t, leave(table, f, start.Add(Settle/2)), Wait)
-	at := start.Add(Settle)
-	assert.Equal(t, leave(table, f, at), Alone)
-	assert.Equal(t, leave(table, f, at), Wait)
-	assert.Assert(t, table.MayGoOn(f, Alone, at))
+	assert.Equal(t, leave(table, f, start.Add(PropagationDelay/2)), MustWait)
+	at := start.Add(PropagationDelay)
+	assert.Equal(t, leave(table, f, at), Isolated)
+	assert.Equal(t, leave(table, f, at), MustWait)
+	assert.Assert(t, table.MayGoOn(f, Isolated, at))
 	table.Done(f)
-	assert.Equal(t, leave(table, f, at), Alone)
+	assert.Equal(t, leave(table, f, at), Isolated)
 }
 
 // Two entry VMs have requests at the same target when it dies. Both report the
@@ -49,68 +49,68 @@
 // tried again by both, a guilty one would cost two more targets.
 func TestOneDeathSeenTwiceCountsOnceAndHasOneOwner(t *testing.T) {
 	p, q := NewTable("p"), NewTable("q")
-	f := Of("quote", "either")
+	f := FingerprintOf("quote", "either")
 	byP := p.Crashed(f, "a:1", start)
 	byQ := q.Crashed(f, "a:1", start.Add(50*time.Millisecond))
-	p.Heard(byQ, start)
-	q.Heard(byP, start)
+	p.MergeEvidence(byQ, start)
+	q.MergeEvidence(byP, start)
 	at := start.Add(time.Second)
 	assert.Equal(t, p.Check(f, at), Suspected)
-	assert.Equal(t, leave(p, f, at), Alone)
-	assert.Equal(t, leave(q, f, at), Wait)
+	assert.Equal(t, leave(p, f, at), Isolated)
+	assert.Equal(t, leave(q, f, at), MustWait)
 }
 
 func TestPeersEvidenceConvictsAndStopsWhatRuns(t *testing.T) {
 	here, there := NewTable("p"), NewTable("q")
-	f := Of("quote", "poison")
+	f := FingerprintOf("quote", "poison")
 	told := 0
 	stop := there.Watch(f, func() { told++ })
-	there.Heard(here.Crashed(f, "a:1", start), start)
+	there.MergeEvidence(here.Crashed(f, "a:1", start), start)
 	assert.Equal(t, told, 1)
-	assert.Assert(t, !there.MayGoOn(f, Free, start))
-	assert.Assert(t, there.Died("a:1", start))
-	assert.Assert(t, !there.Died("a:1", start.Add(deathTerm)))
+	assert.Assert(t, !there.MayGoOn(f, Unrestricted, start))
+	assert.Assert(t, there.DiedRecently("a:1", start))
+	assert.Assert(t, !there.DiedRecently("a:1", start.Add(deathTerm)))
 	stop()
-	there.Heard(here.Crashed(f, "b:1", start), start)
+	there.MergeEvidence(here.Crashed(f, "b:1", start), start)
 	assert.Equal(t, told, 1)
 	assert.Equal(t, there.Check(f, start), Convicted)
-	assert.Assert(t, !here.MayGoOn(f, Alone, start))
+	assert.Assert(t, !here.MayGoOn(f, Isolated, start))
 }
 
 // The owner of a suspect dies, or its caller leaves, before the second try.
 // The request must not be held up for as long as evidence counts.
 func TestOwnershipIsTakenOver(t *testing.T) {
 	p, q, r := NewTable("p"), NewTable("q"), NewTable("r")
-	f := Of("quote", "innocent")
+	f := FingerprintOf("quote", "innocent")
 	e := p.Crashed(f, "a:1", start)
-	q.Heard(e, start)
-	r.Heard(e, start)
+	q.MergeEvidence(e, start)
+	r.MergeEvidence(e, start)
 	at := start.Add(ownerTerm + time.Second)
 	l, byQ := q.Ask(f, at)
-	assert.Equal(t, l, Wait)
+	assert.Equal(t, l, MustWait)
 	_, byR := r.Ask(f, at.Add(time.Millisecond))
-	q.Heard(*byR, at)
-	r.Heard(*byQ, at)
-	p.Heard(*byQ, at)
-	at = at.Add(2 * Settle)
-	assert.Equal(t, leave(q, f, at), Alone)
-	assert.Equal(t, leave(r, f, at), Wait)
-	assert.Equal(t, leave(p, f, at), Wait)
+	q.MergeEvidence(*byR, at)
+	r.MergeEvidence(*byQ, at)
+	p.MergeEvidence(*byQ, at)
+	at = at.Add(2 * PropagationDelay)
+	assert.Equal(t, leave(q, f, at), Isolated)
+	assert.Equal(t, leave(r, f, at), MustWait)
+	assert.Equal(t, leave(p, f, at), MustWait)
 }
 
 // A suspect comes back whole while the report of the same death by another
 // process is still on its way.
 func TestClearingVoidsEarlierCrashesInAnyOrder(t *testing.T) {
 	p, q, r := NewTable("p"), NewTable("q"), NewTable("r")
-	f := Of("x")
+	f := FingerprintOf("x")
 	p.Crashed(f, "a:1", start)
 	late := q.Crashed(f, "a:1", start.Add(time.Millisecond))
 	cleared := p.Cleared(f, start.Add(time.Second))
 	assert.Equal(t, len(p.List(start)), 0)
-	p.Heard(late, start)
-	r.Heard(cleared, start)
-	r.Heard(late, start)
-	q.Heard(cleared, start)
+	p.MergeEvidence(late, start)
+	r.MergeEvidence(cleared, start)
+	r.MergeEvidence(late, start)
+	q.MergeEvidence(cleared, start)
 	for _, table := range []*Table{p, q, r} {
 		assert.Equal(t, table.Check(f, start), Clear)
 	}
@@ -118,11 +118,11 @@
 
 func TestConvictionStands(t *testing.T) {
 	table := NewTable("p")
-	f := Of("x")
+	f := FingerprintOf("x")
 	table.Crashed(f, "a:1", start)
 	table.Crashed(f, "b:1", start)
 	table.Cleared(f, start.Add(time.Second))
-	table.Heard(Evidence{Fingerprint: f, ClearedAt: start.Add(time.Second)}, start)
+	table.MergeEvidence(Evidence{Fingerprint: f, ClearedAt: start.Add(time.Second)}, start)
 	assert.Equal(t, table.Check(f, start), Convicted)
 }
 
