--- a/internal/peer/loop.go
+++ b/internal/peer/loop.go
@@ -69,7 +69,7 @@
 	if !n.health.overloaded() {
 		// If this process is short of CPU, suspected members may already have refuted
 		// the suspicion in messages that it hasn't read yet.
-		n.broadcast(n.table.Tick(now), nil)
+		n.broadcast(n.table.Expire(now), nil)
 	}
 	n.store.sweep(now)
 	n.publishDue(now)
@@ -135,7 +135,7 @@
 	n.log.Warn("This process was frozen; resetting its view of the members.")
 	n.freezes++
 	n.traffic.freezes.Inc(1)
-	n.candidates = append(n.candidates, n.table.Forget()...)
+	n.candidates = append(n.candidates, n.table.Reset()...)
 	n.stale = true
 	clear(n.missing)
 	n.order = nil
@@ -159,17 +159,17 @@
 // neighbours would open new links at every tick while all processes start. The caller
 // holds mu.
 func (n *Node) planLinks(now time.Time) {
-	count := n.table.Count()
+	count := n.table.MemberCount()
 	gradual := count > n.opts.LinkBounds.All && count < 2*n.linkPlan.members && n.linkPlan.members < 2*count
 	switch {
-	case n.table.Population() == n.linkPlan.population:
+	case n.table.MembershipVersion() == n.linkPlan.population:
 		return
 	case gradual && now.Sub(n.linkPlan.at) < n.opts.Period:
 		return
 	}
 	n.linkPlan = linkPlan{
-		links:      member.Links(n.table.Self(), n.table.Living(), n.opts.LinkBounds),
-		population: n.table.Population(), members: count, at: now,
+		links:      member.Links(n.table.Self(), n.table.LiveMembers(), n.opts.LinkBounds),
+		population: n.table.MembershipVersion(), members: count, at: now,
 	}
 }
 
@@ -182,14 +182,14 @@
 			l.used = now
 			continue
 		}
-		addresses = n.appendDial(addresses, r.Peer)
+		addresses = n.appendDial(addresses, r.PeerAddr)
 	}
 	tried := 0
 	for _, i := range rand.Perm(len(n.candidates)) {
 		if tried == seedsAtOnce {
 			break
 		}
-		if address := n.candidates[i]; address != n.table.Self().Peer && !n.table.LivesAt(address) {
+		if address := n.candidates[i]; address != n.table.Self().PeerAddr && !n.table.HasMemberAt(address) {
 			addresses = n.appendDial(addresses, address)
 			tried++
 		}
@@ -335,7 +335,7 @@
 
 // randomMember returns a random member. The caller holds mu.
 func (n *Node) randomMember() string {
-	r, _ := n.table.Any()
+	r, _ := n.table.AnyMember()
 	return r.ID
 }
 
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -43,7 +43,7 @@
 	// TombstoneTTL is how long dead members are remembered; 0 for 900 periods.
 	TombstoneTTL time.Duration
 	// LinkBounds limit the number of links; the zero value is member.DefaultBounds.
-	LinkBounds member.Bounds
+	LinkBounds member.LinkCounts
 	// PacedBytesPerSecond is the rate in bytes per second at which a process may receive the paced
 	// topics of all processes together; 0 for DefaultPace. See pacing.go.
 	PacedBytesPerSecond float64
@@ -68,8 +68,8 @@
 	if o.TombstoneTTL <= 0 {
 		o.TombstoneTTL = tombstonePeriods * o.Period
 	}
-	if o.LinkBounds == (member.Bounds{}) {
-		o.LinkBounds = member.DefaultBounds
+	if o.LinkBounds == (member.LinkCounts{}) {
+		o.LinkBounds = member.DefaultLinkCounts
 	}
 	if o.PacedBytesPerSecond <= 0 {
 		o.PacedBytesPerSecond = DefaultPacedBytesPerSecond
--- a/internal/peer/sync.go
+++ b/internal/peer/sync.go
@@ -100,7 +100,7 @@
 	if !n.notFrozen(time.Now()) {
 		return exchangeRequest{}, false, errStale
 	}
-	request.Records, request.WantRecords = n.table.Compare(diff.Zones)
+	request.Records, request.WantRecords = n.table.CompareStamps(diff.Zones)
 	if len(request.Records)+len(request.WantRecords) > maxUsualDiff {
 		n.compareScheduled = true
 	}
@@ -155,7 +155,7 @@
 	if !n.notFrozen(time.Now()) {
 		return nil, errStale
 	}
-	return digestAnswer{Zones: n.table.Differing(request.Zones), Topics: n.store.differing(request.Topics)}, nil
+	return digestAnswer{Zones: n.table.DifferingStamps(request.Zones), Topics: n.store.differing(request.Topics)}, nil
 }
 
 func (n *Node) serveExchange(l *link, params json.RawMessage) (any, error) {
@@ -170,7 +170,7 @@
 		return nil, errStale
 	}
 	return exchangeAnswer{
-		Records: n.table.Wanted(request.WantRecords),
+		Records: n.table.RecordsByHash(request.WantRecords),
 		Items:   limitItems(n.store.wanted(request.WantItems, time.Now())),
 	}, nil
 }
--- a/internal/serve/run/evacuation_test.go
+++ b/internal/serve/run/evacuation_test.go
@@ -46,7 +46,7 @@
 	load.kinds = slices.Clone(load.kinds)
 	load.kinds[1].burst = 2
 	var evacuated, withdrawn, lastCall time.Time
-	load.withExecutors = func(all []*Executor, pools *servetest.Pools) {
+	load.withExecutors = func(all []*Executor, pools *servetest.FakeTargets) {
 		time.Sleep(burstFrom + 2*time.Second)
 		evacuated = time.Now()
 		broadcast(all, pool.EvacuationChange{Evacuation: pool.Evacuation{Zone: "a", Revision: 5}})
@@ -70,7 +70,7 @@
 func TestEvacuationRefusesRequestsBeyondRemainingCapacity(t *testing.T) {
 	load := threeZones()
 	load.perService = map[string][]int{"notify": {10, 2, 1}}
-	load.withExecutors = func(all []*Executor, _ *servetest.Pools) {
+	load.withExecutors = func(all []*Executor, _ *servetest.FakeTargets) {
 		time.Sleep(4 * time.Second)
 		broadcast(all, pool.EvacuationChange{Evacuation: pool.Evacuation{Zone: "a", Revision: 5}})
 	}
