--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -1,5 +1,5 @@
-// Package conns keeps connections to targets: dials them, gives out those that
-// are unused, and drops those that can't be trusted any more.
+// Package conns keeps connections to targets: it dials them, hands out unused
+// ones and closes those that may no longer be usable.
 package conns
 
 import (
@@ -13,42 +13,45 @@
 )
 
 const (
-	// DefaultIdle is how long an unused connection is kept where the target
-	// doesn't say. It stays below the idle timeouts that servers usually have.
+	// DefaultIdleTimeout is how long an unused connection is kept if the target
+	// doesn't specify a time. It is below the usual idle timeouts of servers.
 	DefaultIdleTimeout = 4 * time.Second
-	// maxIdle bounds the unused connections kept to one target.
+	// maxIdle bounds the unused connections to one target.
 	maxIdle = 64
-	// dialTimeout bounds the time until a connection stands.
+	// dialTimeout bounds the time to establish a connection.
 	dialTimeout = time.Second
-	// bufferBytes is the size of each connection's read and write buffer: a
-	// request's headers and an event of a stream fit.
+	// bufferBytes is the size of each connection's read and write buffer. It
+	// holds the headers of a request or one event of a stream.
 	bufferBytes = 4096
 )
 
-// keepAlive finds a connection that went silent for good: the other side's VM
-// lost power, or the path is cut. Without it a call on such a connection hangs
-// until its own deadline. After 1 s of silence three probes 500 ms apart decide.
+// keepAlive detects a connection whose other side is gone without closing it:
+// its VM lost power, or the network path is cut. Without it a call on such a
+// connection hangs until its own deadline. After 1 s of silence three probes
+// are sent, 500 ms apart; the connection fails if none is answered.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}
 
-// silenceTimeout is how long what was sent may stay unacknowledged. Keep-alive probes
-// are sent on a quiet connection only: a request that was written just after the other
-// side went silent would else be sent again and again until its own deadline.
-const silenceTimeout = 2500 * time.Millisecond
+// unackedTimeout is how long sent data may stay unacknowledged. Keep-alive
+// probes are sent on an idle connection only: without this limit, a request
+// written just after the other side went silent would be retransmitted until
+// its own deadline.
+const unackedTimeout = 2500 * time.Millisecond
 
 // Conn is one connection to a target, used for one call at a time.
 type Conn struct {
 	net.Conn
 	R *bufio.Reader
 	W *bufio.Writer
-	// Idle is how long the connection may stay unused; 0 is DefaultIdle.
+	// IdleTimeout is how long the connection may stay unused; 0 means
+	// DefaultIdleTimeout.
 	IdleTimeout time.Duration
-	// Most is how many unused connections to the same target are kept at most,
-	// this one among them; 0 is maxIdle.
-	MaxIdle int
-	used    time.Time
+	// MaxIdle is the maximum number of unused connections to the same target,
+	// this one included; 0 means maxIdle.
+	MaxIdle  int
+	lastUsed time.Time
 }
 
-func (c *Conn) most() int {
+func (c *Conn) maxUnused() int {
 	if c.MaxIdle > 0 {
 		return min(c.MaxIdle, maxIdle)
 	}
@@ -60,32 +63,34 @@
 	if idle == 0 {
 		idle = DefaultIdleTimeout
 	}
-	return now.Sub(c.used) >= idle
+	return now.Sub(c.lastUsed) >= idle
 }
 
-// Pool keeps unused connections by address. A connection goes back only after
-// its answer was read to the end. Before it is used again it is peeked at: a
-// closed one would make the outcome of the next call unknown, and one with
-// unread bytes would give the next call another's answer. The mutex guards
-// byAddress and is held for map operations only. The zero value is empty.
+// Pool keeps unused connections by address. A connection may be put back only
+// after its answer was read to the end. Before reuse it is checked without
+// reading from it: on a closed one the outcome of the next call would be
+// unknown, and unread bytes would be taken for the answer to the next call. The
+// mutex guards byAddress and is held for map operations only. The zero value is
+// empty.
 type Pool struct {
 	mu        sync.Mutex
 	byAddress map[string][]*Conn
 }
 
-// Take gives the connection that was used last, if one is sound and has been
-// unused for less than maxAge; 0 is no bound. nil means that there is none.
+// Take returns the most recently used connection that is still usable and has
+// been unused for less than maxAge; 0 means no bound. It returns nil if there
+// is none, and closes those that it rejects.
 func (p *Pool) Take(address string, now time.Time, maxAge time.Duration) *Conn {
 	for {
 		c := p.pop(address)
 		if c == nil {
 			return nil
 		}
-		young := maxAge == 0 || now.Sub(c.used) < maxAge
-		if young && !c.expired(now) && c.R.Buffered() == 0 && socket.Peek(c.Conn) == socket.Quiet {
+		recent := maxAge == 0 || now.Sub(c.lastUsed) < maxAge
+		if recent && !c.expired(now) && c.R.Buffered() == 0 && socket.Peek(c.Conn) == socket.Quiet {
 			return c
 		}
-		_ = c.Close() // unused: nothing is lost with it
+		_ = c.Close() // unused, so the error does not matter
 	}
 }
 
@@ -102,14 +107,15 @@
 	return c
 }
 
-// Put takes back a connection whose last answer was read to its end.
+// Put keeps a connection for reuse. Its last answer must have been read to the
+// end.
 func (p *Pool) Put(address string, c *Conn, now time.Time) {
-	c.used = now
-	_ = c.SetDeadline(time.Time{}) // fails on a closed one only, which Take notices
+	c.lastUsed = now
+	_ = c.SetDeadline(time.Time{}) // fails only on a closed connection, which Take detects
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.byAddress[address]) >= c.most() {
-		_ = c.Close() // unused: nothing is lost with it
+	if len(p.byAddress[address]) >= c.maxUnused() {
+		_ = c.Close() // unused, so the error does not matter
 		return
 	}
 	if p.byAddress == nil {
@@ -118,19 +124,20 @@
 	p.byAddress[address] = append(p.byAddress[address], c)
 }
 
-// Drop closes the unused connections to an address: another target may get it.
+// CloseIdle closes the unused connections to an address, as another target may
+// get that address.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.byAddress[address]
 	delete(p.byAddress, address)
 	p.mu.Unlock()
 	for _, c := range list {
-		_ = c.Close() // unused: nothing is lost with it
+		_ = c.Close() // unused, so the error does not matter
 	}
 }
 
-// Prune closes connections that stayed unused, so that targets which left
-// keep nothing open.
+// Prune closes connections that have been unused for too long, so that none
+// stay open to targets that are gone.
 func (p *Pool) Prune(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,7 +148,7 @@
 				kept = append(kept, c)
 				continue
 			}
-			_ = c.Close() // unused: nothing is lost with it
+			_ = c.Close() // unused, so the error does not matter
 		}
 		if len(kept) == 0 {
 			delete(p.byAddress, address)
@@ -153,7 +160,7 @@
 
 // Dial opens a connection.
 func Dial(ctx context.Context, address string) (*Conn, error) {
-	d := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: socket.BoundSilence(silenceTimeout)}
+	d := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: socket.BoundSilence(unackedTimeout)}
 	c, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
--- a/internal/derived/derived.go
+++ b/internal/derived/derived.go
@@ -1,25 +1,26 @@
-// Package derived keeps what was computed from something that rarely changes.
+// Package derived caches values computed from inputs that rarely change.
 package derived
 
 import "sync"
 
-// Value is what was computed from a key. It stands until it is asked for with
-// another key. The zero value is empty. It is safe for concurrent use.
+// Value caches the value computed from the last key. Another key replaces it.
+// The zero value is empty. It is safe for concurrent use.
 type Value[K comparable, V any] struct {
-	mu    sync.Mutex // guards what follows; a leaf, held during the computation
-	known bool
+	mu    sync.Mutex // guards the fields below; held during the computation, which takes no other lock
+	valid bool
 	key   K
 	value V
 }
 
-// Get gives what compute makes of the key, computed once while the key stays.
+// Get returns compute(key). It calls compute only if the key differs from the
+// last one.
 func (d *Value[K, V]) Get(key K, compute func(K) V) V {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.known || d.key != key {
+	if !d.valid || d.key != key {
 		d.value = compute(key)
 		d.key = key
-		d.known = true
+		d.valid = true
 	}
 	return d.value
 }
--- a/internal/limit/adaptive.go
+++ b/internal/limit/adaptive.go
@@ -5,72 +5,74 @@
 	"time"
 )
 
-// Adaptive follows how many requests at once the targets can take, from how
-// much of the time that requests have they need. What counts is the deadline:
-// requests differ too much in length to tell a queue from a long answer by how
-// long they take, and engines that batch take longer for each the more they
-// serve, while they serve more in all.
+// AdaptiveLimit adjusts the number of concurrent requests to what the targets
+// can take. It looks at the share of its allowed time that each request used.
+// Plain latency would not do: requests differ too much in length to tell
+// queueing from a long answer, and engines that batch take longer for each
+// request the more they serve, while their throughput grows.
 type AdaptiveLimit struct {
-	// Low and High bound the limit.
+	// Min and Max bound the limit.
 	Min, Max float64
-	// Calm and Tight are shares of a request's time: where nine in ten
-	// requests needed less than Calm the limit grows, where one in ten needed
-	// more than Tight it shrinks.
+	// GrowBelow and ShrinkAbove are shares of a request's allowed time. The
+	// limit grows when the 90th percentile of the shares used is below
+	// GrowBelow, and shrinks when it is above ShrinkAbove.
 	GrowBelow, ShrinkAbove float64
 
-	limit float64
-	used  [observations]float64
-	count int
-	peak  int // most requests in service since the last step
+	limit         float64
+	timeShares    [sampleSize]float64
+	count         int
+	peakInService int // most requests in service since the last adjustment
 }
 
-// observations is how many requests are looked at for one step.
-const observations = 20
+// sampleSize is the number of requests observed before each adjustment.
+const sampleSize = 20
 
 const (
-	grow   = 1.15
-	shrink = 0.85
-	// nearLimit is the share of the limit that must have been in use before it
-	// grows: while little is asked nothing is learnt about more.
+	growFactor   = 1.15
+	shrinkFactor = 0.85
+	// nearLimit is the share of the limit that must have been in use before the
+	// limit grows: a lightly used limit does not show whether the targets could
+	// take more.
 	nearLimit = 0.8
 )
 
-// NewAdaptive has the settings of the product.
+// NewAdaptiveLimit returns a limit with the default settings.
 func NewAdaptiveLimit() *AdaptiveLimit {
 	return &AdaptiveLimit{Min: 8, Max: 4096, GrowBelow: 0.55, ShrinkAbove: 0.75, limit: 64}
 }
 
-// Limit is how many requests may be in service now.
+// Limit returns the number of requests that may be in service now.
 func (a *AdaptiveLimit) Limit() int { return int(a.limit) }
 
-// Observe takes in a request that took so long of the time that it had, while
-// inService requests, itself counted, were in service.
-func (a *AdaptiveLimit) Observe(took, had time.Duration, inService int) {
-	a.used[a.count] = shareOf(took, had)
+// Observe records a request that took the given part of its allowed time.
+// inService is the number of requests in service at its end, this one included.
+func (a *AdaptiveLimit) Observe(took, allowed time.Duration, inService int) {
+	a.timeShares[a.count] = timeShare(took, allowed)
 	a.count++
-	a.peak = max(a.peak, inService)
-	if a.count < observations {
+	a.peakInService = max(a.peakInService, inService)
+	if a.count < sampleSize {
 		return
 	}
-	a.step()
-	a.count, a.peak = 0, 0
+	a.adjust()
+	a.count, a.peakInService = 0, 0
 }
 
-// shareOf is 1 for a request that had no time left.
-func shareOf(took, had time.Duration) float64 {
-	if took >= had {
+// timeShare returns the share of its allowed time that a request used, at most
+// 1. It is 1 too for a request that had no time left.
+func timeShare(took, allowed time.Duration) float64 {
+	if took >= allowed {
 		return 1
 	}
-	return float64(took) / float64(had)
+	return float64(took) / float64(allowed)
 }
 
-func (a *AdaptiveLimit) step() {
-	sort.Float64s(a.used[:])
-	high := a.used[observations*9/10]
+func (a *AdaptiveLimit) adjust() {
+	sort.Float64s(a.timeShares[:])
+	p90 := a.timeShares[sampleSize*9/10]
 	switch {
-	case high > a.ShrinkAbove:
-		a.limit = max(a.Min, min(a.limit, float64(a.peak))*shrink)
-	case high < a.GrowBelow && float64(a.peak) >= nearLimit*a.limit:
-		a.limit = min(a.Max, a.limit*grow+1)
+	case p90 > a.ShrinkAbove:
+		a.limit = max(a.Min, min(a.limit, float64(a.peakInService))*shrinkFactor)
+	case p90 < a.GrowBelow && float64(a.peakInService) >= nearLimit*a.limit:
+		a.limit = min(a.Max, a.limit*growFactor+1)
 	}
 }
--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -1,19 +1,19 @@
-// Package limit holds what keeps load within bounds: contracts' rates shared
-// over all entry VMs, and the gate before a pipeline, with a short fair queue
-// and a concurrency that follows what the targets can take.
+// Package limit bounds load. It enforces the contracts' rates over all entry
+// VMs together, and limits each pipeline's concurrency to what the targets can
+// take, with a short fair queue in front.
 package limit
 
 import "time"
 
 // Bucket is a token bucket. It isn't safe for concurrent use.
 type Bucket struct {
-	rate  float64 // tokens a second
+	rate  float64 // tokens per second
 	burst float64
 	level float64
 	last  time.Time
 }
 
-// NewBucket starts full.
+// NewBucket returns a full bucket.
 func NewBucket(rate, burst float64, now time.Time) *Bucket {
 	return &Bucket{rate: rate, burst: burst, level: burst, last: now}
 }
@@ -26,27 +26,29 @@
 	b.level = min(b.level, burst)
 }
 
-// Take takes n tokens if they are there, else says how long until they are.
+// Take takes n tokens if the bucket has them. Otherwise it returns how long
+// until it will.
 func (b *Bucket) Take(n float64, now time.Time) (ok bool, wait time.Duration) {
 	b.refill(now)
 	if b.level >= n {
 		b.level -= n
 		return true, 0
 	}
-	return false, b.until(n)
+	return false, b.timeUntil(n)
 }
 
-// Charge takes n tokens whether they are there or not, or gives some back
-// where n is negative. The level may fall below zero, by ten seconds' worth at
-// most: one long answer must not shut its customer out for minutes.
+// Charge takes n tokens even if the bucket does not have them, or returns
+// tokens if n is negative. The level may fall below zero, by at most
+// maxDebtSeconds of the rate: one long answer must not lock its customer out
+// for minutes.
 func (b *Bucket) Charge(n float64, now time.Time) {
 	b.refill(now)
-	b.level = min(max(b.level-n, -longestDebt*b.rate), b.burst)
+	b.level = min(max(b.level-n, -maxDebtSeconds*b.rate), b.burst)
 }
 
-const longestDebt = 10 // seconds
+const maxDebtSeconds = 10
 
-func (b *Bucket) until(n float64) time.Duration {
+func (b *Bucket) timeUntil(n float64) time.Duration {
 	if b.rate <= 0 {
 		return time.Minute
 	}
--- a/internal/limit/customer.go
+++ b/internal/limit/customer.go
@@ -9,29 +9,30 @@
 	"github.com/vanillagate/vanillagate/internal/config"
 )
 
-// Verdict says whether a contract lets a request in.
+// Decision says whether a contract admits a request.
 type Decision string
 
-// The verdicts.
+// The decisions.
 const (
 	Admitted       Decision = "admitted"
 	OverRate       Decision = "over the contract's requests per second"
 	OverInFlight   Decision = "over the contract's requests in flight"
 	OverTokenRate  Decision = "over the contract's tokens per second"
 	demandHalfLife          = time.Second
-	// inFlightRetry is when to come back after OverInFlight.
+	// inFlightRetry is the retry delay that a caller is given with
+	// OverInFlight.
 	inFlightRetry = 250 * time.Millisecond
-	// smallestBurst is what each entry VM may let in at once however small its
-	// part is. With 1 a bucket stands full while it waits for the next caller,
-	// and a customer at its limit got a fifth less than agreed.
-	smallestBurst = 2.0
+	// minBurst is the least burst of each entry VM, however small its share of
+	// the rate. With 1 a bucket stays full while it waits for the next caller,
+	// and a customer at its limit got a fifth less than its contract says.
+	minBurst = 2.0
 )
 
-// Customers holds each customer's state of limits in this process.
+// Customers holds the limit state of each customer in this process.
 type Customers struct {
 	split Split
 
-	mu     sync.Mutex // guards byName and all fields of the customers; a leaf
+	mu     sync.Mutex // guards the fields below and all customers; no other lock is taken under it
 	byName map[string]*customer
 	view   PeerView
 }
@@ -40,54 +41,59 @@
 	contract config.Contract
 	requests *Bucket
 	tokens   *Bucket
-	// inFlightPart is this process's part of the contract's limit now.
-	inFlightPart int
-	inFlight     int
-	asked        meter // requests that came, let in or not
-	askedTokens  meter // tokens that they are expected to generate
-	refusedAt    time.Time
-	// meanTokens and meanTime are moving averages of the requests that ended;
-	// zero while unknown. meanTokens is of those that generate.
+	// inFlightShare is this process's current share of the contract's limit on
+	// requests in flight.
+	inFlightShare int
+	inFlight      int
+	requestRate   rateMeter // requests that arrived, admitted or not
+	tokenRate     rateMeter // tokens that those requests are expected to generate
+	refusedAt     time.Time
+	// meanTokens and meanTime are moving averages over the requests that ended;
+	// zero while unknown. meanTokens covers only requests that generate tokens.
 	meanTokens float64
 	meanTime   time.Duration
 }
 
-// Grant is the right of one request to be served. End it by Done.
+// Grant is the admission of one request under its contract. It must be ended
+// with Customers.Done.
 type Grant struct {
 	customer string
 	since    time.Time
-	// reserved is what was taken out of the token rate in advance, of at most
-	// most tokens.
-	reserved float64
-	most     int
+	// reserved is the number of tokens taken out of the token rate at
+	// admission. It is at most maxTokens, the most that the request may
+	// generate.
+	reserved  float64
+	maxTokens int
 }
 
-// NewCustomers makes an empty table.
+// NewCustomers returns an empty table.
 func NewCustomers(split Split) *Customers {
 	return &Customers{split: split, byName: map[string]*customer{}}
 }
 
-// Admit counts a request that may generate so many tokens, 0 for one that
-// generates none, and says whether the contract lets it in, and if not when to
-// come back. An admitted one must be ended by Done.
-func (c *Customers) Admit(contract config.Contract, most int, now time.Time) (Grant, Decision, time.Duration) {
+// Admit counts a request that may generate up to maxTokens tokens, 0 for one
+// that generates none. It returns whether the contract admits the request, and
+// if not how long to wait before a retry. Every admitted request must be ended
+// with Done.
+func (c *Customers) Admit(contract config.Contract, maxTokens int, now time.Time) (Grant, Decision, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cu := c.get(contract, now)
-	expected := cu.expected(most)
-	cu.asked.add(1, now)
-	cu.askedTokens.add(expected, now)
-	verdict, wait := cu.admit(expected, now)
-	if verdict != Admitted {
+	cu := c.getOrCreate(contract, now)
+	expectedTokens := cu.expectedTokens(maxTokens)
+	cu.requestRate.add(1, now)
+	cu.tokenRate.add(expectedTokens, now)
+	decision, wait := cu.admit(expectedTokens, now)
+	if decision != Admitted {
 		cu.refusedAt = now
-		return Grant{}, verdict, wait
+		return Grant{}, decision, wait
 	}
 	cu.inFlight++
-	return Grant{customer: contract.Customer, since: now, reserved: expected, most: most}, Admitted, 0
+	return Grant{customer: contract.Customer, since: now, reserved: expectedTokens, maxTokens: maxTokens}, Admitted, 0
 }
 
-// Done ends an admitted request that generated so many tokens. The token rate
-// is corrected by what was expected too much or too little.
+// Done ends an admitted request that generated the given number of tokens. The
+// token rate is corrected by the difference from the number reserved at
+// admission.
 func (c *Customers) Done(g Grant, tokens int, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,12 +102,12 @@
 		return
 	}
 	cu.inFlight--
-	cu.meanTime = time.Duration(blend(float64(cu.meanTime), float64(now.Sub(g.since))))
-	if g.most == 0 {
+	cu.meanTime = time.Duration(movingAverage(float64(cu.meanTime), float64(now.Sub(g.since))))
+	if g.maxTokens == 0 {
 		return
 	}
 	if tokens > 0 {
-		cu.meanTokens = blend(cu.meanTokens, float64(tokens))
+		cu.meanTokens = movingAverage(cu.meanTokens, float64(tokens))
 	}
 	if cu.tokens != nil {
 		cu.tokens.Charge(float64(tokens)-g.reserved, now)
@@ -111,31 +117,32 @@
 // newestWeight is the weight of the newest value in a moving average.
 const newestWeight = 0.1
 
-func blend(mean, newest float64) float64 {
+func movingAverage(mean, newest float64) float64 {
 	if mean == 0 {
 		return newest
 	}
 	return mean + newestWeight*(newest-mean)
 }
 
-// expected is how many tokens a request will generate: as many as others did.
-// They are taken out of the rate when it is let in. If they were only taken
-// when it ends, a burst of requests would all come in before the first has
-// cost anything, and the customer would get many times the agreed tokens.
-func (cu *customer) expected(most int) float64 {
+// expectedTokens estimates how many tokens a request will generate from the
+// mean of earlier ones. They are taken out of the rate at admission. If they
+// were charged only when the request ends, a burst would be admitted whole
+// before its first request is charged, and the customer would get many times
+// its contracted tokens.
+func (cu *customer) expectedTokens(maxTokens int) float64 {
 	if cu.meanTokens == 0 {
-		return float64(most)
+		return float64(maxTokens)
 	}
-	return math.Min(cu.meanTokens, float64(most))
+	return math.Min(cu.meanTokens, float64(maxTokens))
 }
 
 func (cu *customer) admit(tokens float64, now time.Time) (Decision, time.Duration) {
-	if cu.contract.InFlight > 0 && cu.inFlight >= cu.inFlightPart {
+	if cu.contract.InFlight > 0 && cu.inFlight >= cu.inFlightShare {
 		return OverInFlight, inFlightRetry
 	}
 	limited := cu.tokens != nil && tokens > 0
 	if limited && cu.tokens.levelAt(now) <= 0 {
-		return OverTokenRate, cu.tokens.until(1)
+		return OverTokenRate, cu.tokens.timeUntil(1)
 	}
 	if cu.requests != nil {
 		if ok, wait := cu.requests.Take(1, now); !ok {
@@ -153,11 +160,11 @@
 	return b.level
 }
 
-// get gives the customer's state, made anew where the contract changed. It
-// starts with its part as of the last exchange of demands, never with the whole
-// limit: each entry VM that a customer comes to first would give it all of it
-// once more.
-func (c *Customers) get(contract config.Contract, now time.Time) *customer {
+// getOrCreate returns the customer's state, with new buckets if the contract's
+// limits changed. A new customer starts with its share as of the last exchange
+// of demands, never with the whole limit: every entry VM that the customer
+// calls for the first time would grant the whole limit again.
+func (c *Customers) getOrCreate(contract config.Contract, now time.Time) *customer {
 	cu := c.byName[contract.Customer]
 	if cu == nil {
 		cu = &customer{}
@@ -165,27 +172,29 @@
 	} else if !limitsDiffer(cu.contract, contract) {
 		return cu
 	}
-	cu.adopt(contract, now)
+	cu.applyContract(contract, now)
 	cu.rebalance(c.split, c.view, now)
-	if c.view.wanted(contract.Customer) {
-		cu.startLow()
+	if c.view.mayHaveDemand(contract.Customer) {
+		cu.startNearlyEmpty()
 	}
 	return cu
 }
 
-// wanted says that other entry VMs may have callers of a customer.
-func (v PeerView) wanted(name string) bool {
+// mayHaveDemand says whether other entry VMs may have callers of a customer:
+// one reported demand, or one is listed but has not reported.
+func (v PeerView) mayHaveDemand(name string) bool {
 	return v.Unknown > 0 || slices.ContainsFunc(v.Peers, func(p PeerDemand) bool { return p[name] != Demand{} })
 }
 
-// startLow has the buckets start with next to nothing, for a customer that gets
-// its limit from other entry VMs: full ones here would be on top of it.
-func (cu *customer) startLow() {
+// startNearlyEmpty lowers the buckets to minBurst, for a customer that may be
+// using its limit at other entry VMs: full buckets here would come on top of
+// that.
+func (cu *customer) startNearlyEmpty() {
 	if cu.requests != nil {
-		cu.requests.level = min(cu.requests.level, smallestBurst)
+		cu.requests.level = min(cu.requests.level, minBurst)
 	}
 	if cu.tokens != nil {
-		cu.tokens.level = min(cu.tokens.level, smallestBurst)
+		cu.tokens.level = min(cu.tokens.level, minBurst)
 	}
 }
 
@@ -194,7 +203,7 @@
 		a.InFlight != b.InFlight || a.TokensPerSecond != b.TokensPerSecond
 }
 
-func (cu *customer) adopt(contract config.Contract, now time.Time) {
+func (cu *customer) applyContract(contract config.Contract, now time.Time) {
 	cu.contract = contract
 	cu.requests = nil
 	cu.tokens = nil
@@ -206,30 +215,31 @@
 	}
 }
 
-// burst is the part of the contract's burst.
-func (cu *customer) burst(part float64) float64 {
+// burst returns this process's share of the contract's burst.
+func (cu *customer) burst(share float64) float64 {
 	burst := float64(cu.contract.Burst)
 	if burst == 0 {
 		burst = cu.contract.RequestsPerSecond
 	}
-	return math.Max(smallestBurst, burst*part)
+	return math.Max(minBurst, burst*share)
 }
 
-// PeerDemand is what a peer told, by customer.
+// PeerDemand is the demand that a peer reported, by customer.
 type PeerDemand map[string]Demand
 
-// View is what this process knows of the other entry VMs.
+// PeerView is what this process knows of the other entry VMs.
 type PeerView struct {
-	// Peers told their demands. They are in an order that all entry VMs share,
-	// and Rank is how many of them stand before this one.
+	// Peers holds the reported demands, in an order that all entry VMs share.
+	// Rank is the number of them that come before this VM in that order.
 	Peers []PeerDemand
 	Rank  int
-	// Unknown is how many more are listed and told nothing.
+	// Unknown is the number of further entry VMs that are listed but have
+	// reported nothing.
 	Unknown int
 }
 
-// Rebalance takes this process's part of each contract's limits anew from its
-// own demand and the peers'.
+// Rebalance recomputes this process's share of each contract's limits from its
+// own demand and that of its peers.
 func (c *Customers) Rebalance(view PeerView, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -257,50 +267,51 @@
 		cu.tokens.Set(rate, rate, now)
 	}
 	if cu.contract.InFlight > 0 {
-		cu.inFlightPart = IntegerShare(split, cu.contract.InFlight, own.InFlight, inFlight, view.Rank, view.Unknown)
+		cu.inFlightShare = IntegerShare(split, cu.contract.InFlight, own.InFlight, inFlight, view.Rank, view.Unknown)
 	}
 }
 
-// demand is what callers ask for here, let in or not. What was let in alone
-// would say little: it never exceeds the part that this VM has now, so that a
-// VM with many refused callers would never get more than its part.
+// demand returns what callers ask of this process, admitted or not. Counting
+// only admitted requests would not do: these never exceed the VM's current
+// share, so a VM that refuses many callers would never get a larger one.
 func (cu *customer) demand(now time.Time) Demand {
-	rate := cu.asked.rate(now)
+	rate := cu.requestRate.rate(now)
 	return Demand{
 		Requests: rate,
-		Tokens:   cu.askedTokens.rate(now),
-		// By Little's law, and at least what is there.
-		InFlight: math.Max(float64(cu.inFlight)+boolTo(now.Sub(cu.refusedAt) < demandHalfLife), rate*cu.meanTime.Seconds()),
+		Tokens:   cu.tokenRate.rate(now),
+		// By Little's law, and at least the requests present now.
+		InFlight: math.Max(float64(cu.inFlight)+boolToFloat(now.Sub(cu.refusedAt) < demandHalfLife), rate*cu.meanTime.Seconds()),
 	}
 }
 
-func boolTo(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// Demands gives what this process tells its peers: customers with any demand.
+// Demands returns the demand to report to peers, for customers that have any.
 func (c *Customers) Demands(now time.Time) PeerDemand {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := PeerDemand{}
 	for name, cu := range c.byName {
 		d := cu.demand(now)
-		if d.Requests > demandNoise || d.Tokens > demandNoise || d.InFlight > 0 {
+		if d.Requests > minReportedDemand || d.Tokens > minReportedDemand || d.InFlight > 0 {
 			out[name] = Demand{Requests: round2(d.Requests), Tokens: round2(d.Tokens), InFlight: round2(d.InFlight)}
 		}
 	}
 	return out
 }
 
-// demandNoise is the rate below which a customer isn't told of.
-const demandNoise = 0.01
+// minReportedDemand is the rate below which a customer is left out of the
+// report.
+const minReportedDemand = 0.01
 
 func round2(x float64) float64 { return math.Round(x*100) / 100 }
 
-// AtLimit lists the customers that were refused within the last few seconds.
+// AtLimit lists the customers that were refused within atLimitWindow.
 func (c *Customers) AtLimit(now time.Time) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -315,23 +326,23 @@
 
 const atLimitWindow = 10 * time.Second
 
-// meter is a moving rate per second.
-type meter struct {
+// rateMeter is an exponentially decaying rate per second.
+type rateMeter struct {
 	value float64
 	last  time.Time
 }
 
-func (m *meter) add(n float64, now time.Time) {
+func (m *rateMeter) add(n float64, now time.Time) {
 	m.decay(now)
 	m.value += n * math.Ln2 / demandHalfLife.Seconds()
 }
 
-func (m *meter) rate(now time.Time) float64 {
+func (m *rateMeter) rate(now time.Time) float64 {
 	m.decay(now)
 	return m.value
 }
 
-func (m *meter) decay(now time.Time) {
+func (m *rateMeter) decay(now time.Time) {
 	elapsed := now.Sub(m.last)
 	m.last = now
 	if elapsed > 0 {
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -21,10 +21,10 @@
 		unknown int
 		want    float64
 	}{
-		{"alone", SplitByDemand, 50, nil, 0, 100},
-		{"unused share is lent", SplitByDemand, 50, []float64{10, 0}, 0, 50 + 40.0/3},
-		{"under load in proportion", SplitByDemand, 300, []float64{100}, 0, 2.5 + 95*0.75},
-		{"cut off: as if the others had as much", SplitByDemand, 300, nil, 2, 5.0/3 + 95.0/3},
+		{"single VM", SplitByDemand, 50, nil, 0, 100},
+		{"unused share goes to others", SplitByDemand, 50, []float64{10, 0}, 0, 50 + 40.0/3},
+		{"above the limit in proportion to demand", SplitByDemand, 300, []float64{100}, 0, 2.5 + 95*0.75},
+		{"cut off: others are assumed to have equal demand", SplitByDemand, 300, nil, 2, 5.0/3 + 95.0/3},
 		{"even", SplitEven, 300, []float64{0, 0, 0}, 0, 25},
 	}
 	for _, tc := range tests {
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestSharesNeverExceedLimitTogether(t *testing.T) {
+func TestSharesAddUpToAtMostLimit(t *testing.T) {
 	for _, demands := range [][]float64{{0, 0, 0}, {10, 20, 30}, {100, 200, 1}, {1000, 0, 0}} {
 		total := 0.0
 		for i := range demands {
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestContractLimitsHold(t *testing.T) {
+func TestContractLimitsAreEnforced(t *testing.T) {
 	now := time.Unix(100, 0)
 	tests := []struct {
 		name     string
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestTokenRateIsCorrectedAfterwards(t *testing.T) {
+func TestTokenRateIsCorrectedWhenRequestEnds(t *testing.T) {
 	c := NewCustomers(SplitByDemand)
 	contract := config.Contract{Customer: "a", TokensPerSecond: 100}
 	now := time.Unix(100, 0)
@@ -97,9 +97,9 @@
 	assert.Equal(t, got, Admitted)
 }
 
-// Many requests come at once, before the first has generated a token. If each
-// were let in because nothing was charged yet, the customer would get many
-// times its tokens.
+// A burst arrives before its first request has generated a token. If tokens
+// were charged only when a request ends, the whole burst would be admitted and
+// the customer would get many times its tokens.
 func TestTokensAreReservedForBursts(t *testing.T) {
 	c := NewCustomers(SplitByDemand)
 	contract := config.Contract{Customer: "a", TokensPerSecond: 100}
@@ -113,7 +113,7 @@
 	assert.Equal(t, admitted, 5)
 }
 
-func TestTokenLimitLetsOtherCallsIn(t *testing.T) {
+func TestTokenLimitDoesNotApplyToCallsWithoutTokens(t *testing.T) {
 	c := NewCustomers(SplitByDemand)
 	contract := config.Contract{Customer: "a", TokensPerSecond: 10}
 	now := time.Unix(100, 0)
@@ -124,9 +124,9 @@
 	assert.Equal(t, got, Admitted)
 }
 
-// A fresh entry VM gives a customer that comes to it first its part, not the
-// whole limit once more.
-func TestFreshProcessStartsWithItsPart(t *testing.T) {
+// A new entry VM must grant a customer only its share, not the whole limit once
+// more.
+func TestNewProcessStartsWithItsShare(t *testing.T) {
 	c := NewCustomers(SplitByDemand)
 	now := time.Unix(100, 0)
 	c.Rebalance(PeerView{Peers: make([]PeerDemand, 3)}, now)
@@ -140,9 +140,9 @@
 	assert.Equal(t, admitted, 10)
 }
 
-// The customer uses its limit at other entry VMs, or may do so unheard. A full
-// bucket here would come on top of it.
-func TestFreshProcessStartsLowWhereOthersServe(t *testing.T) {
+// The customer uses its limit at other entry VMs, or may do so at VMs that have
+// not reported. A full bucket here would come on top of that.
+func TestNewProcessStartsNearlyEmptyWherePeersMayHaveDemand(t *testing.T) {
 	for _, view := range []PeerView{{Unknown: 3}, {Peers: []PeerDemand{{"a": {Requests: 40}}}}} {
 		c := NewCustomers(SplitByDemand)
 		now := time.Unix(100, 0)
@@ -157,15 +157,15 @@
 	}
 }
 
-func TestWholeSharesGiveTheLimit(t *testing.T) {
+func TestIntegerSharesAddUpToLimit(t *testing.T) {
 	for _, limit := range []int{3, 4, 10, 31} {
 		for _, demands := range [][]float64{{0, 0, 0}, {50, 0, 0}, {0, 0, 50}, {9, 9, 9}, {1, 2, 30}, {3, 3, 0}} {
 			total, idle := 0, 0
 			for i := range demands {
 				others := slices.Delete(slices.Clone(demands), i, i+1)
-				mine := IntegerShare(SplitByDemand, limit, demands[i], others, i, 0)
-				assert.Assert(t, mine >= 1, "%v: %d", demands, mine)
-				total += mine
+				share := IntegerShare(SplitByDemand, limit, demands[i], others, i, 0)
+				assert.Assert(t, share >= 1, "%v: %d", demands, share)
+				total += share
 				if demands[i] == 0 {
 					idle++
 				}
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestWholeShareOfALimitBelowTheNumberOfVMs(t *testing.T) {
+func TestIntegerSharesOfLimitBelowNumberOfVMs(t *testing.T) {
 	for _, demands := range [][]float64{{5, 5, 5}, {1, 9, 3}} {
 		total := 0
 		for i := range demands {
@@ -204,7 +204,7 @@
 	assert.Assert(t, got["big"] >= 19 && got["big"] <= 21, "%v", got)
 }
 
-func TestQueueServesOwnByDeadline(t *testing.T) {
+func TestQueueOrdersRequestsOfOneCustomerByDeadline(t *testing.T) {
 	q := newFairQueue()
 	base := time.Unix(100, 0)
 	for _, s := range []int{3, 1, 2} {
@@ -216,8 +216,8 @@
 	assert.Assert(t, q.pop() == nil)
 }
 
-// One customer sends a burst while another goes on at its usual pace. Without
-// the fair queue the other's requests would stand behind the whole burst.
+// One customer sends a burst while another sends a single request. Without the
+// fair queue that request would wait behind the whole burst.
 func TestBurstDoesNotStarveOthers(t *testing.T) {
 	q := newFairQueue()
 	for range 1000 {
@@ -228,24 +228,24 @@
 	assert.Equal(t, got["calm"], 1)
 }
 
-func TestAdaptiveFollowsDeadlines(t *testing.T) {
+func TestAdaptiveLimitFollowsDeadlines(t *testing.T) {
 	tests := []struct {
 		name      string
 		took      time.Duration
 		inService int
 		want      func(before, after int) bool
 	}{
-		{"grows while calm and full", 400 * time.Millisecond, 64, func(b, a int) bool { return a > b }},
-		{"stays while little is asked", 400 * time.Millisecond, 10, func(b, a int) bool { return a == b }},
-		{"stays in between", 750 * time.Millisecond, 64, func(b, a int) bool { return a == b }},
-		{"shrinks when tight", 900 * time.Millisecond, 64, func(b, a int) bool { return a < b }},
-		{"shrinks when late", 2 * time.Second, 64, func(b, a int) bool { return a < b }},
+		{"grows when times are short and the limit is in use", 400 * time.Millisecond, 64, func(b, a int) bool { return a > b }},
+		{"stays when the limit is little used", 400 * time.Millisecond, 10, func(b, a int) bool { return a == b }},
+		{"stays between the thresholds", 750 * time.Millisecond, 64, func(b, a int) bool { return a == b }},
+		{"shrinks when times are long", 900 * time.Millisecond, 64, func(b, a int) bool { return a < b }},
+		{"shrinks when deadlines are missed", 2 * time.Second, 64, func(b, a int) bool { return a < b }},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			a := NewAdaptiveLimit()
 			before := a.Limit()
-			for range observations {
+			for range sampleSize {
 				a.Observe(tc.took, time.Second, tc.inService)
 			}
 			assert.Assert(t, tc.want(before, a.Limit()), "from %d to %d", before, a.Limit())
@@ -253,13 +253,13 @@
 	}
 }
 
-// Answers differ in length by far. A limit that follows how long requests take
-// takes the long ones for a queue, shrinks to its least and turns most callers
-// away from idle targets.
-func TestAdaptiveTakesNoLongAnswerForAQueue(t *testing.T) {
+// Answers differ widely in length. A limit that follows plain latency mistakes
+// long answers for queueing, shrinks to its minimum and refuses most callers
+// although the targets are idle.
+func TestLongAnswersDoNotShrinkLimit(t *testing.T) {
 	a := NewAdaptiveLimit()
 	before := a.Limit()
-	for i := range 50 * observations {
+	for i := range 50 * sampleSize {
 		took := 50 * time.Millisecond
 		if i%3 == 0 {
 			took = 500 * time.Millisecond
@@ -269,54 +269,55 @@
 	assert.Assert(t, a.Limit() > before, "%d", a.Limit())
 }
 
-func TestGateRefusesAtOnceWhatCannotBeInTime(t *testing.T) {
-	g := NewConcurrencyLimiter(false)
-	g.adaptive.limit = 1
-	g.pace = time.Second
-	pass, refusal := g.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(time.Hour)})
+func TestRequestThatWouldMissDeadlineIsRefusedAtOnce(t *testing.T) {
+	l := NewConcurrencyLimiter(false)
+	l.adaptive.limit = 1
+	l.completionInterval = time.Second
+	pass, refusal := l.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(time.Hour)})
 	assert.Assert(t, pass != nil && refusal == nil)
 	start := time.Now()
-	_, refusal = g.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(500 * time.Millisecond)})
+	_, refusal = l.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(500 * time.Millisecond)})
 	assert.Assert(t, refusal != nil)
 	assert.Equal(t, refusal.RetryAfter, time.Second)
 	assert.Assert(t, time.Since(start) < 400*time.Millisecond)
 }
 
-// A customer's burst stands before the gate. A calm customer comes with a little
-// time: if its wait were reckoned by the whole queue it would be refused for the
-// burst's sake, though its turn is next.
-func TestBurstDoesNotHaveOthersRefused(t *testing.T) {
-	g := NewConcurrencyLimiter(false)
-	g.adaptive.limit, g.adaptive.Min = 1, 1
-	g.pace = 10 * time.Millisecond
-	pass, _ := g.Acquire(context.Background(), AcquireRequest{Customer: "burst", Weight: 30, Deadline: time.Now().Add(time.Hour)})
+// One customer's burst fills the queue. A request of another customer with
+// little time left must not be refused: if its wait were estimated from the
+// whole queue it would be, though its turn is next.
+func TestBurstDoesNotCauseRefusalOfOthers(t *testing.T) {
+	l := NewConcurrencyLimiter(false)
+	l.adaptive.limit, l.adaptive.Min = 1, 1
+	l.completionInterval = 10 * time.Millisecond
+	pass, _ := l.Acquire(context.Background(), AcquireRequest{Customer: "burst", Weight: 30, Deadline: time.Now().Add(time.Hour)})
 	for range 100 {
-		g.queue.push(&waiter{customer: "burst", weight: 30, deadline: time.Now().Add(time.Hour), decided: make(chan bool, 1)})
+		l.queue.push(&waiter{customer: "burst", weight: 30, deadline: time.Now().Add(time.Hour), result: make(chan bool, 1)})
 	}
 	calm := AcquireRequest{Customer: "calm", Weight: 45, Deadline: time.Now().Add(200 * time.Millisecond)}
-	assert.Assert(t, g.refuse(calm, time.Now()) == nil)
+	assert.Assert(t, l.refuseIfLate(calm, time.Now()) == nil)
 	burst := AcquireRequest{Customer: "burst", Weight: 30, Deadline: time.Now().Add(200 * time.Millisecond)}
-	assert.Assert(t, g.refuse(burst, time.Now()) != nil)
+	assert.Assert(t, l.refuseIfLate(burst, time.Now()) != nil)
 	pass.Release(false)
 }
 
-// Requests that waited at the gate have little time left when they are let in.
-// Their calls are quick all the same, so that the gate must not shrink.
-func TestWaitAtGateIsNoSlowTarget(t *testing.T) {
-	g := NewConcurrencyLimiter(false)
-	before := g.adaptive.Limit()
+// Requests that waited in the queue have little time left when they are
+// admitted. Their calls are fast all the same, so the limit must not shrink.
+func TestQueueWaitDoesNotShrinkLimit(t *testing.T) {
+	l := NewConcurrencyLimiter(false)
+	before := l.adaptive.Limit()
 	now := time.Now()
-	for range observations {
-		g.serve("", 1)
-		(&Permit{gate: g, since: now.Add(-300 * time.Millisecond), allowed: time.Second}).Release(true)
+	for range sampleSize {
+		l.addInService("", 1)
+		(&Permit{limiter: l, since: now.Add(-300 * time.Millisecond), allowed: time.Second}).Release(true)
 	}
-	assert.Assert(t, g.adaptive.Limit() >= before)
+	assert.Assert(t, l.adaptive.Limit() >= before)
 }
 
-// The engines' own queues go by the contracts' priorities. A burst of an urgent
-// customer would have everybody else wait there to their deadlines, though the
-// gate has let all in by share.
-func TestCustomerOverItsShareIsTold(t *testing.T) {
+// The engines' own queues order by the contracts' priorities. Without
+// OverShare, a burst of a high-priority customer would make all others wait
+// there until their deadlines, although the limiter admitted everyone by
+// weight.
+func TestOverShareIsReportedWhenPlacesAreShort(t *testing.T) {
 	tests := []struct {
 		name        string
 		limit       float64
@@ -326,42 +327,42 @@
 	}{
 		{"places are short", 20, 15, 3, true, false},
 		{"both within their shares", 20, 9, 9, false, false},
-		{"places enough", 100, 15, 3, false, false},
-		{"alone", 20, 18, 0, false, false},
+		{"places are free", 100, 15, 3, false, false},
+		{"single customer", 20, 18, 0, false, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			g := NewConcurrencyLimiter(false)
-			g.adaptive.limit = tc.limit
+			l := NewConcurrencyLimiter(false)
+			l.adaptive.limit = tc.limit
 			for range tc.burst {
-				g.serve("burst", 1)
+				l.addInService("burst", 1)
 			}
 			for range tc.calm {
-				g.serve("calm", 1)
+				l.addInService("calm", 1)
 			}
-			assert.Equal(t, g.serve("burst", 1), tc.wantBurst)
+			assert.Equal(t, l.addInService("burst", 1), tc.wantBurst)
 			if tc.calm > 0 {
-				assert.Equal(t, g.serve("calm", 1), tc.wantCalm)
+				assert.Equal(t, l.addInService("calm", 1), tc.wantCalm)
 			}
 		})
 	}
 }
 
-func TestGateHandsPlaceOn(t *testing.T) {
-	g := NewConcurrencyLimiter(false)
-	g.adaptive.limit, g.adaptive.Min = 1, 1
-	first, _ := g.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(time.Hour)})
+func TestReleaseAdmitsNextWaitingRequest(t *testing.T) {
+	l := NewConcurrencyLimiter(false)
+	l.adaptive.limit, l.adaptive.Min = 1, 1
+	first, _ := l.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(time.Hour)})
 	got := make(chan *Permit)
 	go func() {
-		pass, _ := g.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(time.Hour)})
+		pass, _ := l.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(time.Hour)})
 		got <- pass
 	}()
-	for g.Stats().Waiting == 0 {
+	for l.Stats().Waiting == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	first.Release(false)
 	pass := <-got
 	assert.Assert(t, pass != nil)
 	pass.Release(false)
-	assert.Equal(t, g.Stats().InService, 0)
+	assert.Equal(t, l.Stats().InService, 0)
 }
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -2,37 +2,39 @@
 
 import "math"
 
-// Demand is what one entry VM's callers ask of one contract.
+// Demand is the load that the callers of one entry VM ask for under one
+// contract.
 type Demand struct {
-	// Requests and Tokens are per second, InFlight a number.
+	// Requests and Tokens are rates per second, InFlight is a count.
 	Requests float64 `json:"r,omitempty"`
 	Tokens   float64 `json:"t,omitempty"`
 	InFlight float64 `json:"f,omitempty"`
 }
 
-// Split names a way to split a contract's limit over the entry VMs.
+// Split names a way to divide a contract's limit among the entry VMs.
 type Split string
 
-// The ways. SplitByDemand is the product's own.
+// The splits. SplitByDemand is the default; SplitEven is a baseline for
+// measurements.
 const (
 	SplitByDemand Split = "by-demand"
 	SplitEven     Split = "even"
 )
 
-// Share is this entry VM's part of a limit. own is the demand here, others the
-// demands that peers told of, unknown the number of entry VMs that are listed
-// but told nothing: they are taken to have as much demand as this one, so that
-// a VM that is cut off from its peers falls back to an even split instead of
-// taking the whole limit for itself.
+// Share returns this entry VM's share of a limit. own is the demand here,
+// others the demands reported by peers, unknown the number of entry VMs that
+// are listed but have reported nothing. These are assumed to have as much
+// demand as this one, so that a VM cut off from its peers falls back to an even
+// split instead of taking the whole limit for itself.
 //
-// While all demands together stay below the limit, each VM gets its demand and
-// an even part of the rest; above it, a part in proportion to its demand.
+// While the total demand is below the limit, each VM gets its demand and an
+// even part of the rest; above it, a share in proportion to its demand.
 func Share(split Split, limit, own float64, others []float64, unknown int) float64 {
-	n, total := together(own, others, unknown)
-	return part(split, limit, own, total, n)
+	n, total := totalDemand(own, others, unknown)
+	return proportionalShare(split, limit, own, total, n)
 }
 
-func together(own float64, others []float64, unknown int) (n int, total float64) {
+func totalDemand(own float64, others []float64, unknown int) (n int, total float64) {
 	total = own * float64(1+unknown)
 	for _, d := range others {
 		total += d
@@ -40,8 +42,9 @@
 	return 1 + len(others) + unknown, total
 }
 
-// part is what falls to one of n entry VMs with a demand out of a total.
-func part(split Split, limit, demand, total float64, n int) float64 {
+// proportionalShare returns the share of one of n entry VMs with the given
+// demand out of a total.
+func proportionalShare(split Split, limit, demand, total float64, n int) float64 {
 	even := limit / float64(n)
 	if split == SplitEven {
 		return even
@@ -49,51 +52,54 @@
 	if total <= limit {
 		return demand + (limit-total)/float64(n)
 	}
-	// A VM that has no demand yet keeps a small part, for a caller that comes
-	// before the next exchange of demands.
+	// A VM without demand keeps a small share, for a caller that comes before
+	// the next exchange of demands.
 	floor := even * idleShare
 	return floor + (limit-floor*float64(n))*demand/total
 }
 
-// WholeShare is this entry VM's part of a limit that can't be divided, such as
-// requests in flight. Others are in an order that all VMs share, with rank of
-// them before this one. Each VM rounds the sum of the parts up to its own, so
-// that together they give the limit; if each rounded its own part up, a limit
-// of 10 over nine VMs would let 18 in.
+// IntegerShare returns this entry VM's share of a limit on a count, such as
+// requests in flight. others are in an order that all VMs share, and rank of
+// them come before this one. Each VM rounds the cumulative sums of the shares
+// before and after its own and takes the difference, so that all shares add up
+// to the limit. If each VM rounded its own share up, a limit of 10 over nine
+// VMs would admit 18.
 //
-// Where the limit allows it each VM with demand has at least 1: a caller that
-// comes to a VM without any would be refused there for good. A VM without
-// demand lets one in on trust until the next exchange of demands. Nothing is
-// kept back for it: of a limit of 24, eight idle VMs would keep a third.
+// Where the limit is large enough, each VM with demand gets at least 1:
+// otherwise callers that come to that VM would be refused every time. A VM
+// without demand admits one request until the next exchange of demands. No part
+// of the limit is reserved for that: eight idle VMs would hold back a third of
+// a limit of 24.
 func IntegerShare(split Split, limit int, own float64, others []float64, rank, unknown int) int {
 	n := 1 + len(others) + unknown
-	least := 1.0
+	guaranteed := 1.0
 	if limit < n {
-		least = 0
+		guaranteed = 0
 	}
-	rest := float64(limit)
-	beyond := make([]float64, len(others))
+	remaining := float64(limit)
+	excess := make([]float64, len(others))
 	for i, d := range others {
-		beyond[i] = math.Max(0, d-least)
-		rest -= math.Min(1, d) * least
+		excess[i] = math.Max(0, d-guaranteed)
+		remaining -= math.Min(1, d) * guaranteed
 	}
-	ownBeyond := math.Max(0, own-least)
-	rest -= math.Min(1, own) * least * float64(1+unknown)
-	_, total := together(ownBeyond, beyond, unknown)
-	before := roundingSlack
-	for i, d := range beyond[:rank] {
-		before += part(split, rest, d, total, n) + math.Min(1, others[i])*least
+	ownExcess := math.Max(0, own-guaranteed)
+	remaining -= math.Min(1, own) * guaranteed * float64(1+unknown)
+	_, total := totalDemand(ownExcess, excess, unknown)
+	cumulative := roundingSlack
+	for i, d := range excess[:rank] {
+		cumulative += proportionalShare(split, remaining, d, total, n) + math.Min(1, others[i])*guaranteed
 	}
-	mine := part(split, rest, ownBeyond, total, n) + math.Min(1, own)*least
-	whole := int(before+mine) - int(before)
-	if whole == 0 && (own == 0 || least > 0) {
+	ownShare := proportionalShare(split, remaining, ownExcess, total, n) + math.Min(1, own)*guaranteed
+	whole := int(cumulative+ownShare) - int(cumulative)
+	if whole == 0 && (own == 0 || guaranteed > 0) {
 		return 1
 	}
 	return whole
 }
 
-// roundingSlack is above the error of adding up parts that give a whole.
+// roundingSlack exceeds the floating-point error of adding up shares to an
+// integer.
 const roundingSlack = 1e-6
 
-// idleShare is the part of an even split that stays with a VM without demand.
+// idleShare is the part of an even split that a VM without demand keeps.
 const idleShare = 0.05
--- a/internal/prefix/hash.go
+++ b/internal/prefix/hash.go
@@ -6,16 +6,16 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// The constants of FNV-1a with 64 bits.
+// The constants of 64-bit FNV-1a.
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 )
 
-// hashesOf gives the hash of the prompt up to the end of each full block, as
-// the engines name them.
-func hashesOf(prompt string) []uint64 {
-	count := min(len(prompt)/targetapi.CacheBlockBytes, maxPrompt)
+// blockHashes returns the hash of the prompt up to the end of each full block,
+// in the form in which engines identify blocks.
+func blockHashes(prompt string) []uint64 {
+	count := min(len(prompt)/targetapi.CacheBlockBytes, maxPromptBlocks)
 	hashes := make([]uint64, 0, count)
 	hash := uint64(fnvOffset)
 	for i := range count * targetapi.CacheBlockBytes {
@@ -27,8 +27,9 @@
 	return hashes
 }
 
-// readHashes reads what it can: a hash that isn't one stands for no block.
-func readHashes(texts []string) []uint64 {
+// parseHashes parses hashes in hex. It skips invalid ones, which stand for no
+// block.
+func parseHashes(texts []string) []uint64 {
 	hashes := make([]uint64, 0, len(texts))
 	for _, text := range texts {
 		if h, err := strconv.ParseUint(text, 16, 64); err == nil {
--- a/internal/prefix/index.go
+++ b/internal/prefix/index.go
@@ -1,6 +1,6 @@
-// Package prefix keeps which engine has which starts of prompts in its prefix
-// cache, as far as one process can know it: from what it sent there itself, and
-// from the engines' own events, which come late and with gaps.
+// Package prefix tracks which prompt prefixes each engine has in its prefix
+// cache, as far as one process can know: from the prompts that it sent there
+// itself and from the engines' cache events, which arrive late and with gaps.
 package prefix
 
 import (
@@ -12,73 +12,78 @@
 )
 
 const (
-	// maxBlocks bounds what is kept of one engine, maxPrompt the blocks of one
-	// prompt that are looked at.
-	maxBlocks = 16384
-	maxPrompt = 1024
-	// maxAge is when a block is forgotten that nobody used or told of again.
-	// An event of its removal may have been lost; without a bound the engine
-	// would draw requests for ever by what it no longer has.
-	maxAge = time.Minute
+	// maxBlocks bounds the blocks kept per engine, maxPromptBlocks the blocks
+	// considered of one prompt.
+	maxBlocks       = 16384
+	maxPromptBlocks = 1024
+	// blockTTL is how long a block is considered cached after it was last used
+	// or reported. The event of its removal may have been lost; without this
+	// bound the engine would attract requests for a prefix that it no longer
+	// has.
+	blockTTL = time.Minute
 )
 
-// Index holds the engines' caches as known here. Use New.
+// Index holds the known contents of the engines' prefix caches. Use New.
 type Index struct {
-	// price is what reading one prompt token takes at a pool; zero if unknown.
-	price func(pool string) time.Duration
-	now   func() time.Time
+	// tokenTime returns the prefill time of one prompt token at a pool; zero if
+	// unknown.
+	tokenTime func(pool string) time.Duration
+	now       func() time.Time
 
-	mu       sync.Mutex // guards all below and the caches; a leaf
-	byTarget map[string]*cache
-	perByte  map[string]float64 // tokens for each byte of a prompt, by pool
+	mu            sync.Mutex // guards the fields below and the caches; no other lock is taken under it
+	byTarget      map[string]*cache
+	tokensPerByte map[string]float64 // tokens per prompt byte, by pool
 }
 
-// cache is what is known of one engine.
+// cache is the known cache content of one engine.
 type cache struct {
-	blocks map[uint64]*list.Element
-	order  *list.List // of block, most recently used in front
-	seen   uint64     // number of the last event
+	blocks    map[uint64]*list.Element
+	order     *list.List // of block, most recently used first
+	lastEvent uint64     // number of the last event
 }
 
 type block struct {
-	hash uint64
-	at   time.Time
+	hash   uint64
+	usedAt time.Time
 }
 
-// New makes an empty index. Price gives what reading one prompt token takes at
-// a pool, zero if that isn't known.
-func New(price func(pool string) time.Duration) *Index {
-	return &Index{price: price, now: time.Now, byTarget: map[string]*cache{}, perByte: map[string]float64{}}
+// New returns an empty index. tokenTime returns the prefill time of one prompt
+// token at a pool, zero if unknown.
+func New(tokenTime func(pool string) time.Duration) *Index {
+	return &Index{tokenTime: tokenTime, now: time.Now, byTarget: map[string]*cache{}, tokensPerByte: map[string]float64{}}
 }
 
-// Saved gives the time that each engine's cache saves for a prompt.
+// SavedTime returns a function that gives the prefill time that the cache of
+// the engine at an address saves for the prompt.
 func (x *Index) SavedTime(pool, prompt string) func(address string) time.Duration {
-	hashes := hashesOf(prompt)
-	price := x.price(pool)
+	hashes := blockHashes(prompt)
+	tokenTime := x.tokenTime(pool)
 	return func(address string) time.Duration {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		known := x.byTarget[address]
-		if known == nil {
+		engineCache := x.byTarget[address]
+		if engineCache == nil {
 			return 0
 		}
-		tokens := float64(known.match(hashes, x.now())) * targetapi.CacheBlockBytes * x.perByte[pool]
-		return time.Duration(tokens * float64(price))
+		tokens := float64(engineCache.match(hashes, x.now())) * targetapi.CacheBlockBytes * x.tokensPerByte[pool]
+		return time.Duration(tokens * float64(tokenTime))
 	}
 }
 
-// Sent notes that an engine works on a prompt: it will have it in its cache.
+// RecordPrompt records that an engine works on a prompt, and so will have it in
+// its cache.
 func (x *Index) RecordPrompt(_, address, prompt string) {
-	hashes := hashesOf(prompt)
+	hashes := blockHashes(prompt)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.of(address).store(hashes, x.now())
+	x.cacheOf(address).store(hashes, x.now())
 }
 
 // newestWeight is the weight of the newest prompt in a moving average.
 const newestWeight = 0.05
 
-// Answered learns from an answer how long a pool's tokens are.
+// RecordUsage updates a pool's number of tokens per prompt byte from the usage
+// reported for a prompt.
 func (x *Index) RecordUsage(pool, prompt string, usage targetapi.Usage) {
 	if len(prompt) == 0 || usage.PromptTokens == 0 {
 		return
@@ -86,40 +91,41 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	newest := float64(usage.PromptTokens) / float64(len(prompt))
-	if x.perByte[pool] == 0 {
-		x.perByte[pool] = newest
+	if x.tokensPerByte[pool] == 0 {
+		x.tokensPerByte[pool] = newest
 		return
 	}
-	x.perByte[pool] += newestWeight * (newest - x.perByte[pool])
+	x.tokensPerByte[pool] += newestWeight * (newest - x.tokensPerByte[pool])
 }
 
-// After is the number of the last event of an engine that was taken in.
+// LastEvent returns the number of the last event of an engine that was applied;
+// 0 if there is none.
 func (x *Index) LastEvent(address string) uint64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if known := x.byTarget[address]; known != nil {
-		return known.seen
+	if engineCache := x.byTarget[address]; engineCache != nil {
+		return engineCache.lastEvent
 	}
 	return 0
 }
 
-// Heard takes in an engine's events. Where their numbers begin anew the engine
-// is another process with an empty cache.
+// ApplyEvents applies an engine's cache events. If their numbers go back, the
+// engine was restarted and its cache is empty.
 func (x *Index) ApplyEvents(address string, events targetapi.CacheEvents) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	known := x.of(address)
-	if events.Next < known.seen {
-		known.clear()
+	engineCache := x.cacheOf(address)
+	if events.Next < engineCache.lastEvent {
+		engineCache.clear()
 	}
-	known.seen = events.Next
+	engineCache.lastEvent = events.Next
 	for _, e := range events.Events {
-		known.apply(e, x.now())
+		engineCache.apply(e, x.now())
 	}
 }
 
-// Addresses lists the engines that something is known of: those that this
-// process has sent prompts to.
+// Addresses returns the addresses of the engines that the index has entries
+// for.
 func (x *Index) Addresses() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -130,44 +136,44 @@
 	return list
 }
 
-// Forget drops an engine that is gone.
+// Forget deletes an engine that is gone.
 func (x *Index) Forget(address string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	delete(x.byTarget, address)
 }
 
-func (x *Index) of(address string) *cache {
-	known := x.byTarget[address]
-	if known == nil {
-		known = &cache{blocks: map[uint64]*list.Element{}, order: list.New()}
-		x.byTarget[address] = known
+func (x *Index) cacheOf(address string) *cache {
+	engineCache := x.byTarget[address]
+	if engineCache == nil {
+		engineCache = &cache{blocks: map[uint64]*list.Element{}, order: list.New()}
+		x.byTarget[address] = engineCache
 	}
-	return known
+	return engineCache
 }
 
-// match counts the leading blocks that the engine has.
+// match counts the leading blocks that the engine has cached.
 func (c *cache) match(hashes []uint64, now time.Time) int {
 	for n, h := range hashes {
 		found := c.blocks[h]
-		if found == nil || now.Sub(found.Value.(block).at) > maxAge {
+		if found == nil || now.Sub(found.Value.(block).usedAt) > blockTTL {
 			return n
 		}
 	}
 	return len(hashes)
 }
 
-// store goes from the last block to the first, so that a start is never
-// dropped before what is built on it.
+// store adds blocks from the last to the first, so that a block is never
+// evicted before those that follow it in the prompt.
 func (c *cache) store(hashes []uint64, now time.Time) {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		h := hashes[i]
 		if found := c.blocks[h]; found != nil {
-			found.Value = block{hash: h, at: now}
+			found.Value = block{hash: h, usedAt: now}
 			c.order.MoveToFront(found)
 			continue
 		}
-		c.blocks[h] = c.order.PushFront(block{hash: h, at: now})
+		c.blocks[h] = c.order.PushFront(block{hash: h, usedAt: now})
 	}
 	for len(c.blocks) > maxBlocks {
 		c.remove(c.order.Back().Value.(block).hash)
@@ -191,9 +197,9 @@
 	case targetapi.AllBlocksCleared:
 		c.clear()
 	case targetapi.BlockStored:
-		c.store(readHashes(e.Hashes), now)
+		c.store(parseHashes(e.Hashes), now)
 	case targetapi.BlockRemoved:
-		for _, h := range readHashes(e.Hashes) {
+		for _, h := range parseHashes(e.Hashes) {
 			c.remove(h)
 		}
 	}
--- a/internal/prefix/index_test.go
+++ b/internal/prefix/index_test.go
@@ -24,16 +24,16 @@
 	return e
 }
 
-func TestIndexFollowsTheEngines(t *testing.T) {
+func TestIndexFollowsEngineEvents(t *testing.T) {
 	start := strings.Repeat("a", 4*targetapi.CacheBlockBytes)
 	prompt := start + strings.Repeat("b", 40)
-	hashes := hashesOf(start)
+	hashes := blockHashes(start)
 	tests := []struct {
 		name string
 		then func(x *Index, now *time.Time)
 		want int // blocks
 	}{
-		{"what was sent", func(*Index, *time.Time) {}, 4},
+		{"prompt was sent", func(*Index, *time.Time) {}, 4},
 		{"a block in the middle removed", func(x *Index, _ *time.Time) {
 			x.ApplyEvents(engine, targetapi.CacheEvents{Next: 7, Events: []targetapi.CacheEvent{event(targetapi.BlockRemoved, 7, hashes[2])}})
 		}, 2},
@@ -42,17 +42,17 @@
 				event(targetapi.BlockRemoved, 7, hashes...), event(targetapi.BlockStored, 8, hashes[:3]...),
 			}})
 		}, 3},
-		{"all cleared", func(x *Index, _ *time.Time) {
+		{"all blocks cleared", func(x *Index, _ *time.Time) {
 			x.ApplyEvents(engine, targetapi.CacheEvents{Next: 7, Events: []targetapi.CacheEvent{event(targetapi.AllBlocksCleared, 7)}})
 		}, 0},
-		{"another process", func(x *Index, _ *time.Time) {
+		{"engine was restarted", func(x *Index, _ *time.Time) {
 			x.ApplyEvents(engine, targetapi.CacheEvents{Next: 9})
 			x.ApplyEvents(engine, targetapi.CacheEvents{Next: 1})
 		}, 0},
 		{"an event of another engine", func(x *Index, _ *time.Time) {
 			x.ApplyEvents("127.0.0.1:2", targetapi.CacheEvents{Next: 7, Events: []targetapi.CacheEvent{event(targetapi.AllBlocksCleared, 7)}})
 		}, 4},
-		{"no event of its removal came", func(_ *Index, now *time.Time) { *now = now.Add(2 * maxAge) }, 0},
+		{"no removal event, but too old", func(_ *Index, now *time.Time) { *now = now.Add(2 * blockTTL) }, 0},
 		{"the target is gone", func(x *Index, _ *time.Time) { x.Forget(engine) }, 0},
 	}
 	for _, tc := range tests {
@@ -73,7 +73,7 @@
 func TestIndexIsBounded(t *testing.T) {
 	x := New(func(string) time.Duration { return time.Millisecond })
 	for i := range 100 {
-		x.RecordPrompt(pool, engine, strconv.Itoa(i)+strings.Repeat("x", maxPrompt*targetapi.CacheBlockBytes))
+		x.RecordPrompt(pool, engine, strconv.Itoa(i)+strings.Repeat("x", maxPromptBlocks*targetapi.CacheBlockBytes))
 	}
 	assert.Equal(t, len(x.byTarget[engine].blocks), maxBlocks)
 	assert.Equal(t, x.byTarget[engine].order.Len(), maxBlocks)
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,5 +1,5 @@
-// Package retry decides whether a failed call is tried again, when, and
-// whether a slow one is hedged. It holds decisions only.
+// Package retry decides whether and when a failed call is tried again. It makes
+// decisions only; callers send the calls.
 package retry
 
 import (
@@ -7,55 +7,56 @@
 	"time"
 )
 
-// Budget allows retries and hedges as a share of first tries. Without it an
-// outage multiplies the load on what is left: every caller's request becomes
-// several.
+// Budget limits retries and hedges to a share of first tries. Without it every
+// request becomes several in an outage, which multiplies the load on the
+// targets that are left.
 type Budget struct {
-	// Share of first tries that may be retried.
+	// Share is the number of retries allowed per first try.
 	Share float64
-	// Reserve is how many retries are allowed beyond the share, so that a
-	// quiet customer's request has a second try too. It fills up again with
-	// ReservePerSecond while calls succeed. It must not do so in an outage: at
-	// 640 nodes with a request a second each, that alone would be half as much
-	// load again.
+	// Reserve is the number of retries allowed beyond the share, so that a
+	// customer with few requests gets second tries too. It is refilled at
+	// ReservePerSecond, but only after a call has succeeded. If it were
+	// refilled during an outage, 640 nodes with a request per second each would
+	// together send half as much load again.
 	Reserve          float64
 	ReservePerSecond float64
 
-	// mu guards what follows. It is a leaf: no other lock is taken under it.
-	mu      sync.Mutex
-	tokens  float64
-	last    time.Time
-	success bool // since the last retry
+	// mu guards the fields below. No other lock is taken under it.
+	mu        sync.Mutex
+	tokens    float64
+	last      time.Time
+	succeeded bool // a call has succeeded since the last retry
 }
 
-// NewBudget has the settings of the product.
+// NewBudget returns a budget with the default settings.
 func NewBudget() *Budget {
 	return &Budget{Share: 0.1, Reserve: 3, ReservePerSecond: 0.5, tokens: 3}
 }
 
-// First notes a first try.
+// RecordFirstTry records a first try.
 func (b *Budget) RecordFirstTry() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+b.Share, b.Reserve+b.Share*burstOfFirstTries)
+	b.tokens = min(b.tokens+b.Share, b.Reserve+b.Share*maxUnusedFirstTries)
 }
 
-// Succeeded notes a call that succeeded.
+// RecordSuccess records a call that succeeded.
 func (b *Budget) RecordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.success = true
+	b.succeeded = true
 }
 
-// burstOfFirstTries is how many first tries' share may pile up unused.
-const burstOfFirstTries = 100
+// maxUnusedFirstTries is the number of first tries whose share of retries may
+// accumulate unused.
+const maxUnusedFirstTries = 100
 
-// Take takes one retry out of the budget, if there is one.
+// Take takes one retry out of the budget; false if there is none.
 func (b *Budget) Take(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
-	b.success = false
+	b.succeeded = false
 	if b.tokens < 1 {
 		return false
 	}
@@ -69,24 +70,24 @@
 	}
 	elapsed := now.Sub(b.last).Seconds()
 	b.last = now
-	if elapsed > 0 && b.success && b.tokens < b.Reserve {
+	if elapsed > 0 && b.succeeded && b.tokens < b.Reserve {
 		b.tokens = min(b.tokens+elapsed*b.ReservePerSecond, b.Reserve)
 	}
 }
 
-// BudgetKey is what a budget is kept for.
+// BudgetKey identifies a budget: each customer has one per pool.
 type BudgetKey struct{ Customer, Pool string }
 
-// Budgets keeps a budget for each customer and pool.
+// Budgets holds a budget for each customer and pool.
 type Budgets struct {
-	// Unlimited switches the budgets off: a baseline for measurements.
+	// Unlimited allows every retry. It is a baseline for measurements.
 	Unlimited bool
 
 	mu    sync.Mutex // guards byKey
 	byKey map[BudgetKey]*Budget
 }
 
-// For gives the budget of a key.
+// For returns the budget of a key, and creates it on first use.
 func (b *Budgets) For(key BudgetKey) *Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -101,7 +102,7 @@
 	return found
 }
 
-// Allow takes one retry for a key, or says no.
+// Allow takes one retry out of a key's budget; false if there is none.
 func (b *Budgets) Allow(key BudgetKey, now time.Time) bool {
 	return b.Unlimited || b.For(key).Take(now)
 }
--- a/internal/retry/decision.go
+++ b/internal/retry/decision.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Situation is what is known when a call at a target failed.
+// FailedCall describes a failed call at a target.
 type FailedCall struct {
-	// Tries made so far, the failed one included.
+	// Tries is the number of tries made, the failed one included.
 	Tries int
-	// Idempotent calls may run again.
+	// Idempotent says that the call may run more than once.
 	Idempotent bool
 	// NotRun says that the failed try certainly did not run.
 	NotRun bool
-	// Remaining is the time left until the request's deadline, Expected what
-	// another try takes.
+	// Remaining is the time until the request's deadline, Expected the expected
+	// duration of another try.
 	Remaining time.Duration
 	Expected  time.Duration
 }
 
-// Verdict says what to do about a failed call.
+// Decision says what to do about a failed call.
 type Decision string
 
-// The verdicts.
+// The decisions.
 const (
-	// Again: try again after the backoff, if the budget allows.
+	// Retry: try again after the backoff if the budget allows it.
 	Retry Decision = "again"
-	// GiveUpExhausted: enough tries were made.
+	// GiveUpExhausted: MaxTries tries were made.
 	GiveUpExhausted Decision = "tries exhausted"
 	// GiveUpUnsafe: the call may have run and must not run twice.
 	GiveUpUnsafe Decision = "may have run"
-	// GiveUpLate: another try can't be in time.
+	// GiveUpDeadline: another try would miss the deadline.
 	GiveUpDeadline Decision = "too late"
 )
 
@@ -38,14 +38,14 @@
 const MaxTries = 4
 
 // Decide says whether a failed call may be tried again.
-func Decide(s FailedCall) Decision {
-	if !s.Idempotent && !s.NotRun {
+func Decide(c FailedCall) Decision {
+	if !c.Idempotent && !c.NotRun {
 		return GiveUpUnsafe
 	}
-	if s.Tries >= MaxTries {
+	if c.Tries >= MaxTries {
 		return GiveUpExhausted
 	}
-	if s.Remaining <= s.Expected {
+	if c.Remaining <= c.Expected {
 		return GiveUpDeadline
 	}
 	return Retry
@@ -53,12 +53,13 @@
 
 const (
 	backoffBase = 5 * time.Millisecond
-	backoffMost = 200 * time.Millisecond
+	backoffMax  = 200 * time.Millisecond
 )
 
-// Backoff is how long to wait before the next try, with full jitter: entry VMs
-// that failed together must not come back together.
+// Backoff returns how long to wait before the next try, with full jitter, so
+// that entry VMs whose calls failed at the same time don't retry at the same
+// time.
 func Backoff(tries int, random *rand.Rand) time.Duration {
-	most := min(backoffBase<<min(tries, 10), backoffMost)
-	return time.Duration(random.Int64N(int64(most))) + 1
+	ceiling := min(backoffBase<<min(tries, 10), backoffMax)
+	return time.Duration(random.Int64N(int64(ceiling))) + 1
 }
--- a/internal/routing/baseline.go
+++ b/internal/routing/baseline.go
@@ -5,33 +5,33 @@
 	"sync/atomic"
 )
 
-// randomPolicy picks any candidate.
+// randomPolicy picks a candidate at random.
 type randomPolicy struct{}
 
 func (randomPolicy) Pick(candidates []Candidate, random *rand.Rand) int {
 	return random.IntN(len(candidates))
 }
 
-// roundRobin picks one candidate after the other.
+// roundRobin picks the candidates in turn.
 type roundRobin struct{ next atomic.Uint64 }
 
 func (p *roundRobin) Pick(candidates []Candidate, _ *rand.Rand) int {
 	return int((p.next.Add(1) - 1) % uint64(len(candidates)))
 }
 
-// leastInFlight picks the candidate with the fewest calls of this process, by
-// lot among equals. It looks at no report and no zone.
+// leastInFlight picks the candidate with the fewest calls of this process, at
+// random among ties. It ignores load reports and zones.
 type leastInFlight struct{}
 
 func (leastInFlight) Pick(candidates []Candidate, random *rand.Rand) int {
-	best, equals := 0, 1
+	best, tied := 0, 1
 	for i := 1; i < len(candidates); i++ {
 		switch {
 		case candidates[i].InFlight < candidates[best].InFlight:
-			best, equals = i, 1
+			best, tied = i, 1
 		case candidates[i].InFlight == candidates[best].InFlight:
-			equals++
-			if random.IntN(equals) == 0 {
+			tied++
+			if random.IntN(tied) == 0 {
 				best = i
 			}
 		}
--- a/internal/routing/ejection.go
+++ b/internal/routing/ejection.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// Ejection decides when a target is taken out of use and how it comes back.
+// Ejection decides when a target is taken out of use and how it returns.
 type Ejection struct {
-	// Failures in a row that eject.
+	// Failures is the number of consecutive failures that eject a target.
 	Failures int
-	// SlowFactor is how many times slower than the pool's median call a target
-	// has to be, over at least SlowCalls calls, to be ejected as a straggler.
+	// SlowFactor is how many times the pool's median call time a target has to
+	// take, over at least SlowCalls calls, to be ejected as a straggler.
 	SlowFactor float64
 	SlowCalls  int
-	// Base is the first time out; it doubles with every ejection in a row, up
-	// to Longest.
+	// BaseDuration is the duration of the first ejection. It doubles with every
+	// consecutive ejection, up to MaxDuration.
 	BaseDuration time.Duration
 	MaxDuration  time.Duration
-	// Ramp is how long a target that came back takes to its full weight.
+	// Ramp is how long a target that returns takes to reach its full weight.
 	Ramp time.Duration
-	// MaxShare is the largest share of a pool that may be out at once. Without
-	// it a slow link of this VM's own would take every target out of use.
+	// MaxShare is the largest share of a pool that may be ejected at once.
+	// Without it a slow network link of this VM would take every target out of
+	// use.
 	MaxShare float64
 }
 
-// DefaultEjection has the settings of the product.
+// DefaultEjection returns the default settings.
 func DefaultEjection() Ejection {
 	return Ejection{
 		Failures: 3, SlowFactor: 3, SlowCalls: 5,
@@ -29,15 +30,18 @@
 	}
 }
 
-// Health is what this process has seen of one target.
+// Health is what this process has observed of one target.
 type Health struct {
 	FailuresInRow int
-	// CallTime is the moving average of whole calls, Calls how many went in
-	// since the target came back.
+	// CallTime is the moving average of the duration of whole calls, Calls the
+	// number of calls since the target returned.
 	CallTime time.Duration
 	Calls    int
-	// Ejections in a row without a calm Longest between them.
-	Ejections    int
+	// Ejections counts ejections in a row. It starts again after more than
+	// MaxDuration in use.
+	Ejections int
+	// EjectedUntil is the end of the last ejection, ReturnedAt when the target
+	// was put back in use after it.
 	EjectedUntil time.Time
 	ReturnedAt   time.Time
 }
@@ -52,9 +56,9 @@
 	ReasonStraggler Reason = "straggler"
 )
 
-// Judge says whether a target in use should be ejected now. out and size are
-// the number of targets out of use and in the pool, median the pool's median
-// call time.
+// EjectReason returns why a target in use should be ejected now, or ReasonNone.
+// out and size are the number of targets out of use and in the pool, median is
+// the pool's median call time.
 func (e Ejection) EjectReason(h Health, median time.Duration, out, size int) Reason {
 	if float64(out+1) > e.MaxShare*float64(size) {
 		return ReasonNone
@@ -68,7 +72,7 @@
 	return ReasonNone
 }
 
-// Eject gives the health of a target that goes out of use at now.
+// Eject returns the health of a target that is ejected at now.
 func (e Ejection) Eject(h Health, now time.Time) Health {
 	if !h.ReturnedAt.IsZero() && now.Sub(h.ReturnedAt) > e.MaxDuration {
 		h.Ejections = 0
@@ -83,7 +87,7 @@
 	return h
 }
 
-// Weight is 0 while the target is out, then grows to 1 over Ramp.
+// Weight is 0 while the target is ejected, then grows to 1 over Ramp.
 func (e Ejection) Weight(h Health, now time.Time) float64 {
 	if now.Before(h.EjectedUntil) {
 		return 0
--- a/internal/routing/median.go
+++ b/internal/routing/median.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Median is the lower median; zero of none. It sorts the list.
+// Median returns the lower median; zero for an empty list. It sorts the list in
+// place.
 func Median(times []time.Duration) time.Duration {
 	if len(times) == 0 {
 		return 0
--- a/internal/routing/prefix_test.go
+++ b/internal/routing/prefix_test.go
@@ -8,10 +8,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// An engine that serves eight calls at once delays ours by an eighth of a call
-// for each that is before it. If a cached prefix were weighed as if it served
-// one after the other, it would hardly ever draw a call to its engine.
-func TestPrefixIsWorthAQueueThatCostsLess(t *testing.T) {
+// An engine that serves eight calls at once delays a new call by an eighth of a
+// call's time for each call before it. If a cached prefix were weighed as if
+// the engine served one call after the other, a prefix holder would hardly ever
+// be chosen.
+func TestSavedPrefillIsWeighedByConcurrency(t *testing.T) {
 	tests := []struct {
 		name  string
 		saved time.Duration
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing decides which target a call goes to. It holds decisions
-// only: callers bring the candidates and a source of random numbers.
+// Package routing decides which target a call goes to. It makes decisions only:
+// callers supply the candidates and the random source.
 package routing
 
 import (
@@ -10,48 +10,52 @@
 
 // Candidate is a target that may take a call, as seen from one entry VM.
 type Candidate struct {
-	// InFlight is how many calls this process has at the target now.
+	// InFlight is the number of calls that this process has in flight at the
+	// target.
 	InFlight int
-	// Reported is the load that the target reported last, in calls running and
-	// waiting, less those of this process at that time; zero without a report.
+	// ReportedLoad is the load that the target last reported, in calls running
+	// and waiting, less this process's own calls at that time; zero without a
+	// report.
 	ReportedLoad float64
-	// ReportAge is how old that report is, the reporting lag not included.
+	// ReportAge is the age of that report, not counting the reporting lag.
 	ReportAge time.Duration
-	// CallTime is what a call at this target takes now (moving average); zero
-	// where nothing is known.
+	// CallTime is the moving average of the call time at this target; zero if
+	// unknown.
 	CallTime time.Duration
 	// SameZone says that the target is in this process's availability zone.
 	SameZone bool
-	// PrefillSaved is the time that the target's prefix cache would save.
+	// PrefillSaved is the prefill time that the target's prefix cache would
+	// save.
 	PrefillSaved time.Duration
-	// Full is how many calls the target serves at once; zero counts as 1.
+	// Concurrency is the number of calls that the target serves at once; zero
+	// counts as 1.
 	Concurrency float64
 	// Weight is 1 in normal service and less while a target that was ejected
-	// is let back in gradually.
+	// returns gradually.
 	Weight float64
 }
 
-// Policy picks one of at least one candidates.
+// Policy picks one of the candidates, of which there is at least one.
 type Policy interface {
 	Pick(candidates []Candidate, random *rand.Rand) int
 }
 
-// Name names a Policy in settings.
+// PolicyName is the name of a Policy in settings.
 type PolicyName string
 
-// The names of the policies. Present is the product's own, the others are the
-// baselines it is measured against.
+// The policies. Default is the one in normal use, the others are baselines for
+// measurements.
 const (
 	Default       PolicyName = "present"
 	Random        PolicyName = "random"
 	RoundRobin    PolicyName = "round-robin"
 	LeastInFlight PolicyName = "least-in-flight"
 	PowerOfTwo    PolicyName = "better-of-two"
-	// WithReports is the present policy that weighs the targets' load reports.
+	// WithReports is the default policy with weight given to load reports.
 	WithReports PolicyName = "with-reports"
 )
 
-// New makes the policy of a name.
+// New returns the policy of a name.
 func New(name PolicyName) (Policy, error) {
 	switch name {
 	case Default:
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -11,7 +11,7 @@
 
 func seeded() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
-func TestWaiting(t *testing.T) {
+func TestExpectedLoad(t *testing.T) {
 	e := DefaultEstimate()
 	e.ReportWeight = reportWeight
 	pool := PoolStats{MedianCallTime: 10 * time.Millisecond}
@@ -22,7 +22,7 @@
 	}{
 		{"own calls in flight count", func(c Candidate) Candidate { c.InFlight = 1; return c }},
 		{"reported load counts", func(c Candidate) Candidate { c.ReportedLoad = 2; return c }},
-		{"other zone costs the way", func(c Candidate) Candidate { c.SameZone = false; return c }},
+		{"another zone has a penalty", func(c Candidate) Candidate { c.SameZone = false; return c }},
 		{"slow target", func(c Candidate) Candidate { c.CallTime *= 2; return c }},
 	}
 	for _, tc := range tests {
@@ -38,7 +38,7 @@
 	assert.Assert(t, e.ExpectedLoad(old, pool) < e.ExpectedLoad(fresh, pool)/4)
 	busy := pool
 	busy.MeanInFlight = 4
-	assert.Assert(t, e.ExpectedLoad(fresh, busy) < e.ExpectedLoad(fresh, pool), "reports count less beside own calls")
+	assert.Assert(t, e.ExpectedLoad(fresh, busy) < e.ExpectedLoad(fresh, pool), "reports count less with own calls in flight")
 }
 
 func TestPrefixHolderWinsOnlyWhileQueueCostsLess(t *testing.T) {
@@ -82,7 +82,7 @@
 	assert.Equal(t, got, 1)
 }
 
-func TestEjectionJudge(t *testing.T) {
+func TestEjectReason(t *testing.T) {
 	e := DefaultEjection()
 	median := 10 * time.Millisecond
 	tests := []struct {
@@ -91,11 +91,11 @@
 		out, size int
 		want      Reason
 	}{
-		{"calm", Health{CallTime: median, Calls: 9}, 0, 6, ReasonNone},
+		{"healthy", Health{CallTime: median, Calls: 9}, 0, 6, ReasonNone},
 		{"failures", Health{FailuresInRow: 3}, 0, 6, ReasonFailures},
 		{"slow", Health{CallTime: 5 * median, Calls: 9}, 0, 6, ReasonStraggler},
-		{"slow, too few calls", Health{CallTime: 5 * median, Calls: 4}, 0, 6, ReasonNone},
-		{"enough are out already", Health{FailuresInRow: 9}, 2, 6, ReasonNone},
+		{"slow, but too few calls", Health{CallTime: 5 * median, Calls: 4}, 0, 6, ReasonNone},
+		{"share of ejected targets is used up", Health{FailuresInRow: 9}, 2, 6, ReasonNone},
 		{"never the last one", Health{FailuresInRow: 9}, 0, 1, ReasonNone},
 	}
 	for _, tc := range tests {
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestEjectedTargetComesBackGradually(t *testing.T) {
+func TestEjectedTargetReturnsGradually(t *testing.T) {
 	e := DefaultEjection()
 	now := time.Unix(1000, 0)
 	h := e.Eject(Health{}, now)
@@ -131,7 +131,7 @@
 			zone++
 		}
 	}
-	assert.Assert(t, zone >= 24, "only %d of the zone", zone)
+	assert.Assert(t, zone >= 24, "only %d in the zone", zone)
 	fewer := Subset("node-1", members[:399], SubsetSize)
 	same := 0
 	in := map[string]bool{}
@@ -147,7 +147,7 @@
 	assert.Equal(t, len(Subset("node-1", members[:5], SubsetSize)), 5)
 }
 
-func TestLeastExpectedDrawsLotsAmongEquals(t *testing.T) {
+func TestLeastExpectedLoadPicksRandomlyAmongTies(t *testing.T) {
 	policy := LeastExpectedLoad{DefaultEstimate()}
 	idle := Candidate{CallTime: 10 * time.Millisecond, SameZone: true, Weight: 1}
 	busy := idle
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestReturningTargetTakesPartByItsWeight(t *testing.T) {
+func TestReturningTargetIsEligibleByWeight(t *testing.T) {
 	policy := LeastExpectedLoad{DefaultEstimate()}
 	back := Candidate{CallTime: time.Millisecond, SameZone: true, Weight: 0.1}
 	other := Candidate{CallTime: 10 * time.Millisecond, SameZone: true, Weight: 1}
--- a/internal/routing/subset.go
+++ b/internal/routing/subset.go
@@ -5,9 +5,9 @@
 	"sort"
 )
 
-// SubsetSize is how many targets of one pool an entry VM works with at most. At
-// 640 nodes and 12,000 workers, 32 gives 1.7 nodes a worker: below that some
-// workers would be left with one node or none.
+// SubsetSize is the most targets of one pool that an entry VM uses. At 640
+// nodes and 12,000 workers, 32 gives 1.7 nodes per worker; with a smaller
+// subset some workers would be left with one node or none.
 const SubsetSize = 32
 
 // Member is a target that Subset may choose.
@@ -16,10 +16,10 @@
 	SameZone bool
 }
 
-// Subset chooses which targets of a pool the node works with: all where they
-// are few, else the zone's first, by rendezvous hashing of node and address.
-// Every node draws by its own order, so subsets overlap, and when a target
-// comes or goes only the nodes that drew it change theirs.
+// Subset chooses the targets of a pool that a node uses: all if there are at
+// most size, else by rendezvous hashing of node and address, most of them from
+// the node's own zone. Each node has its own order, so subsets overlap, and
+// when a target comes or goes only the nodes that had chosen it change theirs.
 func Subset(node string, members []Member, size int) []Member {
 	if len(members) <= size {
 		return members
@@ -30,10 +30,11 @@
 	}
 	sort.Slice(ranked, func(i, j int) bool { return ranked[i].before(ranked[j]) })
 	chosen := make([]Member, 0, size)
-	// A quarter is drawn from everywhere, so that a cut zone isn't the end.
-	own := size - size/4
+	// A quarter is chosen regardless of zone, so that the node still has
+	// targets when its own zone is cut off.
+	sameZoneCount := size - size/4
 	for _, r := range ranked {
-		if r.member.SameZone && len(chosen) < own {
+		if r.member.SameZone && len(chosen) < sameZoneCount {
 			chosen = append(chosen, r.member)
 		}
 	}
@@ -68,9 +69,9 @@
 	return chosen
 }
 
-// Rendezvous ranks the last of some names for the others: of several candidates
-// all processes that compare these figures choose the same, without exchange, and
-// most choices stay as they are when candidates come and go.
+// RendezvousScore computes the rendezvous hash of the last name for the others.
+// All processes that compare the scores of several candidates choose the same
+// one without communication, and most choices stay when candidates come and go.
 func RendezvousScore(names ...string) uint64 {
 	h := fnv.New64a()
 	for i, name := range names {
@@ -82,7 +83,7 @@
 	return mix(h.Sum64())
 }
 
-// mix spreads FNV's weak high bits, by which Subset sorts.
+// mix improves FNV's weak high bits, which dominate the order in Subset.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/submissions/decide.go
+++ b/internal/submissions/decide.go
@@ -2,46 +2,51 @@
 
 import "github.com/vanillagate/vanillagate/internal/problem"
 
-// Claim is what the table service says of a key.
+// Claim is the state of an idempotency key's claim in the table service.
 type Claim int
 
-// The states of a claim as far as they matter here.
+// The states of a claim that matter here.
 const (
-	// Unread: the table service gave no answer in time.
+	// ClaimUnknown: the table service did not answer in time.
 	ClaimUnknown Claim = iota
-	// Free: no submission holds the key, or only the one that asks.
+	// ClaimFree: no submission holds the key, or only the refused one itself.
 	ClaimFree
-	// Held: another submission holds the key, and may have run.
+	// ClaimHeld: another submission holds the key and may have run.
 	ClaimHeld
-	// Finished: a submission under the key ran.
+	// ClaimFinished: a submission under the key ran.
 	ClaimFinished
 )
 
-// Facts are what is known when a submission under a key was refused and
+// Facts is what is known when a submission under a key was refused and
 // certainly did not run itself.
 type Facts struct {
-	// First: the caller says that it never submitted the key before.
+	// FirstSubmission: the caller states that it has not submitted the key
+	// before.
 	FirstSubmission bool
 	Claim           Claim
-	// Known is what this process and each peer that answered know.
+	// Reports holds what this process and each peer that answered know of the
+	// key.
 	Reports []KeyHistory
-	// Silent says that a live entry process gave no answer, or that there are
-	// more of them than are asked.
+	// PeerSilent says that a live entry process did not answer, or that there
+	// are too many to ask.
 	PeerSilent bool
-	// Unseen says that the VM list has a live entry VM that this process does
-	// not know as a peer: it has just started, or this process has.
+	// PeerUnknown says that the VM list has a live entry VM that this process
+	// does not know as a peer: one of the two has just started, or the VM is
+	// dead and the list lags.
 	PeerUnknown bool
 }
 
-// Decide says what is certain of the key.
+// Decide returns whether a submission under the key is known to have run, known
+// not to have run, or neither.
 //
-// With the table service's answer, only those count that are under way: one
-// that was dispatched stands in the table first. A process that is gone can't
-// dispatch any more, and one that only seems gone doesn't either: it gives its
-// claim up after a time that is shorter than peers take to hold it for dead.
+// If the claim could be read, only submissions under way count: a submission is
+// recorded in the table before it is dispatched. A process that is gone can't
+// dispatch any more, and neither does one that only appears to be gone: it
+// gives up its claim sooner than its peers consider it dead.
 //
-// Without that answer everybody who may have dispatched has to be asked, so
-// that nobody may be missing and somebody must have watched all along.
+// If the claim could not be read, every process that may have dispatched a
+// submission has to be asked. None may be missing, and at least one must have
+// observed its peers for the whole window.
 func Decide(f Facts) problem.Execution {
 	if f.FirstSubmission {
 		return problem.NotRun
@@ -52,7 +57,7 @@
 	if f.Claim == ClaimHeld || f.PeerSilent || f.PeerUnknown {
 		return problem.Unknown
 	}
-	watched := false
+	observed := false
 	for _, k := range f.Reports {
 		if k.Open || k.Sent {
 			return problem.Unknown
@@ -60,9 +65,9 @@
 		if f.Claim == ClaimUnknown && (k.Incomplete || k.PeerLost) {
 			return problem.Unknown
 		}
-		watched = watched || k.PeersObserved
+		observed = observed || k.PeersObserved
 	}
-	if f.Claim == ClaimUnknown && !watched {
+	if f.Claim == ClaimUnknown && !observed {
 		return problem.Unknown
 	}
 	return problem.NotRun
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -1,7 +1,7 @@
-// Package target is the client side of targets. It uses fasthttp to encode and
-// decode HTTP, and keeps the connections itself: the promise that a request
-// runs at most once rests on knowing whether a byte of it was sent, on never
-// sending it again unasked, and on cancelling it by closing its connection.
+// Package target implements the client for targets. It uses fasthttp to encode
+// and decode HTTP but manages connections itself: to guarantee that a request
+// runs at most once, the client has to know whether a byte of it was sent, must
+// never resend it on its own, and cancels it by closing its connection.
 package target
 
 import (
@@ -22,65 +22,70 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// Identity names one attempt at one stage of one request.
+// Identity identifies one attempt at one stage of one request.
 type Identity struct {
 	Request string
 	Stage   string
 	Attempt int
 }
 
-// String is the identity as sent in X-Request-Id.
+// String returns the identity as sent in X-Request-Id.
 func (i Identity) String() string {
 	return i.Request + "/" + i.Stage + "/" + strconv.Itoa(i.Attempt)
 }
 
-// Call is one HTTP call of a target.
+// Call is one HTTP call to a target.
 type Call struct {
 	Address string
 	Method  string
 	Path    string
-	// Identity must come back with the answer. The zero value is for calls
-	// that no request depends on, such as a look at a target's load: neither
-	// sent nor checked.
+	// Identity must be echoed in the answer. The zero value is neither sent nor
+	// checked; it is for calls that belong to no request, such as reading a
+	// target's load.
 	Identity Identity
 	Customer string
-	// IdempotencyKey and FencingToken are sent where set.
+	// IdempotencyKey and FencingToken are sent if set.
 	IdempotencyKey string
 	FencingToken   uint64
 	ContentType    string
 	Body           []byte
-	// Fresh uses a connection of its own. Non-idempotent calls do: a kept
-	// connection may be closed by the target just as the call is written, and
-	// nobody could say whether it ran.
+	// NewConnection dials a new connection for the call and closes it
+	// afterwards. Non-idempotent calls need this: the target may close a kept
+	// connection just as the call is written, and then nobody knows whether it
+	// ran.
 	NewConnection bool
-	// SendBefore, where set, is after when the call must not be sent any more.
+	// SendBefore, if set, is the time after which the call must not be sent.
 	SendBefore time.Time
-	// Headers are further headers to send.
+	// Headers are additional headers to send.
 	Headers []Header
 }
 
 // Header is one header line.
 type Header struct{ Name, Value string }
 
-// Answer is a whole answer of a target.
+// Answer is the answer of a target.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// Version of the model that answered, empty where the target doesn't say.
+	// Version is that of the model that answered, empty if the target doesn't
+	// report it.
 	Version string
-	// EngineTime is what the target says the answer cost it.
+	// EngineTime is the processing time that the target reports for the answer.
 	EngineTime time.Duration
-	// Load is the target's report that came with the answer; nil without one.
+	// Load is the target's load report that came with the answer; nil without
+	// one.
 	Load *targetapi.LoadReport
-	// Own says that the answer carries the call's identity. Only an error
-	// status may come without: proxies before a target answer so.
+	// HasIdentity says that the answer carries the call's identity. Only an
+	// answer with an error status may lack it, since proxies in front of a
+	// target send such answers.
 	HasIdentity bool
 }
 
-// SaysNotRun tells a refusal before anything ran from other errors. An error
-// without our identity counts only where it says so itself: a proxy gives the
-// same status after it has passed the call on.
+// ConfirmsNotRun returns whether the answer is a refusal that guarantees that
+// the call did not run. Without the call's identity it must say so in a problem
+// document, because a proxy may send the same status after it has forwarded the
+// call.
 func (a *Answer) ConfirmsNotRun() bool {
 	if a.Status != fasthttp.StatusServiceUnavailable && a.Status != fasthttp.StatusTooManyRequests {
 		return false
@@ -97,13 +102,14 @@
 
 // The kinds of failures.
 const (
-	// FailedConnect: no connection was made; certainly not run.
+	// FailedConnect: no connection was made; the call certainly did not run.
 	FailedConnect FailureKind = "connect"
 	// FailedBroken: the connection broke after bytes were sent.
 	FailedBroken FailureKind = "broken"
 	// FailedTimeout: the deadline passed after bytes were sent.
 	FailedTimeout FailureKind = "timeout"
-	// FailedCancelled: the caller left, or another attempt won.
+	// FailedCancelled: the caller disconnected, or another attempt succeeded
+	// first.
 	FailedCancelled FailureKind = "cancelled"
 	// FailedIdentity: the answer carries another request's identity.
 	FailedIdentity FailureKind = "identity"
@@ -111,11 +117,11 @@
 	FailedVersion FailureKind = "version"
 	// FailedStatus: the target answered with an error status.
 	FailedStatus FailureKind = "status"
-	// FailedFormat: the answer can't be understood.
+	// FailedFormat: the answer is malformed or too large.
 	FailedFormat FailureKind = "format"
 )
 
-// Failure is the outcome of a call that gave no answer to use.
+// Failure is the outcome of a call without a usable answer.
 type Failure struct {
 	Kind      FailureKind
 	Execution problem.Execution
@@ -128,7 +134,7 @@
 	return fmt.Sprintf("target: %s (%s): %v", f.Kind, f.Execution, f.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Err }
 
 // Client calls targets. It is safe for concurrent use.
@@ -137,17 +143,17 @@
 	maxBody int
 }
 
-// NewClient makes a client that refuses answers larger than maxBody bytes.
+// NewClient returns a client that refuses answers larger than maxBody bytes.
 func NewClient(maxBody int) *Client {
 	return &Client{maxBody: maxBody}
 }
 
-// Prune closes connections that have stayed unused.
+// Prune closes connections that have been unused for too long.
 func (c *Client) Prune(now time.Time) { c.idle.Prune(now) }
 
-// Do makes one call and reads the whole answer. It sends the call at most
-// once. The context's deadline and cancellation close the connection. Every
-// error is a *Failure, and the answer's identity has been checked.
+// Do makes one call and reads the whole answer. It sends the call at most once.
+// If the context ends, the connection is closed. Every error is a *Failure. The
+// answer's identity has been checked.
 func (c *Client) Do(ctx context.Context, call Call) (*Answer, error) {
 	ex, err := c.start(ctx, call)
 	if err != nil {
@@ -158,25 +164,26 @@
 	defer fasthttp.ReleaseResponse(resp)
 	resp.SkipBody = call.Method == fasthttp.MethodHead
 	if err := resp.ReadLimitBody(ex.conn.R, c.maxBody); err != nil {
-		return nil, ex.failed(err)
+		return nil, ex.failure(err)
 	}
-	answer := readAnswer(&resp.Header)
+	answer := answerFromHeader(&resp.Header)
 	answer.Body = append([]byte(nil), resp.Body()...)
-	answer.HasIdentity, err = checkHeader(&resp.Header, call.Identity)
-	// A connection that gave another's answer may give the next call ours.
-	ex.whole = answer.HasIdentity && !resp.ConnectionClose()
+	answer.HasIdentity, err = checkIdentity(&resp.Header, call.Identity)
+	// A connection that returned the answer to another call may return this
+	// call's answer to the next one.
+	ex.reusable = answer.HasIdentity && !resp.ConnectionClose()
 	return answer, err
 }
 
 // exchange is one call on one connection.
 type exchange struct {
-	client  *Client
-	ctx     context.Context
-	address string
-	conn    *conns.Conn
-	stop    func() bool
-	fresh   bool
-	whole   bool // the answer was read to its end, the connection can be kept
+	client        *Client
+	ctx           context.Context
+	address       string
+	conn          *conns.Conn
+	stop          func() bool
+	newConnection bool
+	reusable      bool // the answer was read to its end and the connection can be kept
 }
 
 func (c *Client) start(ctx context.Context, call Call) (*exchange, error) {
@@ -184,12 +191,12 @@
 	if err != nil {
 		return nil, connectFailure(ctx, err)
 	}
-	ex := &exchange{client: c, ctx: ctx, address: call.Address, conn: conn, fresh: call.NewConnection}
+	ex := &exchange{client: c, ctx: ctx, address: call.Address, conn: conn, newConnection: call.NewConnection}
 	ex.stop = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	fill(req, call)
-	if late(ctx, call.SendBefore, time.Now()) {
+	fillRequest(req, call)
+	if sendDeadlinePassed(ctx, call.SendBefore, time.Now()) {
 		defer ex.finish()
 		return nil, connectFailure(ctx, context.DeadlineExceeded)
 	}
@@ -199,7 +206,7 @@
 	}
 	if err != nil {
 		defer ex.finish()
-		return nil, ex.failed(err)
+		return nil, ex.failure(err)
 	}
 	return ex, nil
 }
@@ -216,21 +223,23 @@
 	return conns.Dial(ctx, call.Address)
 }
 
-// finish keeps the connection if its answer was read to the end and nobody
-// cancelled meanwhile; else it closes it, which also cancels the target's work.
+// finish keeps the connection for reuse if the answer was read to the end, the
+// context had not ended and the call did not ask for a connection of its own.
+// Otherwise it closes the connection, which also cancels the call at the
+// target.
 func (ex *exchange) finish() {
 	inTime := ex.stop()
-	if ex.whole && inTime && !ex.fresh {
+	if ex.reusable && inTime && !ex.newConnection {
 		ex.client.idle.Put(ex.address, ex.conn, time.Now())
 		return
 	}
 	_ = ex.conn.Close()
 }
 
-func (ex *exchange) failed(err error) *Failure {
+func (ex *exchange) failure(err error) *Failure {
 	kind := FailedBroken
 	if cause := ex.ctx.Err(); cause != nil {
-		kind = kindOfContext(cause)
+		kind = contextFailureKind(cause)
 	}
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		kind = FailedFormat
@@ -241,7 +250,7 @@
 func connectFailure(ctx context.Context, err error) *Failure {
 	kind := FailedConnect
 	if cause := ctx.Err(); cause != nil {
-		kind = kindOfContext(cause)
+		kind = contextFailureKind(cause)
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
 		kind = FailedTimeout
@@ -249,14 +258,14 @@
 	return &Failure{Kind: kind, Execution: problem.NotRun, Err: err}
 }
 
-func kindOfContext(err error) FailureKind {
+func contextFailureKind(err error) FailureKind {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return FailedTimeout
 	}
 	return FailedCancelled
 }
 
-func fill(req *fasthttp.Request, call Call) {
+func fillRequest(req *fasthttp.Request, call Call) {
 	req.Header.SetMethod(call.Method)
 	req.SetRequestURI("http://" + call.Address + call.Path)
 	for _, h := range call.Headers {
@@ -283,7 +292,7 @@
 	req.SetBodyRaw(call.Body)
 }
 
-func readAnswer(h *fasthttp.ResponseHeader) *Answer {
+func answerFromHeader(h *fasthttp.ResponseHeader) *Answer {
 	micros, _ := strconv.ParseInt(string(h.Peek(targetapi.HeaderEngineTime)), 10, 64)
 	return &Answer{
 		Status:      h.StatusCode(),
@@ -294,10 +303,11 @@
 	}
 }
 
-// checkHeader drops an answer that is not ours: a late or crossed answer must
-// never be forwarded. An error status without identity is left to the caller
-// of the client, since proxies before a target make such answers.
-func checkHeader(h *fasthttp.ResponseHeader, id Identity) (own bool, err error) {
+// checkIdentity rejects an answer with another call's identity: a late or
+// misrouted answer must never be forwarded. It lets an error status without an
+// identity pass, with hasIdentity false, since proxies in front of a target
+// send such answers.
+func checkIdentity(h *fasthttp.ResponseHeader, id Identity) (hasIdentity bool, err error) {
 	got := string(h.Peek(targetapi.HeaderRequestID))
 	if got == id.String() || id == (Identity{}) {
 		return true, nil
@@ -311,18 +321,20 @@
 	}
 }
 
-// Stream is an answer that arrives in server-sent events. Close it always.
+// Stream is an answer that arrives as server-sent events. It must always be
+// closed.
 type Stream struct {
 	Answer *Answer
 	ex     *exchange
 	body   io.Reader
 	lines  *lineReader
-	// chunked bodies end with trailer lines.
+	// chunked says that the body has chunked encoding and ends with trailer
+	// lines.
 	chunked bool
 }
 
-// Open makes a call whose answer is a stream of events. When the status is not
-// 200 the whole answer is in Answer and there are no events.
+// OpenStream makes a call whose answer is a stream of events. If the status is
+// not 200, Answer holds the whole answer and there are no events.
 func (c *Client) OpenStream(ctx context.Context, call Call) (*Stream, error) {
 	ex, err := c.start(ctx, call)
 	if err != nil {
@@ -331,19 +343,19 @@
 	var h fasthttp.ResponseHeader
 	if err := h.Read(ex.conn.R); err != nil {
 		defer ex.finish()
-		return nil, ex.failed(err)
+		return nil, ex.failure(err)
 	}
-	own, err := checkHeader(&h, call.Identity)
+	hasIdentity, err := checkIdentity(&h, call.Identity)
 	if err != nil {
 		ex.finish()
 		return nil, err
 	}
-	return c.stream(ex, &h, own)
+	return c.newStream(ex, &h, hasIdentity)
 }
 
-func (c *Client) stream(ex *exchange, h *fasthttp.ResponseHeader, own bool) (*Stream, error) {
-	s := &Stream{Answer: readAnswer(h), ex: ex, chunked: h.ContentLength() == -1}
-	s.Answer.HasIdentity = own
+func (c *Client) newStream(ex *exchange, h *fasthttp.ResponseHeader, hasIdentity bool) (*Stream, error) {
+	s := &Stream{Answer: answerFromHeader(h), ex: ex, chunked: h.ContentLength() == -1}
+	s.Answer.HasIdentity = hasIdentity
 	s.body = bodyReader(ex, h)
 	s.lines = newLineReader(s.body)
 	if s.Answer.Status == fasthttp.StatusOK {
@@ -352,7 +364,7 @@
 	body, err := io.ReadAll(io.LimitReader(s.body, int64(c.maxBody)))
 	if err != nil {
 		defer s.Close()
-		return nil, ex.failed(err)
+		return nil, ex.failure(err)
 	}
 	s.Answer.Body = body
 	return s, nil
@@ -368,24 +380,25 @@
 	return ex.conn.R
 }
 
-// Next gives the data of the next event; io.EOF where the connection ends. Any
-// other error is a *Failure.
+// Next returns the data of the next event, or io.EOF when the connection ends.
+// Any other error is a *Failure.
 func (s *Stream) Next() ([]byte, error) {
 	data, err := s.lines.nextData()
 	if err == nil || errors.Is(err, io.EOF) {
 		return data, err
 	}
-	return nil, s.ex.failed(err)
+	return nil, s.ex.failure(err)
 }
 
-// Drain reads what follows the last event: the end of the body and its
-// trailer, which says what the answer cost. The connection can then be used
-// again. Without the end of the body nothing is changed: the events had it all.
+// Drain reads the rest of the body after the last event, and its trailer, which
+// reports the processing time. The connection can then be used again. If the
+// body doesn't end properly the events stay valid, but the connection is not
+// kept.
 func (s *Stream) Drain() {
 	if !s.chunked {
 		return
 	}
-	if _, err := io.Copy(io.Discard, io.LimitReader(s.lines.r, maxEvent)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(s.lines.r, maxEventBytes)); err != nil {
 		return
 	}
 	for range maxTrailerLines {
@@ -395,17 +408,17 @@
 		}
 		line = strings.TrimSpace(line)
 		if line == "" {
-			s.ex.whole = true
+			s.ex.reusable = true
 			return
 		}
-		s.trailer(line)
+		s.readTrailerLine(line)
 	}
 }
 
-// maxTrailerLines bounds the lines after a chunked body.
+// maxTrailerLines bounds the trailer lines after a chunked body.
 const maxTrailerLines = 16
 
-func (s *Stream) trailer(line string) {
+func (s *Stream) readTrailerLine(line string) {
 	name, value, _ := strings.Cut(line, ":")
 	if !strings.EqualFold(name, targetapi.HeaderEngineTime) {
 		return
@@ -415,6 +428,6 @@
 	}
 }
 
-// Close ends the stream. The connection is closed, which cancels what the
-// target still does for it.
+// Close ends the stream. Unless the answer was read to its end, the connection
+// is closed, which cancels the call at the target.
 func (s *Stream) Close() { s.ex.finish() }
--- a/internal/target/client_test.go
+++ b/internal/target/client_test.go
@@ -18,13 +18,13 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// server counts the calls and the connections that it gets.
+// server counts the calls and connections that it receives.
 type server struct {
 	*httptest.Server
 	calls, connections atomic.Int64
 }
 
-func serve(t *testing.T, handle func(w http.ResponseWriter, r *http.Request)) *server {
+func startServer(t *testing.T, handle func(w http.ResponseWriter, r *http.Request)) *server {
 	t.Helper()
 	s := &server{}
 	s.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -41,20 +41,20 @@
 	return s
 }
 
-func (s *server) call(number int) Call {
+func (s *server) call(attempt int) Call {
 	return Call{
 		Address: strings.TrimPrefix(s.URL, "http://"), Method: "POST", Path: "/x",
-		Identity: Identity{Request: "r", Stage: "s", Attempt: number},
+		Identity: Identity{Request: "r", Stage: "s", Attempt: attempt},
 	}
 }
 
-// A target answers each call with the answer of the one before, as after a
-// mix-up on a kept connection. None may be used, and the connection must be
-// given up: on it every later call would get the one before.
-func TestConnectionThatGaveAnothersAnswerIsClosed(t *testing.T) {
+// A target answers each call with the answer to the one before. Such an answer
+// must not be used and the connection must be closed, as every later call on it
+// would get the answer to the one before.
+func TestConnectionIsClosedAfterAnswerWithWrongIdentity(t *testing.T) {
 	var mu sync.Mutex
 	last := "r/s/0"
-	s := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	s := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		w.Header().Set(targetapi.HeaderRequestID, last)
@@ -71,11 +71,11 @@
 	assert.Equal(t, s.connections.Load(), int64(3))
 }
 
-// A target sends more than the one answer. What follows belongs to nobody and
-// must not be read as the answer of the next call.
-func TestUnaskedAnswerOnAKeptConnectionIsNotRead(t *testing.T) {
+// A target sends two answers to one call. The second must not be read as the
+// answer to the next call.
+func TestExtraAnswerOnKeptConnectionIsNotRead(t *testing.T) {
 	extra := make(chan struct{}, 1)
-	s := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	s := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
 		assert.NilError(t, err)
 		answer := "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n" + targetapi.HeaderRequestID + ": " + r.Header.Get(targetapi.HeaderRequestID) + "\r\n\r\n1"
@@ -92,10 +92,11 @@
 	assert.Equal(t, s.calls.Load(), int64(2))
 }
 
-// A process stood still between its claim and the sending, and its context has
-// not noticed yet that the time is over: nothing may be sent.
-func TestCallIsNotSentAfterItsTimeByEitherClock(t *testing.T) {
-	s := serve(t, func(w http.ResponseWriter, r *http.Request) {
+// A process was suspended between its claim and sending the call, and its
+// context does not yet report that the deadline has passed. Nothing may be
+// sent.
+func TestCallIsNotSentAfterDeadlineByEitherClock(t *testing.T) {
+	s := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(targetapi.HeaderRequestID, r.Header.Get(targetapi.HeaderRequestID))
 	})
 	now := time.Now()
@@ -106,7 +107,7 @@
 		sent     bool
 	}{
 		{"in time", now.Add(time.Minute), now.Add(time.Minute), true},
-		{"no limit beside the deadline", now.Add(time.Minute), time.Time{}, true},
+		{"no limit besides the deadline", now.Add(time.Minute), time.Time{}, true},
 		{"deadline passed", now.Add(-time.Second), time.Time{}, false},
 		{"deadline passed by the wall clock alone", now.Round(0).Add(-time.Second), time.Time{}, false},
 		{"limit passed", now.Add(time.Minute), now.Add(-time.Second), false},
@@ -117,7 +118,7 @@
 			before := s.calls.Load()
 			call := s.call(i)
 			call.SendBefore = tc.before
-			_, err := NewClient(1<<20).Do(sleepy{t.Context(), tc.deadline}, call)
+			_, err := NewClient(1<<20).Do(lateContext{t.Context(), tc.deadline}, call)
 			assert.Equal(t, s.calls.Load()-before, map[bool]int64{true: 1}[tc.sent])
 			if tc.sent {
 				assert.NilError(t, err)
@@ -131,15 +132,16 @@
 	}
 }
 
-// sleepy is a context that has not noticed its deadline.
-type sleepy struct {
+// lateContext is a context that does not yet report that its deadline has
+// passed.
+type lateContext struct {
 	context.Context
 	deadline time.Time
 }
 
-func (s sleepy) Deadline() (time.Time, bool) { return s.deadline, true }
+func (s lateContext) Deadline() (time.Time, bool) { return s.deadline, true }
 
-func TestRefusalsThatSayNotRun(t *testing.T) {
+func TestConfirmsNotRun(t *testing.T) {
 	tests := []struct {
 		name   string
 		answer Answer
--- a/internal/target/events.go
+++ b/internal/target/events.go
@@ -11,19 +11,20 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// maxEvent bounds one line of a stream of events, in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one line of an event stream.
+const maxEventBytes = 1 << 20
 
-var errEventTooLong = errors.New("target: event is too long")
+var errEventTooLong = errors.New("target: event line exceeds 1 MiB")
 
-// lineReader takes the data lines out of a server-sent event stream.
+// lineReader extracts the data lines of a server-sent event stream.
 type lineReader struct{ r *bufio.Reader }
 
 func newLineReader(r io.Reader) *lineReader {
 	return &lineReader{r: bufio.NewReaderSize(r, 4096)}
 }
 
-// nextData gives the data of the next event. Events here have one data line.
+// nextData returns the data of the next event. Targets send one data line per
+// event.
 func (l *lineReader) nextData() ([]byte, error) {
 	for {
 		line, err := l.readLine()
@@ -40,7 +41,7 @@
 	var whole []byte
 	for {
 		part, err := l.r.ReadSlice('\n')
-		if len(whole)+len(part) > maxEvent {
+		if len(whole)+len(part) > maxEventBytes {
 			return nil, errEventTooLong
 		}
 		if err == nil && whole == nil {
@@ -56,8 +57,8 @@
 	}
 }
 
-// ParseLoad reads an ORCA report from a header's value, "JSON {...}"; nil where
-// there is none that can be understood.
+// ParseLoadHeader parses an ORCA report from a header value of the form "JSON
+// {...}"; nil if there is no valid one.
 func ParseLoadHeader(value string) *targetapi.LoadReport {
 	raw, found := strings.CutPrefix(value, "JSON ")
 	if !found {
@@ -66,7 +67,7 @@
 	return ParseLoadJSON([]byte(raw))
 }
 
-// ReadLoad reads an ORCA report from JSON; nil where it can't be understood.
+// ParseLoadJSON parses an ORCA report from JSON; nil if it is not valid.
 func ParseLoadJSON(raw []byte) *targetapi.LoadReport {
 	var report targetapi.LoadReport
 	if json.Unmarshal(raw, &report) != nil || !plausible(&report) {
@@ -75,11 +76,11 @@
 	return &report
 }
 
-// maxLoadValue bounds what a target can say of its load.
+// maxLoadValue is the largest load value accepted from a target.
 const maxLoadValue = 1e9
 
-// plausible refuses a report with which routing can't reckon: a negative load
-// would draw all work to the target that reports it.
+// plausible checks that routing can use a report's values: a negative load, for
+// example, would attract all calls to the target that reports it.
 func plausible(r *targetapi.LoadReport) bool {
 	for _, n := range []float64{r.Utilization, r.Named.Running, r.Named.Waiting, r.Named.CacheUsage} {
 		if !(n >= 0 && n <= maxLoadValue) {
--- a/internal/target/events_test.go
+++ b/internal/target/events_test.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// A stream comes in pieces of any size. The pieces must not change what is
-// read, and an event that was cut off must not be read at all: half an event
-// would be half a word in a caller's answer.
+// A stream arrives in pieces of any size. The pieces must not change what is
+// read, and an event that was cut off must not be returned: the caller would
+// get half a word.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("data: {\"id\":\"a\"}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("data: cut off"))
@@ -46,12 +46,12 @@
 	})
 }
 
-func TestEventLongerThanItMayBeIsRefused(t *testing.T) {
-	_, err := readAll(strings.NewReader("data: " + strings.Repeat("x", maxEvent) + "\n"))
+func TestOverlongEventIsRefused(t *testing.T) {
+	_, err := readAll(strings.NewReader("data: " + strings.Repeat("x", maxEventBytes) + "\n"))
 	assert.ErrorIs(t, err, errEventTooLong)
 }
 
-// A target may report anything as its load.
+// A target may report any value as its load; only usable values may pass.
 func FuzzLoadReport(f *testing.F) {
 	f.Add(`JSON {"application_utilization":0.5,"named_metrics":{"running":1,"waiting":2}}`)
 	f.Add(`JSON {`)
--- a/internal/targetapi/targetapi.go
+++ b/internal/targetapi/targetapi.go
@@ -1,7 +1,7 @@
-// Package targetapi holds the published formats that targets speak: the
-// OpenAI completions, embeddings and vector store search calls, the rerank
-// call and LoRA adapter orders of the common model servers, and ORCA load
-// reports. The clients and the stand-ins share these types.
+// Package targetapi defines the public formats that targets speak: the OpenAI
+// calls for completions, embeddings and vector store search, the rerank and
+// LoRA adapter calls of common model servers, and ORCA load reports. The
+// clients and the simulated targets share these types.
 package targetapi
 
 // Header names.
@@ -9,17 +9,18 @@
 	// HeaderRequestID carries the identity of one attempt at one stage of one
 	// request, "request/stage/attempt". A target echoes it unchanged.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderCustomer names the customer that a call is made for.
+	// HeaderCustomer names the customer for whom a call is made.
 	HeaderCustomer = "X-Customer"
-	// HeaderFencingToken carries a decimal fencing token.
+	// HeaderFencingToken carries a fencing token in decimal.
 	HeaderFencingToken = "Fencing-Token"
-	// HeaderLoad is the ORCA load report on an answer: "JSON {...}".
+	// HeaderLoad carries the ORCA load report of an answer: "JSON {...}".
 	HeaderLoad = "Endpoint-Load-Metrics"
 	// HeaderModelVersion names the version of the model that answered.
 	HeaderModelVersion = "X-Model-Version"
-	// HeaderIdempotencyKey is the caller's key of a non-idempotent call.
+	// HeaderIdempotencyKey carries the caller's key of a non-idempotent call.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderEngineTime is the time an answer cost its target, in microseconds.
+	// HeaderEngineTime is the processing time of an answer at its target, in
+	// microseconds.
 	HeaderEngineTime = "X-Engine-Time-Us"
 )
 
@@ -49,24 +50,24 @@
 	User     string `json:"user,omitempty"`
 }
 
-// CompletionChoice is one continuation, or a piece of it on a stream.
+// CompletionChoice is one completion, or a piece of it in a stream.
 type CompletionChoice struct {
 	Index        int     `json:"index"`
 	Text         string  `json:"text"`
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Usage counts tokens.
+// Usage is the token usage of a call.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
-	// CachedTokens is how many prompt tokens came from the prefix cache.
+	// CachedTokens is the number of prompt tokens found in the prefix cache.
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// Completion is the answer, or one event of a stream. ID is "cmpl-" and the
-// request id. A stream ends with an event that carries Usage and a finish
-// reason, then "data: [DONE]".
+// Completion is a whole answer, or one event of a stream. ID is "cmpl-"
+// followed by the request id. A stream ends with an event that carries Usage
+// and a finish reason, then "data: [DONE]".
 type Completion struct {
 	ID      string             `json:"id"`
 	Model   string             `json:"model"`
@@ -113,7 +114,7 @@
 	Data  []SearchResult `json:"data"`
 }
 
-// RerankRequest asks a reranker to order documents.
+// RerankRequest asks a reranker to score and order documents.
 type RerankRequest struct {
 	Model     string   `json:"model"`
 	Query     string   `json:"query"`
@@ -121,7 +122,7 @@
 	TopN      int      `json:"top_n"`
 }
 
-// RerankResult is one document's place: Index is its place in the request.
+// RerankResult is one document's score. Index is its position in the request.
 type RerankResult struct {
 	Index int     `json:"index"`
 	Score float64 `json:"relevance_score"`
@@ -133,19 +134,19 @@
 	Results []RerankResult `json:"results"`
 }
 
-// LoadReport is the ORCA report: what a target says of its load, with a lag.
+// LoadReport is a target's ORCA load report. It lags behind the actual load.
 type LoadReport struct {
-	// Utilization is 0 to 1 and above when work waits.
+	// Utilization is 0 to 1, and above 1 when requests wait.
 	Utilization float64 `json:"application_utilization"`
 	Named       struct {
 		Running float64 `json:"running"`
 		Waiting float64 `json:"waiting"`
-		// CacheUsage is the used part of the prefix cache, 0 to 1.
+		// CacheUsage is the used share of the prefix cache, 0 to 1.
 		CacheUsage float64 `json:"cache_usage"`
 	} `json:"named_metrics"`
 }
 
-// ModelCard is one row of the models list.
+// ModelCard is one entry of the model list.
 type ModelCard struct {
 	ID      string `json:"id"`
 	Version string `json:"version"`
@@ -158,20 +159,20 @@
 	Data []ModelCard `json:"data"`
 }
 
-// AdapterOrder loads or unloads an adapter.
+// AdapterRequest loads or unloads a LoRA adapter.
 type AdapterRequest struct {
 	LoraName string `json:"lora_name"`
 	LoraPath string `json:"lora_path,omitempty"`
 }
 
-// ModelOrder has an engine serve a model, version and role.
+// SetModelRequest makes an engine serve a model in a version and role.
 type SetModelRequest struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Role    string `json:"role,omitempty"`
 }
 
-// CacheEventKind says what happened to a cached block.
+// CacheEventKind says what happened to cached blocks.
 type CacheEventKind string
 
 // The kinds of cache events.
@@ -181,8 +182,8 @@
 	AllBlocksCleared CacheEventKind = "AllBlocksCleared"
 )
 
-// CacheEvent is one entry of an engine's event feed. Seq has gaps where
-// events were lost.
+// CacheEvent is one entry of an engine's event feed. Seq has gaps where events
+// were lost.
 type CacheEvent struct {
 	Seq  uint64         `json:"seq"`
 	Kind CacheEventKind `json:"type"`
@@ -191,7 +192,8 @@
 	Hashes []string `json:"block_hashes"`
 }
 
-// CacheBlockBytes is the size of one block of the prefix cache in prompt bytes.
+// CacheBlockBytes is the size of one block of the prefix cache, in prompt
+// bytes.
 const CacheBlockBytes = 64
 
 // CacheEvents answers GET /kv_events.
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for a time, or until a context ends.
+// Package wait waits for a time to pass or a context to end.
 package wait
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// For waits for a time; false when the context ends first.
+// For waits for d. It returns false if the context ends first.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -19,8 +19,8 @@
 	}
 }
 
-// Until waits until a moment; false when the context ends first. A moment that
-// has passed isn't waited for.
+// Until waits until a point in time. It returns false if the context ends
+// first, and does not wait if the time has passed.
 func Until(ctx context.Context, at time.Time) bool {
 	d := time.Until(at)
 	if d <= 0 {
@@ -29,8 +29,9 @@
 	return For(ctx, d)
 }
 
-// Around waits for a time drawn between half and one and a half of d, so that
-// processes that began or failed together don't go on together.
+// Jittered waits for a random time between half and one and a half of d, so
+// that processes that started or failed together don't continue in step. It
+// returns false if the context ends first.
 func Jittered(ctx context.Context, d time.Duration) bool {
 	return For(ctx, d/2+rand.N(d))
 }
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestWaitEndsWithItsContext(t *testing.T) {
+func TestWaitEndsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	assert.Assert(t, For(ctx, time.Millisecond))
 	assert.Assert(t, Jittered(ctx, time.Millisecond))
