--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -42,7 +42,7 @@
 	Period time.Duration
 	// TombstoneTTL is how long dead members are remembered; 0 for 900 periods.
 	TombstoneTTL time.Duration
-	// LinkBounds limit the number of links; the zero value is member.DefaultBounds.
+	// LinkBounds limit the number of links; the zero value is member.DefaultLinkCounts.
 	LinkBounds member.LinkCounts
 	// PacedBytesPerSecond is the rate in bytes per second at which a process may receive the paced
 	// topics of all processes together; 0 for DefaultPace. See pacing.go.
