--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -22,14 +22,15 @@
 	"github.com/vanillagate/vanillagate/internal/problem"
 )
 
-// Headers of operators' calls.
+// Request headers of operator calls.
 const (
 	headerOperator = "X-Operator"
 	headerChangeID = "Change-Id"
 )
 
-// kindOfPath names the items that operators change.
-var kindOfPath = map[string]config.Kind{
+// kindByPath maps the path section of an admin URL to the kind of item it
+// changes.
+var kindByPath = map[string]config.Kind{
 	"contracts": config.KindContract,
 	"pools":     config.KindPool,
 	"pipelines": config.KindPipeline,
@@ -43,20 +44,20 @@
 )
 
 func (s *Server) serveAdmin(ctx *fasthttp.RequestCtx, path string) {
-	operator, prob := s.operatorOf(ctx)
+	operator, prob := s.authenticateOperator(ctx)
 	if prob != nil {
 		writeProblem(ctx, prob)
 		return
 	}
 	section, name, _ := strings.Cut(path, "/")
-	kind, isItem := kindOfPath[section]
+	kind, isItem := kindByPath[section]
 	switch {
 	case isItem && name != "":
 		s.serveChange(ctx, operator, kind, name)
 	case section == "config" && ctx.IsGet():
 		writeJSON(ctx, s.keeper.State())
 	case section == "in_force" && ctx.IsGet():
-		writeJSON(ctx, InForce{VMs: s.standings()})
+		writeJSON(ctx, InForce{VMs: s.collectStandings()})
 	case section == "status" && ctx.IsGet():
 		s.serveStatus(ctx)
 	case section == "costs" && ctx.IsGet():
@@ -66,11 +67,11 @@
 	}
 }
 
-// Accepted answers a change that is in force here.
+// Accepted is the response to a change that is in force in this process.
 type Accepted struct {
 	Revision config.Revision `json:"revision"`
-	// Announced says that a stop is in effect at all entry VMs that can be
-	// reached although the store could not record it yet (Revision is zero).
+	// Announced means that a stop is in effect at every reachable entry VM
+	// although the store could not record it yet (Revision is zero).
 	Announced bool `json:"announced,omitempty"`
 }
 
@@ -80,15 +81,15 @@
 		writeProblem(ctx, prob)
 		return
 	}
-	stop, isStop := announcement(req)
+	stop, isStop := parseStop(req)
 	announced := isStop && s.stops.announce(req, stop)
-	deadline, cancel := context.WithTimeout(context.Background(), changeTimeout)
+	submitCtx, cancel := context.WithTimeout(context.Background(), changeTimeout)
 	defer cancel()
-	out := s.changes.Submit(deadline, req)
+	out := s.changes.Submit(submitCtx, req)
 	s.log.Info("Change submitted.", zap.String("operator", operator), zap.String("item", config.ItemKey(kind, name)),
 		zap.String("change", req.ID), zap.Int("result", int(out.Result)), zap.Uint64("revision", uint64(out.Revision)))
 	if out.Result == change.Accepted {
-		s.putInForce(req, out.Revision)
+		s.applyAccepted(req, out.Revision)
 		writeJSON(ctx, Accepted{Revision: out.Revision})
 		return
 	}
@@ -129,7 +130,8 @@
 	return req, nil
 }
 
-func announcement(req change.Request) (config.Stop, bool) {
+// parseStop returns the stop that a change request creates, if it is one.
+func parseStop(req change.Request) (config.Stop, bool) {
 	var stop config.Stop
 	if req.Kind != config.KindStop || req.Deleted || json.Unmarshal(req.Body, &stop) != nil {
 		return stop, false
@@ -137,8 +139,9 @@
 	return stop, stop.ID != "" && stop.ID == req.Name && stop.Address != ""
 }
 
-// putInForce doesn't wait for the next read of the table.
-func (s *Server) putInForce(req change.Request, revision config.Revision) {
+// applyAccepted puts an accepted change in force without waiting for the next
+// read of the table.
+func (s *Server) applyAccepted(req change.Request, revision config.Revision) {
 	s.keeper.Accepted(config.Change{
 		ID: req.ID, Revision: revision, Kind: req.Kind, Name: req.Name, Deleted: req.Deleted,
 		Body: req.Body, By: req.By, At: time.Now().UTC(),
@@ -155,45 +158,46 @@
 		return problem.New(400, "invalid", "Not a valid item", strings.Join(out.ValidationErrors, "; "), problem.NotRun)
 	case change.Unavailable:
 		return problem.New(503, "store-down", "The table service is down",
-			"Nothing was changed.", problem.NotRun).WithRetryAfter(claimRetry)
+			"Nothing was changed.", problem.NotRun).WithRetryAfter(claimRetryAfter)
 	default:
 		return problem.New(503, "store-silent", "The table service gave no answer",
 			"The change may have been accepted. Send it again with the same Change-Id.", problem.Unknown).
-			WithRetryAfter(claimRetry)
+			WithRetryAfter(claimRetryAfter)
 	}
 }
 
-// InForce answers GET /v1/admin/in_force.
+// InForce is the response to GET /v1/admin/in_force.
 type InForce struct {
 	VMs []inforce.Standing `json:"vms"`
 }
 
-// standings asks every peer which revision it has in force. It is asked when
-// an operator wants to know and not told all the time: spread by each of many
-// VMs after each of many changes it would be most of the traffic.
-func (s *Server) standings() []inforce.Standing {
+// collectStandings asks every peer which revision it has in force. Peers are
+// asked on demand: if every VM broadcast its revision after every change, that
+// would be most of the peer traffic.
+func (s *Server) collectStandings() []inforce.Standing {
 	list := []inforce.Standing{s.keeper.Standing()}
 	var mu sync.Mutex // guards list
-	askAll(s, inforce.MethodRevision, func(st inforce.Standing) {
+	callPeers(s, inforce.MethodRevision, func(st inforce.Standing) {
 		mu.Lock()
 		defer mu.Unlock()
 		list = append(list, st)
 	})
-	list = append(list, s.silent(list)...)
+	list = append(list, s.unresponsive(list)...)
 	sort.Slice(list, func(i, j int) bool { return list[i].CallerAddress < list[j].CallerAddress })
 	return list
 }
 
-// silent lists the entry VMs that should be serving and didn't answer, without
-// an incarnation. One that stands still or is cut off would otherwise be
-// missing, and an operator would take a revision to be in force everywhere.
-func (s *Server) silent(answered []inforce.Standing) []inforce.Standing {
+// unresponsive lists the entry VMs that should be serving but did not answer;
+// their entries have no incarnation. Without them a frozen or partitioned VM
+// would be missing from the list, and an operator would conclude that a
+// revision is in force everywhere.
+func (s *Server) unresponsive(answered []inforce.Standing) []inforce.Standing {
 	known := map[string]bool{}
 	for _, st := range answered {
 		known[st.CallerAddress] = true
 	}
 	var list []inforce.Standing
-	note := func(address, zone string) {
+	add := func(address, zone string) {
 		if address != "" && !known[address] {
 			known[address] = true
 			list = append(list, inforce.Standing{CallerAddress: address, Zone: zone})
@@ -201,25 +205,26 @@
 	}
 	for _, m := range s.opts.Network.Members() {
 		if m.State != peer.Leaving {
-			note(m.CallerAddress, m.Zone)
+			add(m.CallerAddress, m.Zone)
 		}
 	}
 	for _, vm := range s.vms.get() {
 		if vm.Role == backing.RoleEntry && vm.State == backing.VMLive {
-			note(vm.Address, vm.Zone)
+			add(vm.Address, vm.Zone)
 		}
 	}
 	return list
 }
 
-// maxAskedAtOnce bounds the calls to peers that are on their way.
-const maxAskedAtOnce = 16
+// maxConcurrentPeerCalls bounds the concurrent calls that callPeers makes.
+const maxConcurrentPeerCalls = 16
 
-// askAll calls a method of every entry process among the peers and hands on
-// what they answer. Those that don't answer in time are left out.
-func askAll[T any](s *Server, method string, take func(T)) {
+// callPeers calls a method at every entry process among the peers and passes
+// each answer to onAnswer, which may run concurrently. Peers that don't answer
+// in time are skipped.
+func callPeers[T any](s *Server, method string, onAnswer func(T)) {
 	var wait sync.WaitGroup
-	slots := make(chan struct{}, maxAskedAtOnce)
+	slots := make(chan struct{}, maxConcurrentPeerCalls)
 	for _, m := range s.opts.Network.Members() {
 		if m.CallerAddress == "" {
 			continue
@@ -231,7 +236,7 @@
 			defer cancel()
 			var answer T
 			if s.opts.Network.Call(ctx, m.Incarnation, method, nil, &answer) == nil {
-				take(answer)
+				onAnswer(answer)
 			}
 		})
 	}
--- a/internal/entry/auth.go
+++ b/internal/entry/auth.go
@@ -13,16 +13,17 @@
 	"github.com/vanillagate/vanillagate/internal/problem"
 )
 
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
-// keyIndex finds a contract by the hash of a key. It is made anew for each
-// revision. Looking up a hash leaks nothing of a key: only who knows the key
-// can choose its hash.
+// keyIndex finds a contract by the hash of an API key. It is rebuilt for each
+// configuration revision. The map lookup is not constant-time, but its timing
+// leaks nothing about a key: only someone who knows the key can choose its
+// hash.
 type keyIndex struct{ built atomic.Pointer[builtIndex] }
 
 type builtIndex struct {
 	revision config.Revision
-	byHash   map[string]string // hash of a key to the customer's name
+	byHash   map[string]string // key hash to customer name
 }
 
 func (k *keyIndex) find(state *config.State, hash string) (config.Contract, bool) {
@@ -55,7 +56,7 @@
 
 func keyHash(ctx *fasthttp.RequestCtx) string {
 	header := string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
-	key, found := strings.CutPrefix(header, bearer)
+	key, found := strings.CutPrefix(header, bearerPrefix)
 	if !found || key == "" {
 		return ""
 	}
@@ -63,11 +64,11 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// contractOf gives the contract whose key the caller holds.
-func (s *Server) contractOf(ctx *fasthttp.RequestCtx) (config.Contract, *problem.Problem) {
+// authenticateCaller returns the contract that the caller's API key belongs to.
+func (s *Server) authenticateCaller(ctx *fasthttp.RequestCtx) (config.Contract, *problem.Problem) {
 	if !s.awaitReady() {
 		return config.Contract{}, problem.New(503, "starting", "Starting",
-			"This VM doesn't know what is in force yet.", problem.NotRun).WithRetryAfter(startingRetry)
+			"This VM doesn't know what is in force yet.", problem.NotRun).WithRetryAfter(startingRetryAfter)
 	}
 	hash := keyHash(ctx)
 	if hash != "" {
@@ -79,8 +80,9 @@
 		"Authorization must be Bearer and a key of a contract in force.", problem.NotRun)
 }
 
-// operatorOf gives the name of the operator whose key the caller holds.
-func (s *Server) operatorOf(ctx *fasthttp.RequestCtx) (string, *problem.Problem) {
+// authenticateOperator returns the name of the operator that the key belongs
+// to.
+func (s *Server) authenticateOperator(ctx *fasthttp.RequestCtx) (string, *problem.Problem) {
 	hash := []byte(keyHash(ctx))
 	for _, op := range s.opts.Operators {
 		if subtle.ConstantTimeCompare([]byte(op.Hash), hash) != 1 {
--- a/internal/entry/prefixes.go
+++ b/internal/entry/cache_events.go
@@ -14,44 +14,46 @@
 )
 
 const (
-	// eventsPeriod is how often the engines are asked for their cache events;
-	// eventsAtOnce bounds how many are asked at the same time.
-	eventsPeriod  = 500 * time.Millisecond
-	eventsTimeout = 500 * time.Millisecond
-	eventsAtOnce  = 8
+	// cacheEventsPeriod is how often the engines are asked for their cache
+	// events. maxConcurrentEventReads bounds how many are asked at the same
+	// time.
+	cacheEventsPeriod       = 500 * time.Millisecond
+	cacheEventsTimeout      = 500 * time.Millisecond
+	maxConcurrentEventReads = 8
 )
 
-// runCacheEvents follows the prefix caches of the engines that this process
-// sends to.
+// runCacheEvents tracks the contents of the prefix caches of the engines that
+// this process sends to.
 func (s *Server) runCacheEvents(ctx context.Context) {
 	if s.prefixes == nil {
 		return
 	}
-	for wait.Jittered(ctx, eventsPeriod) {
+	for wait.Jittered(ctx, cacheEventsPeriod) {
 		listed := map[string]bool{}
 		for _, t := range s.targets.Status(time.Now()) {
 			listed[t.Address] = true
 		}
-		var asking errgroup.Group
-		asking.SetLimit(eventsAtOnce)
+		var reads errgroup.Group
+		reads.SetLimit(maxConcurrentEventReads)
 		for _, address := range s.prefixes.Addresses() {
 			if !listed[address] {
 				s.prefixes.Forget(address)
 				continue
 			}
-			asking.Go(func() error {
+			reads.Go(func() error {
 				s.readCacheEvents(ctx, address)
 				return nil
 			})
 		}
-		_ = asking.Wait()
+		_ = reads.Wait()
 	}
 }
 
-// readCacheEvents: an engine that doesn't answer is asked again later. What is
-// known of it grows old meanwhile.
+// readCacheEvents reads the new cache events of an engine. If the engine
+// doesn't answer, it is asked again in the next period; until then the index
+// keeps the last known state.
 func (s *Server) readCacheEvents(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, eventsTimeout)
+	ctx, cancel := context.WithTimeout(ctx, cacheEventsTimeout)
 	defer cancel()
 	after := strconv.FormatUint(s.prefixes.LastEvent(address), 10)
 	answer, err := s.client.Do(ctx, target.Call{
--- a/internal/entry/command.go
+++ b/internal/entry/command.go
@@ -36,15 +36,16 @@
 	flagMaxInFlight  = "max-in-flight"
 )
 
-// Command is the program's command line. Its settings stay at a reload signal.
+// Command returns the command line of the program. A reload signal does not
+// change its settings.
 func Command(reload <-chan os.Signal) *cli.Command {
 	return &cli.Command{
 		Name:    "vanillagate",
 		Usage:   "serve callers of multi-stage model pipelines and plain services",
 		Version: buildinfo.Version,
-		Description: "Every entry VM runs this program, all alike. SIGTERM is a graceful shutdown:\n" +
-			"the VM drops out of what callers are told, serves those that hold an old\n" +
-			"answer, and cuts no request.",
+		Description: "Every entry VM runs this program; all have the same role. SIGTERM starts a\n" +
+			"graceful shutdown: the VM's address is no longer given to callers, callers\n" +
+			"that cached it are still served, and no request is aborted.",
 		Flags: append(flags(), vmflags.All()...),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			return run(ctx, c, reload)
@@ -55,23 +56,22 @@
 func flags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: flagListen, Value: "127.0.0.1:7500", Usage: "`IP:PORT` for callers and operators", Sources: program.Env(flagListen)},
-		&cli.StringFlag{Name: flagAdvertise, Usage: "`IP:PORT` that callers are told; the listening one if empty", Sources: program.Env(flagAdvertise)},
-		&cli.StringFlag{Name: flagTLSCert, Usage: "PEM `FILE` with the certificate for TLS towards callers", Sources: program.Env(flagTLSCert)},
-		&cli.StringFlag{Name: flagTLSKey, Usage: "PEM `FILE` with that certificate's key", Sources: program.Env(flagTLSKey)},
+		&cli.StringFlag{Name: flagAdvertise, Usage: "`IP:PORT` that is given to callers; the listen address if empty", Sources: program.Env(flagAdvertise)},
+		&cli.StringFlag{Name: flagTLSCert, Usage: "PEM `FILE` with the certificate for TLS connections of callers", Sources: program.Env(flagTLSCert)},
+		&cli.StringFlag{Name: flagTLSKey, Usage: "PEM `FILE` with the certificate's key", Sources: program.Env(flagTLSKey)},
 		&cli.StringFlag{Name: flagOperators, Usage: "`[NAME=]HASH,...` of the operators' keys (hex SHA-256; see vgctl key new)", Sources: program.Env(flagOperators)},
-		&cli.StringFlag{Name: flagPolicy, Value: "present", Usage: "`NAME` of the decisions: present or a baseline to measure against", Sources: program.Env(flagPolicy)},
+		&cli.StringFlag{Name: flagPolicy, Value: "present", Usage: "`NAME` of the policy: present or a baseline to compare with", Sources: program.Env(flagPolicy)},
 		&cli.DurationFlag{Name: flagConfigPeriod, Value: 2 * time.Second, Usage: "how often the table is read for changes", Sources: program.Env(flagConfigPeriod)},
 		&cli.DurationFlag{Name: flagVMListPeriod, Value: time.Second, Usage: "how often the VM list is read", Sources: program.Env(flagVMListPeriod)},
-		&cli.DurationFlag{Name: flagCostPeriod, Value: 5 * time.Second, Usage: "how often cost rows are written; a killed process loses what it gathered since", Sources: program.Env(flagCostPeriod)},
-		&cli.DurationFlag{Name: flagKeepEntries, Value: 5 * time.Second, Usage: "how long callers keep the addresses they are told", Sources: program.Env(flagKeepEntries)},
-		&cli.DurationFlag{Name: flagRetryWindow, Value: 10 * time.Minute, Usage: "how long callers may ask again under one Idempotency-Key", Sources: program.Env(flagRetryWindow)},
-		&cli.IntFlag{Name: flagMaxBody, Value: 1 << 20, Usage: "largest body of a request, in bytes", Sources: program.Env(flagMaxBody)},
-		&cli.IntFlag{Name: flagMaxInFlight, Value: 20000, Usage: "most requests in this process at once", Sources: program.Env(flagMaxInFlight)},
+		&cli.DurationFlag{Name: flagCostPeriod, Value: 5 * time.Second, Usage: "how often cost rows are written; a killed process loses the costs since the last write", Sources: program.Env(flagCostPeriod)},
+		&cli.DurationFlag{Name: flagKeepEntries, Value: 5 * time.Second, Usage: "how long callers may cache the addresses of entry VMs", Sources: program.Env(flagKeepEntries)},
+		&cli.DurationFlag{Name: flagRetryWindow, Value: 10 * time.Minute, Usage: "how long callers may retry under one Idempotency-Key", Sources: program.Env(flagRetryWindow)},
+		&cli.IntFlag{Name: flagMaxBody, Value: 1 << 20, Usage: "largest request body, in bytes", Sources: program.Env(flagMaxBody)},
+		&cli.IntFlag{Name: flagMaxInFlight, Value: 20000, Usage: "maximum number of concurrent requests in this process", Sources: program.Env(flagMaxInFlight)},
 	}
 }
 
-// run checks the settings, wires the process and serves until it is told to
-// leave.
+// run checks the settings, builds the process and serves until ctx ends.
 func run(ctx context.Context, c *cli.Command, reload <-chan os.Signal) error {
 	var check settings.Checker
 	shared := vmflags.Check(c, &check)
@@ -99,8 +99,9 @@
 	return serve(ctx, opts, peerOptions)
 }
 
-// serve runs the process: the listener first, so that an address in use is
-// told at once, then the network, then callers. It leaves in reverse.
+// serve runs the process. It opens the listener first, so that an address in
+// use is reported at once, then joins the peer network, then serves callers.
+// Shutdown goes in reverse order.
 func serve(ctx context.Context, opts Options, peerOptions peer.Options) error {
 	node, err := peer.New(peerOptions)
 	if err != nil {
@@ -114,7 +115,8 @@
 	if err := server.Listen(); err != nil {
 		return err
 	}
-	// The network outlives the signal: a leaving process still talks to peers.
+	// The peer network outlives the shutdown signal, because a process that is
+	// shutting down still talks to its peers.
 	if err := node.Start(context.WithoutCancel(ctx)); err != nil {
 		return eris.Wrap(err, "peer")
 	}
--- a/internal/entry/loops.go
+++ b/internal/entry/loops.go
@@ -15,8 +15,8 @@
 
 const (
 	probePeriod = 500 * time.Millisecond
-	// demandPeriod is how often demands are exchanged; demandTTL how long a
-	// peer's counts when no newer one comes.
+	// demandPeriod is how often demands are exchanged. demandTTL is how long a
+	// peer's last demand counts.
 	demandPeriod = time.Second
 	demandTTL    = 3 * time.Second
 	demandKey    = "all"
@@ -29,28 +29,28 @@
 	}
 }
 
-// runDemands exchanges the demands per contract with the peers and takes this
-// VM's parts of the contracts' limits from them.
+// runDemands exchanges the demand per contract with the peers and recomputes
+// this VM's share of each contract's limits from it.
 func (s *Server) runDemands(ctx context.Context) {
-	told := false
+	published := false
 	for wait.Jittered(ctx, demandPeriod) {
 		own := s.customers.Demands(time.Now())
-		if len(own) > 0 || told {
+		if len(own) > 0 || published {
 			s.publish(peer.TopicDemand, demandKey, demandTTL, own)
 		}
-		told = len(own) > 0
+		published = len(own) > 0
 		s.rebalance()
 	}
 }
 
-// rebalance takes this VM's parts of the contracts' limits anew.
+// rebalance recomputes this VM's share of each contract's limits.
 func (s *Server) rebalance() {
 	peers, rank := s.peerDemands()
-	s.customers.Rebalance(limit.PeerView{Peers: peers, Rank: rank, Unknown: s.silentEntries(len(peers))}, time.Now())
+	s.customers.Rebalance(limit.PeerView{Peers: peers, Rank: rank, Unknown: s.unseenEntryVMs(len(peers))}, time.Now())
 }
 
-// peerDemands gives what the other entry VMs told, by incarnation, and how many
-// of them stand before this one.
+// peerDemands returns the demands that the other entry VMs published, ordered
+// by incarnation, and this VM's rank in that order.
 func (s *Server) peerDemands() (demands []limit.PeerDemand, rank int) {
 	self := s.opts.Network.Self().Incarnation
 	entries := map[peer.Incarnation]bool{}
@@ -77,14 +77,15 @@
 	return demands, rank
 }
 
-// silentEntries is how many live entry VMs are listed beyond those that peers
-// see: they may be serving on the other side of a cut.
-func (s *Server) silentEntries(seen int) int {
+// unseenEntryVMs counts the live entry VMs in the VM list beyond this one and
+// the visible peers. They may be serving on the other side of a network
+// partition.
+func (s *Server) unseenEntryVMs(visible int) int {
 	listed := 0
 	for _, vm := range s.vms.get() {
 		if vm.Role == backing.RoleEntry && vm.State == backing.VMLive {
 			listed++
 		}
 	}
-	return max(0, listed-1-seen)
+	return max(0, listed-1-visible)
 }
--- a/internal/entry/observer.go
+++ b/internal/entry/observer.go
@@ -16,7 +16,8 @@
 	"github.com/vanillagate/vanillagate/internal/target"
 )
 
-// observer turns what happens into metrics, logs and cost.
+// observer turns events of requests and stages into metrics, logs and cost
+// records.
 type observer struct {
 	server *Server
 	log    *zap.Logger
@@ -31,8 +32,8 @@
 	}
 }
 
-// sampleSize and sampleAlpha are go-metrics' usual values for a histogram that
-// favours the last five minutes.
+// sampleSize and sampleAlpha are the usual go-metrics values for a histogram
+// that favors the last five minutes.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
@@ -48,20 +49,20 @@
 	o.server.opts.Metrics.GetOrRegister(name, metrics.NewCounter).(metrics.Counter).Inc(n)
 }
 
-// Charged is part of pipeline.Observer.
+// Charged implements pipeline.Observer.
 func (o *observer) Charged(c pipeline.Charge) {
 	labels := customerLabel(c.Customer) + "," + stageLabel(c.Pipeline, c.Stage)
 	if c.Waste != pipeline.NoWaste {
 		o.count(series("wasted_calls_total", labels+`,reason="`+string(c.Waste)+`"`), 1)
 	}
-	amount := o.amountOf(c)
+	amount := o.costOf(c)
 	o.count(series("engine_microseconds_total", labels), amount.EngineUS)
 	o.costs.Add(costs.Key{Customer: c.Customer, Pipeline: c.Pipeline, Stage: c.Stage}, amount)
 }
 
-// amountOf estimates the engine time where the target told none: a call that
-// was cancelled or broke is paid for too.
-func (o *observer) amountOf(c pipeline.Charge) costs.Amount {
+// costOf estimates the engine time if the target did not report it, because a
+// call that was cancelled or broke is charged too.
+func (o *observer) costOf(c pipeline.Charge) costs.Amount {
 	amount := costs.Amount{
 		EngineUS:     c.EngineTime.Microseconds(),
 		PromptTokens: int64(c.Usage.PromptTokens), CompletionTokens: int64(c.Usage.CompletionTokens),
@@ -69,11 +70,11 @@
 	}
 	if c.Waste == pipeline.NoWaste {
 		amount.Requests = 1
-		o.rates.RecordCall(c.Pool, sampleOf(c))
+		o.rates.RecordCall(c.Pool, costSample(c))
 		return amount
 	}
 	if c.EngineTime == 0 {
-		amount.EngineUS = o.rates.Estimate(c.Pool, sampleOf(c)).Microseconds()
+		amount.EngineUS = o.rates.Estimate(c.Pool, costSample(c)).Microseconds()
 		amount.EstimatedUS = amount.EngineUS
 	}
 	reason := costs.Waste(c.Waste)
@@ -82,38 +83,38 @@
 	return amount
 }
 
-func sampleOf(c pipeline.Charge) cost.Sample {
+func costSample(c pipeline.Charge) cost.Sample {
 	return cost.Sample{
 		Target: c.Target, ReportedTime: c.EngineTime, Took: c.Took,
 		UncachedTokens: c.Usage.PromptTokens - c.Usage.CachedTokens, GeneratedTokens: c.Usage.CompletionTokens,
 	}
 }
 
-// StageDone is part of pipeline.Observer.
+// StageDone implements pipeline.Observer.
 func (o *observer) StageDone(customer, pipelineName, stage string, took time.Duration) {
 	o.histogram(series("stage_microseconds", customerLabel(customer)+","+stageLabel(pipelineName, stage))).
 		Update(took.Microseconds())
 }
 
-// CallFailed is part of pipeline.Observer.
+// CallFailed implements pipeline.Observer.
 func (o *observer) CallFailed(requestID, stage, address string, err error) {
 	o.count(series("target_failures_total", `stage="`+stage+`"`), 1)
 	o.log.Info("Call failed.", logging.RequestID(requestID), zap.String("stage", stage),
-		zap.String("target", address), zap.String("kind", kindOf(err)), zap.Error(err))
+		zap.String("target", address), zap.String("kind", failureKind(err)), zap.Error(err))
 }
 
-func kindOf(err error) string {
+func failureKind(err error) string {
 	if f, ok := err.(*target.Failure); ok {
 		return string(f.Kind)
 	}
 	return ""
 }
 
-func (o *observer) served(customer, name string, took time.Duration) {
+func (o *observer) recordServed(customer, name string, took time.Duration) {
 	o.histogram(series("request_microseconds", customerLabel(customer)+`,name="`+name+`"`)).Update(took.Microseconds())
 }
 
-func (o *observer) refused(customer string, p *problem.Problem) {
+func (o *observer) recordRefused(customer string, p *problem.Problem) {
 	labels := customerLabel(customer) + `,status="` + strconv.Itoa(p.Status) + `",execution="` + string(p.Execution) + `"`
 	o.count(series("problems_total", labels), 1)
 }
@@ -128,12 +129,12 @@
 
 func (o *observer) run(ctx context.Context) { o.costs.Run(ctx, o.server.opts.CostPeriod) }
 
-// flush writes what was gathered, at a graceful shutdown.
+// flush writes the remaining cost records at a graceful shutdown.
 func (o *observer) flush(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	if err := o.costs.Flush(ctx); err != nil {
-		o.log.Warn("Last cost rows not written.", zap.Error(err))
+		o.log.Warn("Writing the last cost rows failed.", zap.Error(err))
 	}
 }
 
--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -1,5 +1,6 @@
-// Package entry is the entry process: it answers callers and operators, admits
-// requests, runs pipelines and plain services, and keeps what is in force.
+// Package entry implements the entry process, which serves callers and
+// operators: it admits requests, runs pipelines and plain services, and applies
+// configuration changes.
 package entry
 
 import (
@@ -16,11 +17,11 @@
 	"github.com/vanillagate/vanillagate/internal/routing"
 )
 
-// Options are what a Server is made from.
+// Options configures a Server.
 type Options struct {
 	// Listen is the IP:port that callers connect to.
 	Listen string
-	// Advertise is the IP:port that callers are told; empty means Listen.
+	// Advertise is the IP:port that is given to callers; empty means Listen.
 	Advertise string
 	Zone      string
 	Region    string
@@ -31,66 +32,71 @@
 	Network peer.Network
 	Log     *zap.Logger
 	Metrics metrics.Registry
-	// TLS towards callers; nil for none.
+	// TLS is used for connections of callers; nil means none.
 	TLS *tls.Config
 
-	// Operators are the keys that may use /v1/admin/.
+	// Operators holds the keys that may use /v1/admin/.
 	Operators []OperatorKey
 
 	Policy Policy
 
-	// ConfigPeriod is how often the table is read for changes, VMListPeriod how
-	// often the VM list is.
+	// ConfigPeriod is how often the table is read for changes. VMListPeriod is
+	// how often the VM list is read.
 	ConfigPeriod time.Duration
 	VMListPeriod time.Duration
-	// CostPeriod is how often cost rows are written. A killed process loses
-	// what it gathered since.
+	// CostPeriod is how often cost rows are written. A killed process loses the
+	// costs since the last write.
 	CostPeriod time.Duration
-	// EntriesTTL is how long callers keep the answer of /v1/entries.
+	// EntriesTTL is how long callers may cache the response of /v1/entries.
 	EntriesTTL time.Duration
-	// RetryWindow is how long after a submission its caller may ask again
-	// under the same Idempotency-Key.
+	// RetryWindow is how long after a submission its caller may retry under the
+	// same Idempotency-Key.
 	RetryWindow time.Duration
-	// MaxBody bounds what a caller may send, in bytes.
+	// MaxBody bounds the size of a request body in bytes.
 	MaxBody int
-	// MaxInFlight bounds the requests in this process.
+	// MaxInFlight bounds the pipeline and service requests in progress in this
+	// process.
 	MaxInFlight int
 }
 
-// OperatorKey lets an operator in.
+// OperatorKey is a key that authenticates an operator.
 type OperatorKey struct {
-	// Name is put down as the author of changes; empty means that the
-	// X-Operator header says it.
+	// Name is recorded as the author of changes. If it is empty, the X-Operator
+	// header gives the name.
 	Name string
 	// Hash is the lower-case hex SHA-256 of the key.
 	Hash string
 }
 
-// Policy chooses between the product's own decisions and the baselines that it
-// is measured against.
+// Policy selects between the standard behavior and the baselines that it is
+// compared with in benchmarks.
 type Policy struct {
 	Routing routing.PolicyName
-	// NoAdmission lets every request in that its contract allows.
+	// NoAdmission disables admission control by deadline and load; only the
+	// limits of contracts apply.
 	NoAdmission bool
-	// RetryWithoutBudget tries again as often as the tries allow.
+	// RetryWithoutBudget limits retries only by the number of attempts, not by
+	// the retry budget.
 	RetryWithoutBudget bool
-	// NoAffinity takes no heed of the engines' prefix caches.
+	// NoAffinity ignores the engines' prefix caches when a target is chosen.
 	NoAffinity bool
-	// EvenSplit gives each entry VM the same part of a contract's limits.
+	// EvenSplit gives each entry VM the same share of a contract's limits,
+	// instead of a share by demand.
 	EvenSplit bool
-	// NoEjection, NoHedge and NoSuspicion switch a mechanism off.
+	// NoEjection, NoHedge and NoSuspicion each disable a mechanism.
 	NoEjection  bool
 	NoHedge     bool
 	NoSuspicion bool
 }
 
-// PolicyNames are the values that ParsePolicy takes.
+// PolicyNames lists the values that ParsePolicy accepts.
 var PolicyNames = []string{
 	"present", "better-of-two", "with-reports", "no-hedge", "no-ejection", "even-split", "no-affinity", "random", "round-robin", "least-in-flight", "no-admission", "retry-without-budget",
 }
 
-// ParsePolicy gives the policy of a name. The routing baselines stand for a
-// plain proxy: no ejection, no hedges and no affinity.
+// ParsePolicy returns the policy with the given name. The routing baselines
+// (random, round-robin, least-in-flight) model a plain proxy: no ejection, no
+// hedging and no affinity.
 func ParsePolicy(name string) (Policy, error) {
 	switch name {
 	case "present":
--- a/internal/entry/pipelines.go
+++ b/internal/entry/pipelines.go
@@ -21,12 +21,13 @@
 // PipelineRequest is the body of POST /v1/pipelines/{pipeline}.
 type PipelineRequest struct {
 	Input string `json:"input"`
-	// MaxTokens bounds the answer; zero means the pipeline's own bound.
+	// MaxTokens bounds the length of the output; zero means the pipeline's own
+	// limit.
 	MaxTokens int  `json:"max_tokens"`
 	Stream    bool `json:"stream"`
 }
 
-// PipelineAnswer is the answer that isn't a stream.
+// PipelineAnswer is the response to a request that is not streamed.
 type PipelineAnswer struct {
 	RequestID string                 `json:"request_id"`
 	Pipeline  string                 `json:"pipeline"`
@@ -37,24 +38,24 @@
 
 const maxTokensAllowed = 8192
 
-// call is one request of a caller on its way.
+// call is a caller's request in progress.
 type call struct {
-	received
-	contract config.Contract
-	name     string // of the pipeline or service
-	need     time.Duration
-	tokens   int // that it generates at most
+	requestInfo
+	contract     config.Contract
+	name         string // name of the pipeline or service
+	expectedTime time.Duration
+	maxTokens    int // upper bound of the tokens it generates
 }
 
 func (s *Server) servePipeline(ctx *fasthttp.RequestCtx, name string) {
 	state := s.keeper.State()
 	p, found := state.Pipelines[name]
-	r, prob := receive(ctx, pipelineTimeout(p))
+	r, prob := readRequestInfo(ctx, pipelineTimeout(p))
 	if prob != nil {
 		s.refuse(ctx, r, "", prob)
 		return
 	}
-	contract, prob := s.contractOf(ctx)
+	contract, prob := s.authenticateCaller(ctx)
 	if prob != nil {
 		s.refuse(ctx, r, "", prob)
 		return
@@ -64,11 +65,11 @@
 		s.refuse(ctx, r, contract.Customer, prob)
 		return
 	}
-	c := &call{received: r, contract: contract, name: name, need: s.executor.Latencies.ExpectedRemaining(p, 0)}
-	c.tokens = mostTokens(p, body.MaxTokens)
+	c := &call{requestInfo: r, contract: contract, name: name, expectedTime: s.executor.Latencies.ExpectedRemaining(p, 0)}
+	c.maxTokens = tokenLimit(p, body.MaxTokens)
 	req := &pipeline.Request{
 		ID: r.id, Customer: contract.Customer, Pipeline: p, Pools: state.Pools, Input: body.Input,
-		MaxTokens: body.MaxTokens, Priority: contract.Priority, Hedge: s.hedgeFor(contract),
+		MaxTokens: body.MaxTokens, Priority: contract.Priority, Hedge: s.hedgeRate(contract),
 		Pack: 1 - balanceOf(contract),
 	}
 	ctx.Response.Header.Set(targetapi.HeaderRequestID, r.id)
@@ -86,11 +87,11 @@
 	return defaultTimeout
 }
 
-// mostTokens is how many tokens a request may generate in its last stage, which
-// is what its caller is charged for.
-func mostTokens(p config.Pipeline, asked int) int {
-	if asked > 0 {
-		return asked
+// tokenLimit returns how many tokens a request may generate in its last stage.
+// The contract's token limit is checked against it.
+func tokenLimit(p config.Pipeline, requested int) int {
+	if requested > 0 {
+		return requested
 	}
 	if last := len(p.Stages) - 1; last >= 0 && p.Stages[last].MaxTokens > 0 {
 		return p.Stages[last].MaxTokens
@@ -98,7 +99,8 @@
 	return pipeline.DefaultMaxTokens
 }
 
-// balanceOf is the contract's place between cost, 0, and attainment, 1.
+// balanceOf returns the contract's trade-off between low cost (0) and meeting
+// deadlines (1).
 func balanceOf(c config.Contract) float64 {
 	if c.Balance == nil {
 		return 1
@@ -106,8 +108,9 @@
 	return *c.Balance
 }
 
-// hedgeFor follows from the contract's balance: hedges cost engine time.
-func (s *Server) hedgeFor(c config.Contract) float64 {
+// hedgeRate returns how freely slow stages are hedged. It follows the
+// contract's balance, because hedges cost engine time.
+func (s *Server) hedgeRate(c config.Contract) float64 {
 	if s.opts.Policy.NoHedge {
 		return 0
 	}
@@ -137,41 +140,45 @@
 	return body, nil
 }
 
-// admitted is the right to be served, to be ended once.
-type admitted struct {
+// admission is an admitted request's share of its contract's limits and its
+// permit from the concurrency limiter. end must be called exactly once.
+type admission struct {
 	server *Server
 	grant  limit.Grant
-	pass   *limit.Permit
+	permit *limit.Permit
 }
 
-func (a *admitted) end(tokens int, counts bool) {
-	a.pass.Release(counts)
+// end releases the admission. tokens is the number of generated tokens.
+// countsTowardLoad means that the duration is a sample of the targets' load.
+func (a *admission) end(tokens int, countsTowardLoad bool) {
+	a.permit.Release(countsTowardLoad)
 	a.server.customers.Done(a.grant, tokens, time.Now())
 }
 
-// admit takes a request through its contract's limits and the gate. Where both
-// results are nil the caller left while it waited.
-func (s *Server) admit(ctx context.Context, c *call) (*admitted, *problem.Problem) {
+// admit checks a request against its contract's limits and acquires a permit
+// from the concurrency limiter. If both results are nil, the caller
+// disconnected or the deadline passed while the request waited.
+func (s *Server) admit(ctx context.Context, c *call) (*admission, *problem.Problem) {
 	now := time.Now()
-	if int(s.callers.Load()) > s.opts.MaxInFlight {
+	if int(s.callerRequests.Load()) > s.opts.MaxInFlight {
 		return nil, problem.New(503, "full", "Too many requests in this VM",
-			"This VM serves as many requests as it may.", problem.NotRun).WithRetryAfter(fullRetry)
+			"This VM serves as many requests as it may.", problem.NotRun).WithRetryAfter(fullRetryAfter)
 	}
-	grant, verdict, wait := s.customers.Admit(c.contract, c.tokens, now)
+	grant, verdict, wait := s.customers.Admit(c.contract, c.maxTokens, now)
 	if verdict != limit.Admitted {
 		return nil, problem.New(429, "limit", "Over the contract's limit",
 			"The request is "+string(verdict)+".", problem.NotRun).WithRetryAfter(wait)
 	}
-	if !s.opts.Policy.NoAdmission && now.Add(c.need).After(c.deadline) {
+	if !s.opts.Policy.NoAdmission && now.Add(c.expectedTime).After(c.deadline) {
 		s.customers.Done(grant, 0, time.Now())
 		return nil, problem.New(503, "too-late", "Can't be done in time",
-			"The stages take longer now than the request has time.", problem.NotRun).WithRetryAfter(c.need)
+			"The stages take longer now than the request has time.", problem.NotRun).WithRetryAfter(c.expectedTime)
 	}
-	pass, refusal := s.gates.of(c.name).Acquire(ctx, limit.AcquireRequest{
-		Customer: c.contract.Customer, Weight: c.contract.Share, Deadline: c.deadline, ServiceTime: c.need,
+	permit, refusal := s.limiters.get(c.name).Acquire(ctx, limit.AcquireRequest{
+		Customer: c.contract.Customer, Weight: c.contract.Share, Deadline: c.deadline, ServiceTime: c.expectedTime,
 	})
-	if pass != nil {
-		return &admitted{server: s, grant: grant, pass: pass}, nil
+	if permit != nil {
+		return &admission{server: s, grant: grant, permit: permit}, nil
 	}
 	s.customers.Done(grant, 0, time.Now())
 	if refusal == nil {
@@ -182,21 +189,21 @@
 }
 
 const (
-	startingRetry = time.Second
-	fullRetry     = 500 * time.Millisecond
+	startingRetryAfter = time.Second
+	fullRetryAfter     = 500 * time.Millisecond
 )
 
-// run takes a request from admission to its result.
+// run admits a request and executes it.
 func (s *Server) run(ctx context.Context, c *call, req *pipeline.Request) (*pipeline.Result, *problem.Problem) {
 	a, prob := s.admit(ctx, c)
 	if prob != nil {
 		return nil, prob
 	}
 	if a == nil {
-		return nil, leftProblem(ctx, problem.NotRun)
+		return nil, interruptedProblem(ctx, problem.NotRun)
 	}
-	if a.pass.OverShare {
-		req.Priority = leastUrgent
+	if a.permit.OverShare {
+		req.Priority = lowestPriority
 	}
 	result, prob := s.executor.Run(ctx, req)
 	tokens := 0
@@ -207,10 +214,10 @@
 	return result, prob
 }
 
-// leastUrgent is the last of the engines' priorities.
-const leastUrgent = 9
+// lowestPriority is the least urgent priority that engines accept.
+const lowestPriority = 9
 
-func leftProblem(ctx context.Context, execution problem.Execution) *problem.Problem {
+func interruptedProblem(ctx context.Context, execution problem.Execution) *problem.Problem {
 	if errors.Is(context.Cause(ctx), errCallerLeft) {
 		return problem.New(499, "caller-left", "The caller left", "The connection was closed.", execution)
 	}
@@ -220,11 +227,11 @@
 func (s *Server) answerPipeline(ctx *fasthttp.RequestCtx, c *call, req *pipeline.Request) {
 	runCtx, cancel := context.WithDeadline(context.Background(), c.deadline)
 	defer cancel()
-	runCtx, watched := s.hangups.Watch(runCtx, ctx.Conn())
+	runCtx, stopWatching := s.hangups.Watch(runCtx, ctx.Conn())
 	result, prob := s.run(runCtx, c, req)
-	watched()
+	stopWatching()
 	if prob != nil {
-		s.refuse(ctx, c.received, c.contract.Customer, prob)
+		s.refuse(ctx, c.requestInfo, c.contract.Customer, prob)
 		return
 	}
 	s.served(c)
@@ -234,8 +241,8 @@
 }
 
 func (s *Server) served(c *call) {
-	took := time.Since(c.since)
-	s.observer.served(c.contract.Customer, c.name, took)
+	took := time.Since(c.receivedAt)
+	s.observer.recordServed(c.contract.Customer, c.name, took)
 	s.log.Debug("Request served.", logging.RequestID(c.id), zap.String("customer", c.contract.Customer),
 		zap.String("pipeline", c.name), zap.Duration("took", took))
 }
--- a/internal/entry/route.go
+++ b/internal/entry/route.go
@@ -7,8 +7,8 @@
 	"github.com/vanillagate/vanillagate/internal/config"
 )
 
-// matchRoute finds the route with the longest prefix. An empty method matches
-// every method.
+// matchRoute finds the route with the longest matching prefix. A route without
+// a method matches every method.
 func matchRoute(service config.Service, method, path string) (config.Route, bool) {
 	var best config.Route
 	found := false
@@ -16,17 +16,18 @@
 		if r.Method != "" && !strings.EqualFold(r.Method, method) {
 			continue
 		}
-		if strings.HasPrefix(path, r.PathPrefix) && (!found || narrower(r, best)) {
+		if strings.HasPrefix(path, r.PathPrefix) && (!found || moreSpecific(r, best)) {
 			best, found = r, true
 		}
 	}
 	return best, found
 }
 
-// narrower says that a route says more than another that matches too. Of two
-// that say as much the non-idempotent one counts: the other would have a
-// booking sent twice, depending on the order in which an operator wrote them.
-func narrower(a, b config.Route) bool {
+// moreSpecific reports whether route a takes precedence over route b if both
+// match. Between equally specific routes the non-idempotent one wins: otherwise
+// the order in which an operator listed them could decide that a booking may be
+// sent twice.
+func moreSpecific(a, b config.Route) bool {
 	if len(a.PathPrefix) != len(b.PathPrefix) {
 		return len(a.PathPrefix) > len(b.PathPrefix)
 	}
@@ -36,10 +37,10 @@
 	return a.NonIdempotent && !b.NonIdempotent
 }
 
-// escapePath writes a path so that a target reads exactly the one that was
-// matched. A path that is sent as it was decoded is decoded once more there:
-// "/look/%2e%2e/once/hall" matched as "look", which may be sent again, would
-// arrive as "/once/hall", which may not.
+// escapePath escapes a path so that the target decodes exactly the path that
+// was matched. If the decoded path were sent as it is, the target would decode
+// it once more: "/look/%2e%2e/once/hall", matched as the retryable route
+// "look", would arrive as "/once/hall", which must not be retried.
 func escapePath(path string) string {
 	return (&url.URL{Path: path}).EscapedPath()
 }
--- a/internal/entry/route_test.go
+++ b/internal/entry/route_test.go
@@ -21,11 +21,11 @@
 	{Method: "GET", PathPrefix: "/once/", NonIdempotent: true},
 }}
 
-func TestRouteThatSaysMostIsMatched(t *testing.T) {
+func TestMostSpecificRouteMatches(t *testing.T) {
 	tests := []struct {
-		method, path  string
-		found, unsafe bool
-		prefix        string
+		method, path         string
+		found, nonIdempotent bool
+		prefix               string
 	}{
 		{"GET", "/look", true, false, "/"},
 		{"GET", "/once/hall", true, true, "/once/"},
@@ -38,15 +38,15 @@
 	for _, tc := range tests {
 		got, found := matchRoute(bookingRoutes, tc.method, tc.path)
 		assert.Equal(t, found, tc.found, "%s %s", tc.method, tc.path)
-		assert.Equal(t, got.NonIdempotent, tc.unsafe, "%s %s", tc.method, tc.path)
+		assert.Equal(t, got.NonIdempotent, tc.nonIdempotent, "%s %s", tc.method, tc.path)
 		assert.Equal(t, got.PathPrefix, tc.prefix, "%s %s", tc.method, tc.path)
 	}
 }
 
-// A caller writes a path so that it reads as one route here and as another at
-// the target. The target must read the path that was matched, or a booking goes
-// out as a call that may be sent again.
-func FuzzTargetReadsThePathThatWasMatched(f *testing.F) {
+// A caller can write a path that matches one route here but would be decoded to
+// another at the target. The target must see the path that was matched;
+// otherwise a booking is sent as a call that may be retried.
+func FuzzTargetDecodesTheMatchedPath(f *testing.F) {
 	for _, path := range []string{
 		"/look", "/look/%2e%2e/once/hall", "/look/%252e%252e/once/hall", "/a%3Fb", "/a%23b", "/a%2fb", "/a//b", "/a b",
 		"/%", "/%zz", "/..%2f..", "/é", "/a;b=c", "/a%00b", "//x", "/./..", "/a?b=/../c",
@@ -54,9 +54,9 @@
 		f.Add(path)
 	}
 	f.Fuzz(func(t *testing.T, raw string) {
-		var came fasthttp.Request
-		came.SetRequestURI("http://entry" + pathServices + "booking" + raw)
-		rest, isService := strings.CutPrefix(string(came.URI().Path()), pathServices)
+		var received fasthttp.Request
+		received.SetRequestURI("http://entry" + pathServices + "booking" + raw)
+		rest, isService := strings.CutPrefix(string(received.URI().Path()), pathServices)
 		name, path, _ := strings.Cut(rest, "/")
 		if !isService || name != "booking" {
 			return
@@ -75,8 +75,8 @@
 	})
 }
 
-// Callers send anything as a body and as headers. It is read as a request whose
-// values are within bounds, or refused as not run.
+// Callers send arbitrary bodies and headers. They are either read as a request
+// with values within their bounds, or rejected with status 400.
 func FuzzPipelineRequest(f *testing.F) {
 	f.Add([]byte(`{"input":"hall [ref:Q]","max_tokens":16,"stream":true}`), "4000")
 	f.Add([]byte(`{"input":"x","max_tokens":-1}`), "")
@@ -89,12 +89,12 @@
 		ctx.Request.Header.SetMethod(fasthttp.MethodPost)
 		ctx.Request.Header.Set(headerTimeout, timeout)
 		ctx.Request.SetBody(body)
-		r, prob := receive(&ctx, defaultTimeout)
+		r, prob := readRequestInfo(&ctx, defaultTimeout)
 		if prob != nil {
 			assert.Equal(t, prob.Status, fasthttp.StatusBadRequest)
 		} else {
-			left := r.deadline.Sub(r.since)
-			assert.Assert(t, left > 0 && left <= longestTimeout, "%s", left)
+			left := r.deadline.Sub(r.receivedAt)
+			assert.Assert(t, left > 0 && left <= maxTimeout, "%s", left)
 		}
 		got, prob := readPipelineRequest(&ctx, true, "quote")
 		if prob != nil {
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -16,7 +16,7 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// Paths of the callers' interface.
+// Paths of the API.
 const (
 	pathEntries   = "/v1/entries"
 	pathPipelines = "/v1/pipelines/"
@@ -32,24 +32,24 @@
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	s.answer(ctx)
-	if s.leaving.Load() { // also where the leave began meanwhile
+	s.route(ctx)
+	if s.shuttingDown.Load() { // also if the shutdown began during the request
 		ctx.SetConnectionClose()
 	}
 }
 
-func (s *Server) answer(ctx *fasthttp.RequestCtx) {
+func (s *Server) route(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
 	case path == pathEntries:
 		s.serveEntries(ctx)
 	case strings.HasPrefix(path, pathPipelines):
-		s.callers.Add(1)
-		defer s.callers.Add(-1)
+		s.callerRequests.Add(1)
+		defer s.callerRequests.Add(-1)
 		s.servePipeline(ctx, strings.TrimPrefix(path, pathPipelines))
 	case strings.HasPrefix(path, pathServices):
-		s.callers.Add(1)
-		defer s.callers.Add(-1)
+		s.callerRequests.Add(1)
+		defer s.callerRequests.Add(-1)
 		s.serveService(ctx, strings.TrimPrefix(path, pathServices))
 	case strings.HasPrefix(path, pathAdmin):
 		s.serveAdmin(ctx, strings.TrimPrefix(path, pathAdmin))
@@ -66,42 +66,42 @@
 
 func (s *Server) serveReady(ctx *fasthttp.RequestCtx) {
 	switch {
-	case s.leaving.Load():
+	case s.shuttingDown.Load():
 		ctx.Error("leaving\n", fasthttp.StatusServiceUnavailable)
-	case !s.ready() || !s.certain.isSettled():
+	case !s.ready() || !s.executions.hasJoined():
 		ctx.Error("starting\n", fasthttp.StatusServiceUnavailable)
 	default:
 		ctx.SetBodyString("ready\n")
 	}
 }
 
-// ready says that the configuration and the targets are known.
-func (s *Server) ready() bool { return s.keeper.Known() && s.vms.known() }
+// ready reports whether the configuration and the targets are known.
+func (s *Server) ready() bool { return s.keeper.Known() && s.vms.loaded() }
 
 const (
-	// readyWait is how long a request waits for a VM that starts, or that stood
-	// still and finds out what was changed meanwhile. Peers name a VM to callers
-	// as soon as they see it, a moment before it is ready.
-	readyWait = 2 * time.Second
-	readyPoll = 10 * time.Millisecond
+	// readyTimeout is how long a request waits for a VM that is starting, or
+	// that was frozen and is catching up on changes. Peers give a VM's address
+	// to callers as soon as they see it, slightly before it is ready.
+	readyTimeout      = 2 * time.Second
+	readyPollInterval = 10 * time.Millisecond
 )
 
 func (s *Server) awaitReady() bool {
-	until := time.Now().Add(readyWait)
-	if !s.keeper.Await(readyWait) {
+	until := time.Now().Add(readyTimeout)
+	if !s.keeper.Await(readyTimeout) {
 		return false
 	}
-	for !s.vms.known() {
+	for !s.vms.loaded() {
 		if time.Now().After(until) {
 			return false
 		}
-		time.Sleep(readyPoll)
+		time.Sleep(readyPollInterval)
 	}
 	return true
 }
 
-// refuseUnreadable answers what fasthttp could not read as a request.
-func refuseUnreadable(ctx *fasthttp.RequestCtx, err error) {
+// writeUnreadable responds to input that fasthttp could not parse as a request.
+func writeUnreadable(ctx *fasthttp.RequestCtx, err error) {
 	var small *fasthttp.ErrSmallBuffer
 	p := problem.New(400, "unreadable", "Not a readable HTTP request", "The request could not be parsed.", problem.NotRun)
 	switch {
@@ -140,27 +140,27 @@
 	return raw
 }
 
-// received is what every request of a caller has.
-type received struct {
-	id       string
-	since    time.Time
-	deadline time.Time
+// requestInfo holds the data that every caller's request has.
+type requestInfo struct {
+	id         string
+	receivedAt time.Time
+	deadline   time.Time
 }
 
 const (
 	defaultTimeout = 4 * time.Second
-	longestTimeout = 10 * time.Minute
+	maxTimeout     = 10 * time.Minute
 )
 
-// receive reads what every request has. The identity is made here: a caller's
-// own is not trusted to be unique.
-func receive(ctx *fasthttp.RequestCtx, fallback time.Duration) (received, *problem.Problem) {
+// readRequestInfo reads the data that every request has. The request ID is
+// generated here, because an ID from the caller might not be unique.
+func readRequestInfo(ctx *fasthttp.RequestCtx, fallback time.Duration) (requestInfo, *problem.Problem) {
 	now := time.Now()
-	r := received{id: uuid.NewString(), since: now}
+	r := requestInfo{id: uuid.NewString(), receivedAt: now}
 	timeout := fallback
 	if raw := ctx.Request.Header.Peek(headerTimeout); len(raw) > 0 {
 		ms, err := strconv.ParseInt(string(raw), 10, 64)
-		if err != nil || ms <= 0 || ms > longestTimeout.Milliseconds() {
+		if err != nil || ms <= 0 || ms > maxTimeout.Milliseconds() {
 			p := problem.New(400, "bad-timeout", "Bad "+headerTimeout,
 				headerTimeout+" must be a number of milliseconds from 1 to 600000.", problem.NotRun)
 			p.RequestID = r.id
@@ -172,11 +172,11 @@
 	return r, nil
 }
 
-// refuse answers with a problem and logs it.
-func (s *Server) refuse(ctx *fasthttp.RequestCtx, r received, customer string, p *problem.Problem) {
+// refuse responds with a problem, logs it and counts it.
+func (s *Server) refuse(ctx *fasthttp.RequestCtx, r requestInfo, customer string, p *problem.Problem) {
 	p.RequestID = r.id
 	s.log.Info("Request not served.", logging.RequestID(r.id), zap.String("customer", customer),
 		zap.Int("status", p.Status), zap.String("title", p.Title), zap.String("execution", string(p.Execution)))
-	s.observer.refused(customer, p)
+	s.observer.recordRefused(customer, p)
 	writeProblem(ctx, p)
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -35,62 +35,63 @@
 	maxAnswerBytes = 16 << 20
 	readTimeout    = 10 * time.Second
 	idleTimeout    = 60 * time.Second
-	// snapshotPeriods is how many reads of the table come between two looks at
-	// the snapshot.
-	snapshotPeriods = 5
+	// readsPerSnapshot is how many reads of the table there are per check of
+	// the configuration snapshot.
+	readsPerSnapshot = 5
 )
 
-// Server is one entry process.
+// Server is an entry process.
 type Server struct {
 	opts Options
 	log  *zap.Logger
 
-	keeper    *inforce.Keeper
-	targets   *directory.Table
-	client    *target.Client
-	customers *limit.Customers
-	gates     gates
-	executor  *pipeline.Executor
-	prefixes  *prefix.Index // nil without affinity
-	claims    *claim.Claims
-	changes   *change.Submitter
-	hangups   *hangup.Watcher
-	suspects  *suspicion
-	observer  *observer
-	stops     *stops
-	certain   *certainty
-	vms       vmView
-	keys      keyIndex
-	health    *health
+	keeper     *inforce.Keeper
+	targets    *directory.Table
+	client     *target.Client
+	customers  *limit.Customers
+	limiters   limiters
+	executor   *pipeline.Executor
+	prefixes   *prefix.Index // nil without affinity
+	claims     *claim.Claims
+	changes    *change.Submitter
+	hangups    *hangup.Watcher
+	suspects   *suspicion
+	observer   *observer
+	stops      *stops
+	executions *executionChecker
+	vms        vmView
+	keys       keyIndex
+	health     *storeHealth
 
-	http     *fasthttp.Server
-	listener net.Listener
-	port     *idle.Listener // the listener as http has it
-	// inFlight counts all requests, callers those of pipelines and services.
-	inFlight atomic.Int64
-	callers  atomic.Int64
-	leaving  atomic.Bool
-	// loops ends when the background work has to.
-	loops     context.Context
+	http         *fasthttp.Server
+	listener     net.Listener
+	idleListener *idle.Listener // listener as http uses it
+	// inFlight counts all requests, callerRequests only those to pipelines and
+	// services.
+	inFlight       atomic.Int64
+	callerRequests atomic.Int64
+	shuttingDown   atomic.Bool
+	// loopCtx is cancelled to end the background loops.
+	loopCtx   context.Context
 	stopLoops context.CancelFunc
 }
 
-// New wires a Server. Call before the network starts.
+// New builds a Server. It must be called before the peer network starts.
 func New(opts Options) (*Server, error) {
 	policy, err := routing.New(opts.Policy.Routing)
 	if err != nil {
 		return nil, eris.Wrap(err, "entry")
 	}
-	health := newHealth()
-	opts.Table = watchedTable{Table: opts.Table, health: health}
-	opts.Objects = watchedObjects{ObjectStore: opts.Objects, health: health}
-	opts.VMs = watchedVMs{VMList: opts.VMs, health: health}
+	health := newStoreHealth()
+	opts.Table = monitoredTable{Table: opts.Table, health: health}
+	opts.Objects = monitoredObjects{ObjectStore: opts.Objects, health: health}
+	opts.VMs = monitoredVMs{VMList: opts.VMs, health: health}
 	s := &Server{opts: opts, log: logging.Part(opts.Log, "entry"), health: health}
-	s.loops, s.stopLoops = context.WithCancel(context.Background())
+	s.loopCtx, s.stopLoops = context.WithCancel(context.Background())
 	s.keeper = inforce.New(inforce.Options{
 		Table: opts.Table, Objects: opts.Objects, Network: opts.Network,
-		Log: logging.Part(opts.Log, "config"), Period: opts.ConfigPeriod, SnapshotPeriod: snapshotPeriods * opts.ConfigPeriod,
-		AskToo: func(ctx context.Context, of peer.Incarnation) { s.stops.learn(ctx, of) },
+		Log: logging.Part(opts.Log, "config"), Period: opts.ConfigPeriod, SnapshotPeriod: readsPerSnapshot * opts.ConfigPeriod,
+		AskToo: func(ctx context.Context, of peer.Incarnation) { s.stops.fetchFrom(ctx, of) },
 	})
 	s.targets = directory.New(directory.Options{
 		Node: string(opts.Network.Self().Incarnation), Zone: opts.Zone, Policy: policy,
@@ -99,14 +100,14 @@
 	})
 	s.client = target.NewClient(maxAnswerBytes)
 	s.customers = limit.NewCustomers(opts.Policy.split())
-	s.gates = gates{open: opts.Policy.NoAdmission, byName: map[string]*limit.ConcurrencyLimiter{}}
+	s.limiters = limiters{unlimited: opts.Policy.NoAdmission, byName: map[string]*limit.ConcurrencyLimiter{}}
 	s.claims = claim.New(opts.Table, opts.Objects)
 	s.changes = change.New(opts.Table, s.keeper.State)
 	s.hangups = hangup.New(errCallerLeft)
 	s.suspects = newSuspicion(s)
 	s.observer = newObserver(s)
 	s.stops = newStops(s)
-	s.certain = newCertainty(s)
+	s.executions = newExecutionChecker(s)
 	s.executor = &pipeline.Executor{
 		Targets: s.targets, Client: s.client, Budgets: &retry.Budgets{Unlimited: opts.Policy.RetryWithoutBudget},
 		Latencies: pipeline.NewLatencyTracker(), Observer: s.observer, Suspicion: s.suspects,
@@ -115,10 +116,10 @@
 		s.prefixes = prefix.New(s.observer.rates.PromptTokenTime)
 		s.executor.Prefixes = s.prefixes
 	}
-	s.keeper.OnChange(func(state *config.State) { s.stops.inForce(state) })
-	opts.Network.Handle(methodStatus, s.answerStatus)
-	opts.Network.Handle(methodVMs, s.answerVMs)
-	opts.Network.Handle(methodStops, s.stops.answer)
+	s.keeper.OnChange(func(state *config.State) { s.stops.onConfigChange(state) })
+	opts.Network.Handle(methodStatus, s.handleStatus)
+	opts.Network.Handle(methodVMs, s.handleVMs)
+	opts.Network.Handle(methodStops, s.stops.handleStops)
 	return s, nil
 }
 
@@ -132,17 +133,17 @@
 	return nil
 }
 
-// Run serves until the context ends, then leaves without cutting a request.
+// Run serves until ctx ends, then shuts down gracefully.
 func (s *Server) Run(ctx context.Context) error {
-	s.prepare(s.handle)
+	s.buildHTTPServer(s.handle)
 	defer s.stopLoops()
 	var background sync.WaitGroup
-	s.startLoops(s.loops, &background)
+	s.startLoops(s.loopCtx, &background)
 	group, groupCtx := errgroup.WithContext(ctx)
 	group.Go(s.serve)
 	group.Go(func() error {
 		<-groupCtx.Done()
-		return s.leave()
+		return s.shutdown()
 	})
 	err := group.Wait()
 	s.stopLoops()
@@ -150,9 +151,9 @@
 	return err
 }
 
-// prepare makes what serves the port.
-func (s *Server) prepare(handler fasthttp.RequestHandler) {
-	s.port = &idle.Listener{
+// buildHTTPServer creates the HTTP server and its listener.
+func (s *Server) buildHTTPServer(handler fasthttp.RequestHandler) {
+	s.idleListener = &idle.Listener{
 		Listener: &accept.Listener{Listener: s.listener, Log: s.log},
 		Time:     func() time.Duration { return idleTimeout },
 	}
@@ -167,23 +168,23 @@
 		NoDefaultServerHeader: true,
 		NoDefaultDate:         true,
 		CloseOnShutdown:       true,
-		ErrorHandler:          refuseUnreadable,
-		Logger:                quietLogger{},
+		ErrorHandler:          writeUnreadable,
+		Logger:                discardLogger{},
 	}
 }
 
 func (s *Server) serve() error {
 	s.log.Info("Serving.", zap.String("address", s.listener.Addr().String()), zap.String("zone", s.opts.Zone))
 	if s.opts.TLS != nil {
-		return eris.Wrap(s.http.ServeTLS(s.port, "", ""), "entry: serve")
+		return eris.Wrap(s.http.ServeTLS(s.idleListener, "", ""), "entry: serve")
 	}
-	return eris.Wrap(s.http.Serve(s.port), "entry: serve")
+	return eris.Wrap(s.http.Serve(s.idleListener), "entry: serve")
 }
 
 func (s *Server) startLoops(ctx context.Context, wait *sync.WaitGroup) {
 	loops := []func(context.Context){
 		s.keeper.Run, s.keeper.RunSnapshots, s.claims.Run, s.hangups.Run,
-		s.runVMList, s.runProbes, s.runDemands, s.runCacheEvents, s.certain.run, s.observer.run, s.stops.run,
+		s.pollVMList, s.runProbes, s.runDemands, s.runCacheEvents, s.executions.run, s.observer.run, s.stops.run,
 	}
 	for _, loop := range loops {
 		wait.Go(func() { loop(ctx) })
@@ -191,49 +192,52 @@
 }
 
 const (
-	// newsMargin is how long after the announcement some peer may still name
-	// this VM to a caller.
-	newsMargin = time.Second
-	// leaveTimeout bounds a planned leave. Requests still running then are older
-	// than any deadline.
-	leaveTimeout = longestTimeout + time.Minute
-	// drainTimeout bounds the recording of outcomes after the last request. An
-	// outage of the table service may last, and the VM has to go.
+	// propagationMargin is how long after the shutdown announcement a peer may
+	// still give this VM's address to a caller.
+	propagationMargin = time.Second
+	// shutdownTimeout bounds a graceful shutdown. It exceeds every request's
+	// deadline, so requests that are still running then are past theirs.
+	shutdownTimeout = maxTimeout + time.Minute
+	// drainTimeout bounds how long outcomes are recorded after the last
+	// request. An outage of the table service may last longer than the VM can
+	// wait.
 	drainTimeout = time.Minute
 )
 
-// leave is the graceful shutdown. First this VM drops out of what callers and
-// peers are told. It goes on serving those that hold an old answer until that
-// has run out, then stops listening and lets the last requests end.
-func (s *Server) leave() error {
-	s.leaving.Store(true)
+// shutdown performs a graceful shutdown. First this VM's address is no longer
+// given to callers and peers. It keeps serving callers that cached the address
+// until their cache has expired, then stops listening and waits for the last
+// requests.
+func (s *Server) shutdown() error {
+	s.shuttingDown.Store(true)
 	s.log.Info("Leaving.", zap.Int64("in_flight", s.inFlight.Load()))
-	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	s.announceLeave(ctx)
-	s.waitForOldCallers(ctx)
+	s.announceShutdown(ctx)
+	s.waitForEntriesTTL(ctx)
 	err := s.closePort(ctx)
-	s.waitForLast(ctx)
-	drainCtx, drained := context.WithTimeout(ctx, drainTimeout)
-	defer drained()
+	s.waitForRequests(ctx)
+	drainCtx, cancelDrain := context.WithTimeout(ctx, drainTimeout)
+	defer cancelDrain()
 	if drainErr := s.claims.Drain(drainCtx); drainErr != nil {
-		s.log.Warn("Outcomes not recorded.", zap.Error(drainErr))
+		s.log.Warn("Not all outcomes were recorded.", zap.Error(drainErr))
 	}
 	s.observer.flush(ctx)
 	s.log.Info("Left.", zap.Int64("in_flight", s.inFlight.Load()))
 	return eris.Wrap(err, "entry: shutdown")
 }
 
-// closePort stops listening and closes connections as they fall idle.
+// closePort stops listening and closes connections as they become idle.
 func (s *Server) closePort(ctx context.Context) error {
-	s.port.Drain(ctx)
+	s.idleListener.Drain(ctx)
 	return s.http.ShutdownWithContext(ctx)
 }
 
-// waitForOldCallers waits until the last answer of /v1/entries that named this
-// VM has run out, also one that a peer gave before it heard of the leave.
-func (s *Server) waitForOldCallers(ctx context.Context) {
-	timer := time.NewTimer(s.opts.EntriesTTL + newsMargin)
+// waitForEntriesTTL waits until the last response of /v1/entries with this VM's
+// address has expired, including one that a peer gave before it received the
+// announcement.
+func (s *Server) waitForEntriesTTL(ctx context.Context) {
+	timer := time.NewTimer(s.opts.EntriesTTL + propagationMargin)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -241,35 +245,35 @@
 	}
 }
 
-const lastPoll = 10 * time.Millisecond
+const drainPollInterval = 10 * time.Millisecond
 
-func (s *Server) waitForLast(ctx context.Context) {
+func (s *Server) waitForRequests(ctx context.Context) {
 	for s.inFlight.Load() > 0 && ctx.Err() == nil {
-		time.Sleep(lastPoll)
+		time.Sleep(drainPollInterval)
 	}
 }
 
-// gates holds a gate for each pipeline and service.
-type gates struct {
-	open   bool
-	mu     sync.Mutex // guards byName; a leaf
-	byName map[string]*limit.ConcurrencyLimiter
+// limiters holds a concurrency limiter for each pipeline and service.
+type limiters struct {
+	unlimited bool
+	mu        sync.Mutex // guards byName; no other lock is taken under it
+	byName    map[string]*limit.ConcurrencyLimiter
 }
 
-func (g *gates) of(name string) *limit.ConcurrencyLimiter {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	gate := g.byName[name]
-	if gate == nil {
-		gate = limit.NewConcurrencyLimiter(g.open)
-		g.byName[name] = gate
+func (l *limiters) get(name string) *limit.ConcurrencyLimiter {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	limiter := l.byName[name]
+	if limiter == nil {
+		limiter = limit.NewConcurrencyLimiter(l.unlimited)
+		l.byName[name] = limiter
 	}
-	return gate
+	return limiter
 }
 
-// quietLogger drops fasthttp's own lines: each is one caller's broken
-// connection, and refuseUnreadable answers what can be answered.
-type quietLogger struct{}
+// discardLogger drops fasthttp's own log lines. Each is about one caller's
+// broken connection, and writeUnreadable answers those that can be answered.
+type discardLogger struct{}
 
-// Printf is part of fasthttp.Logger.
-func (quietLogger) Printf(string, ...any) {}
+// Printf implements fasthttp.Logger.
+func (discardLogger) Printf(string, ...any) {}
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -14,15 +14,16 @@
 	"github.com/vanillagate/vanillagate/internal/listentest"
 )
 
-// For a moment the process has no descriptor left for one more connection. If
-// that ended the listener, the whole VM would leave, or refuse callers for good.
-func TestALackOfDescriptorsEndsNoListener(t *testing.T) {
+// The process briefly has no file descriptor left for another connection. If
+// that error ended the listener, the VM would shut down or refuse callers for
+// good.
+func TestListenerSurvivesDescriptorExhaustion(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	s := &Server{
 		log: zap.NewNop(), listener: listentest.NewTroubled(listener, 3),
 	}
-	s.prepare(func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("served") })
+	s.buildHTTPServer(func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("served") })
 	ended := make(chan error, 1)
 	go func() { ended <- s.serve() }()
 	client := http.Client{Timeout: 2 * time.Second}
@@ -33,14 +34,15 @@
 	assert.NilError(t, <-ended)
 }
 
-// Callers use kept connections once more, and right after that the port closes. What
-// has come by then has to be answered; its callers can't know that nobody read it.
-func TestWhatHasComeByTheEndIsAnswered(t *testing.T) {
+// Callers reuse keep-alive connections right before the port closes. Requests
+// that arrived by then must be answered, because their callers can't know that
+// nobody read them.
+func TestRequestsReceivedBeforeCloseAreAnswered(t *testing.T) {
 	const callers = 200
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	s := &Server{log: zap.NewNop(), listener: listener}
-	s.prepare(func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("served") })
+	s.buildHTTPServer(func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("served") })
 	ended := make(chan error, 1)
 	go func() { ended <- s.serve() }()
 	kept := listentest.Again(t, listener.Addr().String(), callers)
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -22,36 +22,36 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-const maxKeyBytes = 200
+const maxIdempotencyKeyBytes = 200
 
-// serviceCall is one call of a plain service.
+// serviceCall is a call of a plain service.
 type serviceCall struct {
 	call
-	service config.Service
-	pool    config.Pool
-	route   config.Route
-	method  string
-	path    string // escaped, with query, below the service's name
-	key     string
-	body    []byte
-	header  string // the body's content type
-
-	attempts int
-	failed   []string
-	sent     bool
+	service     config.Service
+	pool        config.Pool
+	route       config.Route
+	method      string
+	path        string // escaped, with query, relative to the service
+	key         string
+	body        []byte
+	contentType string // content type of the body
+
+	attempts      int
+	failedTargets []string
+	mayHaveRun    bool
 }
 
 func (s *Server) serveService(ctx *fasthttp.RequestCtx, rest string) {
-	r, prob := receive(ctx, defaultTimeout)
-	refusal := refused{
+	r, prob := readRequestInfo(ctx, defaultTimeout)
+	refusal := refusedSubmission{
 		requestID: r.id, key: string(ctx.Request.Header.Peek(targetapi.HeaderIdempotencyKey)),
-		first: string(ctx.Request.Header.Peek(headerRetryAttempt)) == firstAttempt,
+		firstSubmission: string(ctx.Request.Header.Peek(headerRetryAttempt)) == firstAttempt,
 	}
 	if prob != nil {
 		s.refuseService(ctx, r, refusal, prob)
 		return
 	}
-	contract, prob := s.contractOf(ctx)
+	contract, prob := s.authenticateCaller(ctx)
 	if prob != nil {
 		s.refuseService(ctx, r, refusal, prob)
 		return
@@ -62,11 +62,11 @@
 		s.refuseService(ctx, r, refusal, prob)
 		return
 	}
-	sc.received = r
+	sc.requestInfo = r
 	sc.contract = contract
 	ctx.Response.Header.Set(targetapi.HeaderRequestID, r.id)
 	if sc.route.NonIdempotent {
-		s.serveOnce(ctx, sc, refusal)
+		s.serveNonIdempotent(ctx, sc, refusal)
 		return
 	}
 	answer, prob := s.runService(ctx, sc)
@@ -77,31 +77,32 @@
 	s.answerService(ctx, sc, answer)
 }
 
-// serveOnce notes the submission before anything can come of it, so that peers
-// that are asked about its key learn that it is under way.
-func (s *Server) serveOnce(ctx *fasthttp.RequestCtx, sc *serviceCall, refusal refused) {
-	refusal.submission = s.certain.memory.Begin(submissions.KeyOf(refusal.customer, refusal.key))
+// serveNonIdempotent records the submission before anything else, so that peers
+// asking about its key learn that it is in progress.
+func (s *Server) serveNonIdempotent(ctx *fasthttp.RequestCtx, sc *serviceCall, refusal refusedSubmission) {
+	refusal.submission = s.executions.history.Begin(submissions.KeyOf(refusal.customer, refusal.key))
 	var answer *target.Answer
-	prob := s.mayBegin(ctx, sc)
+	prob := s.checkStillWanted(ctx, sc)
 	if prob == nil {
 		answer, prob = s.runService(ctx, sc)
 	}
-	defer refusal.submission.End(sc.sent, time.Now())
+	defer refusal.submission.End(sc.mayHaveRun, time.Now())
 	if prob != nil {
-		s.refuseService(ctx, sc.received, refusal, prob)
+		s.refuseService(ctx, sc.requestInfo, refusal, prob)
 		return
 	}
 	s.answerService(ctx, sc, answer)
 }
 
-// mayBegin refuses a submission that nobody stands behind any more. A process
-// that was frozen reads what came meanwhile; the caller may have given up and
-// have been told elsewhere, by VMs that could not ask this one or asked it just
-// before it read, that the key has not run.
-func (s *Server) mayBegin(ctx *fasthttp.RequestCtx, sc *serviceCall) *problem.Problem {
-	if !s.certain.waitSettled(sc.deadline) {
+// checkStillWanted waits until the peers know this process, then refuses a
+// submission whose caller has disconnected. A process that was frozen reads
+// requests that arrived meanwhile. Their callers may have been told by another
+// VM that the key has not run: that VM could not ask this process, or asked it
+// just before it read the request.
+func (s *Server) checkStillWanted(ctx *fasthttp.RequestCtx, sc *serviceCall) *problem.Problem {
+	if !s.executions.waitJoined(sc.deadline) {
 		return problem.New(503, "starting", "Starting", "This VM is not known to the others yet.", problem.NotRun).
-			WithRetryAfter(startingRetry)
+			WithRetryAfter(startingRetryAfter)
 	}
 	if socket.Peek(ctx.Conn()) == socket.Closed {
 		return problem.New(499, "caller-left", "The caller left", "The connection was closed.", problem.NotRun)
@@ -117,8 +118,8 @@
 }
 
 // headerRetryAttempt counts a caller's submissions under one key. A caller that
-// sends firstAttempt says that there was none before, so that a refusal is told
-// as "not run" without a look around.
+// sends firstAttempt states that there was no earlier one, so a refusal can be
+// reported as "not run" without checking.
 const (
 	headerRetryAttempt = "Retry-Attempt"
 	firstAttempt       = "0"
@@ -126,11 +127,11 @@
 
 const earlierMayHaveRun = " An earlier submission under this Idempotency-Key may have run."
 
-// refuseService refuses a call, and says "not run" only where that is certain
-// of its Idempotency-Key and not of this submission alone.
-func (s *Server) refuseService(ctx *fasthttp.RequestCtx, r received, refusal refused, prob *problem.Problem) {
+// refuseService refuses a call. It reports "not run" only if that is certain
+// for all submissions of its Idempotency-Key, not just for this one.
+func (s *Server) refuseService(ctx *fasthttp.RequestCtx, r requestInfo, refusal refusedSubmission, prob *problem.Problem) {
 	if prob.Execution == problem.NotRun {
-		prob.Execution = s.certain.execution(refusal)
+		prob.Execution = s.executions.executionOf(refusal)
 		if prob.Execution != problem.NotRun {
 			prob.Detail += earlierMayHaveRun
 		}
@@ -156,7 +157,7 @@
 		return nil, problem.New(400, "no-key", "Idempotency-Key is missing",
 			"This route runs at most once and needs an Idempotency-Key.", problem.NotRun)
 	}
-	if len(key) > maxKeyBytes {
+	if len(key) > maxIdempotencyKeyBytes {
 		return nil, problem.New(400, "long-key", "Idempotency-Key is too long", "At most 200 bytes are taken.", problem.NotRun)
 	}
 	path = escapePath(path)
@@ -166,7 +167,7 @@
 	return &serviceCall{
 		call: call{name: name}, service: service, pool: state.Pools[service.Pool], route: route,
 		method: string(ctx.Method()), path: path, key: key,
-		body: append([]byte(nil), ctx.PostBody()...), header: string(ctx.Request.Header.ContentType()),
+		body: append([]byte(nil), ctx.PostBody()...), contentType: string(ctx.Request.Header.ContentType()),
 	}, nil
 }
 
@@ -174,10 +175,11 @@
 	runCtx, cancel := context.WithDeadline(context.Background(), sc.deadline)
 	defer cancel()
 	if !sc.route.NonIdempotent {
-		// Only what may run again is cancelled when its caller hangs up: a
-		// booking that was sent is brought to its end and recorded.
-		watchCtx, watched := s.hangups.Watch(runCtx, ctx.Conn())
-		defer watched()
+		// Only idempotent calls are cancelled when the caller disconnects. A
+		// non-idempotent call that was sent runs to its end, and its outcome is
+		// recorded.
+		watchCtx, stopWatching := s.hangups.Watch(runCtx, ctx.Conn())
+		defer stopWatching()
 		runCtx = watchCtx
 	}
 	a, prob := s.admit(runCtx, &sc.call)
@@ -185,56 +187,59 @@
 		return nil, prob
 	}
 	if a == nil {
-		return nil, leftProblem(runCtx, problem.NotRun)
+		return nil, interruptedProblem(runCtx, problem.NotRun)
 	}
 	var answer *target.Answer
 	if sc.route.NonIdempotent {
-		answer, prob = s.runOnce(runCtx, sc)
+		answer, prob = s.runNonIdempotent(runCtx, sc)
 	} else {
-		answer, prob = s.dispatch(runCtx, sc, sending{})
+		answer, prob = s.dispatch(runCtx, sc, sendConditions{})
 	}
 	a.end(0, prob == nil)
 	return answer, prob
 }
 
-// claimTerm is the longest time between the moment when peers could last see a
-// submission under way and its sending. It is shorter than they take to hold a
-// silent process for dead: what such a process had under way is then over,
-// whether it died, was frozen, or lost sight of its peers alone.
-const claimTerm = 3 * time.Second
-
-// seenAt is when peers could last see the submission under way: when it came, or
-// now, where it has waited for its turn and they all answer.
-func (s *Server) seenAt(sc *serviceCall) (time.Time, bool) {
+// sendWindow is the longest time from when peers could last see a submission in
+// progress until it is sent. It is shorter than the time after which peers
+// consider a silent process dead. Once they do, none of that process's
+// submissions can still be sent, whether it died, was frozen or was
+// partitioned.
+const sendWindow = 3 * time.Second
+
+// lastVisibleToPeers returns when peers could last see that the submission is
+// in progress: its arrival, or the current time if it was queued for long. In
+// the latter case the result is false unless all peers answer.
+func (s *Server) lastVisibleToPeers(sc *serviceCall) (time.Time, bool) {
 	now := time.Now()
-	if now.Sub(sc.since) < claimTerm/2 {
-		return sc.since, true
+	if now.Sub(sc.receivedAt) < sendWindow/2 {
+		return sc.receivedAt, true
 	}
-	return now, s.certain.knownToAll()
+	return now, s.executions.knownToAllPeers()
 }
 
-// runOnce has a non-idempotent call claimed, sent, and its outcome recorded.
-func (s *Server) runOnce(ctx context.Context, sc *serviceCall) (*target.Answer, *problem.Problem) {
-	began, seen := s.seenAt(sc)
-	if !seen {
-		return nil, lateClaim()
+// runNonIdempotent claims a non-idempotent call, sends it and records its
+// outcome.
+func (s *Server) runNonIdempotent(ctx context.Context, sc *serviceCall) (*target.Answer, *problem.Problem) {
+	visibleAt, visible := s.lastVisibleToPeers(sc)
+	if !visible {
+		return nil, lateClaimProblem()
 	}
 	out := s.claims.ClaimOrWait(ctx, claim.Request{
 		Identity:  claim.Identity{Customer: sc.contract.Customer, IdempotencyKey: sc.key},
 		RequestID: sc.id, Incarnation: s.opts.Network.Self().Incarnation,
 		Fingerprint: claim.FingerprintOf(sc.method, sc.name+sc.path, sc.body),
-	}, s.lives)
+	}, s.processAlive)
 	if out.Result != claim.Claimed {
-		return replay(out)
+		return claimResponse(out)
 	}
-	limit := began.Add(claimTerm)
-	if time.Now().After(limit) {
+	sendBefore := visibleAt.Add(sendWindow)
+	if time.Now().After(sendBefore) {
 		s.claims.ReleaseAsync(out.Grant)
-		return nil, lateClaim()
+		return nil, lateClaimProblem()
 	}
-	// The client looks at the limit again right before it sends: the process
-	// may be frozen in between.
-	answer, prob := s.dispatch(ctx, sc, sending{token: uint64(out.Grant.Token), before: limit})
+	// The client checks the time limit again right before it sends, because the
+	// process may be frozen in between.
+	answer, prob := s.dispatch(ctx, sc, sendConditions{token: uint64(out.Grant.Token), notAfter: sendBefore})
 	switch {
 	case prob == nil:
 		s.claims.FinishAsync(out.Grant, claim.Answer{
@@ -246,67 +251,70 @@
 	return answer, prob
 }
 
-// lives says that a process is not known to be dead.
-func (s *Server) lives(process peer.Incarnation) bool {
+// processAlive reports whether a process is not known to be dead.
+func (s *Server) processAlive(process peer.Incarnation) bool {
 	if process == s.opts.Network.Self().Incarnation {
 		return true
 	}
 	return slices.ContainsFunc(s.opts.Network.Members(), func(m peer.Member) bool { return m.Incarnation == process })
 }
 
-// lateClaim refuses a submission that got its claim after its term.
-func lateClaim() *problem.Problem {
+// lateClaimProblem is for a submission whose claim came after the send window.
+func lateClaimProblem() *problem.Problem {
 	return problem.New(503, "late-claim", "Claimed too late",
-		"The claim came too late to send the request under it.", problem.NotRun).WithRetryAfter(claimRetry)
+		"The claim came too late to send the request under it.", problem.NotRun).WithRetryAfter(claimRetryAfter)
 }
 
-// sending is what a non-idempotent call is sent under; zero for others.
-type sending struct {
-	token  uint64    // fencing token
-	before time.Time // not to be sent later
+// sendConditions are the conditions for sending a non-idempotent call; the zero
+// value is for other calls.
+type sendConditions struct {
+	token    uint64    // fencing token
+	notAfter time.Time // latest time to send
 }
 
-// claimRetry is when to come back after the store gave no answer or another
-// try under the same key is under way.
-const claimRetry = time.Second
+// claimRetryAfter is the Retry-After if the store did not answer or another
+// submission of the same key is in progress.
+const claimRetryAfter = time.Second
 
-// replay answers a request that may not be sent.
-func replay(out claim.Outcome) (*target.Answer, *problem.Problem) {
+// claimResponse returns the response to a request that got no claim and must
+// not be sent: the recorded answer of an earlier submission, or a problem.
+func claimResponse(out claim.Outcome) (*target.Answer, *problem.Problem) {
 	switch {
 	case out.Result == claim.Taken && out.Answer != nil:
 		return &target.Answer{Status: out.Answer.Status, ContentType: out.Answer.ContentType, Body: out.Answer.Body}, nil
 	case out.Result == claim.Taken && out.Finished:
 		return nil, problem.New(503, "outcome-unread", "The outcome can't be read",
-			"The request ran; its recorded answer can't be read now.", problem.Ran).WithRetryAfter(claimRetry)
+			"The request ran; its recorded answer can't be read now.", problem.Ran).WithRetryAfter(claimRetryAfter)
 	case out.Result == claim.Taken:
 		return nil, problem.New(409, "under-way", "Already under way",
 			"A request with this Idempotency-Key was sent before and has no recorded outcome.", problem.Unknown).
-			WithRetryAfter(claimRetry)
+			WithRetryAfter(claimRetryAfter)
 	case out.Result == claim.Mismatch:
 		return nil, problem.New(422, "key-reused", "Idempotency-Key belongs to another request",
 			"Another request came under this key; this one was not sent.", problem.NotRun)
 	default:
-		return nil, storeProblem(out)
+		return nil, claimStoreProblem(out)
 	}
 }
 
-// storeProblem: this request was not sent. Whether an earlier one under the key
-// ran is looked into before the caller is told.
-func storeProblem(out claim.Outcome) *problem.Problem {
+// claimStoreProblem is for a request that was not sent because the store could
+// not be asked. Before the caller is told so, refuseService checks whether an
+// earlier submission of the key ran.
+func claimStoreProblem(out claim.Outcome) *problem.Problem {
 	detail := "The table service can't be asked whether the request ran before; it was not sent now."
 	if out.Result == claim.Unknown {
 		detail = "The table service gave no answer to the claim; the request was not sent."
 	}
-	return problem.New(503, "no-claim", "Can't be claimed", detail, problem.NotRun).WithRetryAfter(claimRetry)
+	return problem.New(503, "no-claim", "Can't be claimed", detail, problem.NotRun).WithRetryAfter(claimRetryAfter)
 }
 
-// dispatch sends the call: again elsewhere only where the route allows it or
-// the try certainly did not run.
-func (s *Server) dispatch(ctx context.Context, sc *serviceCall, under sending) (*target.Answer, *problem.Problem) {
+// dispatch sends the call. It retries at another target only if the route is
+// idempotent or the attempt certainly did not run.
+func (s *Server) dispatch(ctx context.Context, sc *serviceCall, conditions sendConditions) (*target.Answer, *problem.Problem) {
 	budget := retry.BudgetKey{Customer: sc.contract.Customer, Pool: sc.service.Pool}
 	s.executor.Budgets.For(budget).RecordFirstTry()
 	for {
-		answer, failure := s.try(ctx, sc, under)
+		answer, failure := s.attempt(ctx, sc, conditions)
 		if failure == nil {
 			s.executor.Budgets.For(budget).RecordSuccess()
 			return answer, nil
@@ -316,18 +324,18 @@
 			NotRun: failure.Execution == problem.NotRun, Remaining: time.Until(sc.deadline),
 		})
 		if verdict != retry.Retry || ctx.Err() != nil || failure.Kind == target.FailedTimeout {
-			return nil, sc.giveUp(ctx, string(verdict), failure)
+			return nil, sc.finalProblem(ctx, string(verdict), failure)
 		}
 		if failure.Kind != target.FailedConnect && !s.executor.Budgets.Allow(budget, time.Now()) {
-			return nil, sc.giveUp(ctx, "retry budget is used up", failure)
+			return nil, sc.finalProblem(ctx, "retry budget is used up", failure)
 		}
 	}
 }
 
 var errNoTarget = errors.New("entry: no target in use")
 
-// try makes one attempt at one target.
-func (s *Server) try(ctx context.Context, sc *serviceCall, under sending) (*target.Answer, *target.Failure) {
+// attempt makes one attempt at one target.
+func (s *Server) attempt(ctx context.Context, sc *serviceCall, conditions sendConditions) (*target.Answer, *target.Failure) {
 	lease := s.acquire(sc)
 	if lease == nil {
 		sc.attempts = retry.MaxTries
@@ -338,10 +346,10 @@
 	answer, err := s.client.Do(ctx, target.Call{
 		Address: lease.Address, Method: sc.method, Path: "/" + sc.name + sc.path,
 		Identity: target.Identity{Request: sc.id, Stage: sc.name, Attempt: sc.attempts},
-		Customer: sc.contract.Customer, IdempotencyKey: sc.key, FencingToken: under.token,
-		ContentType: sc.header, Body: sc.body, NewConnection: sc.route.NonIdempotent, SendBefore: under.before,
+		Customer: sc.contract.Customer, IdempotencyKey: sc.key, FencingToken: conditions.token,
+		ContentType: sc.contentType, Body: sc.body, NewConnection: sc.route.NonIdempotent, SendBefore: conditions.notAfter,
 	})
-	return s.settle(ctx, sc, lease, since, answer, err)
+	return s.finishAttempt(ctx, sc, lease, since, answer, err)
 }
 
 func (s *Server) acquire(sc *serviceCall) *directory.Lease {
@@ -349,23 +357,23 @@
 	if pool == nil {
 		return nil
 	}
-	if lease := pool.Acquire(directory.Want{Not: sc.failed}, time.Now()); lease != nil {
+	if lease := pool.Acquire(directory.Want{Not: sc.failedTargets}, time.Now()); lease != nil {
 		return lease
 	}
 	return pool.Acquire(directory.Want{}, time.Now())
 }
 
-func (s *Server) settle(ctx context.Context, sc *serviceCall, lease *directory.Lease, since time.Time, answer *target.Answer, err error) (*target.Answer, *target.Failure) {
+func (s *Server) finishAttempt(ctx context.Context, sc *serviceCall, lease *directory.Lease, since time.Time, answer *target.Answer, err error) (*target.Answer, *target.Failure) {
 	now := time.Now()
 	if err == nil {
-		err = sc.refusedBy(answer)
+		err = sc.checkAnswer(answer)
 	}
 	charge := pipeline.Charge{
 		Customer: sc.contract.Customer, Pipeline: sc.name, Stage: sc.name, Pool: sc.service.Pool, Target: lease.Address,
 		Took: now.Sub(since),
 	}
 	if err == nil {
-		sc.sent = true
+		sc.mayHaveRun = true
 		lease.Report(answer.Load, now)
 		lease.Done(directory.Succeeded, now.Sub(since), now)
 		charge.EngineTime = answer.EngineTime
@@ -375,13 +383,13 @@
 	}
 	var f *target.Failure
 	if !errors.As(err, &f) {
-		panic("entry: target client gave an error that is no Failure")
+		panic("entry: target client returned an error that is not a *target.Failure")
 	}
-	lease.Done(resultOf(ctx, f), now.Sub(since), now)
-	sc.failed = append(sc.failed, lease.Address)
+	lease.Done(leaseResult(ctx, f), now.Sub(since), now)
+	sc.failedTargets = append(sc.failedTargets, lease.Address)
 	s.observer.CallFailed(sc.id, sc.name, lease.Address, f)
 	if f.Execution != problem.NotRun {
-		sc.sent = true
+		sc.mayHaveRun = true
 		charge.Waste = pipeline.WasteFailed
 		s.observer.Charged(charge)
 	}
@@ -390,10 +398,11 @@
 
 var errRefused = errors.New("entry: the target refused the call")
 
-// refusedBy tells answers that are not the service's own: refusals before
-// anything ran, which may be tried elsewhere, and errors of somebody between,
-// after which nobody knows. The service's own answers are the caller's.
-func (sc *serviceCall) refusedBy(answer *target.Answer) error {
+// checkAnswer returns a failure for answers that are not the service's own:
+// refusals before execution, which may be retried elsewhere, and errors of an
+// intermediary, after which it is unknown whether the call ran. The service's
+// own answers, including errors, go to the caller.
+func (sc *serviceCall) checkAnswer(answer *target.Answer) error {
 	execution := problem.Unknown
 	if answer.ConfirmsNotRun() {
 		execution = problem.NotRun
@@ -403,7 +412,7 @@
 	return &target.Failure{Kind: target.FailedStatus, Execution: execution, Status: answer.Status, Err: errRefused}
 }
 
-func resultOf(ctx context.Context, f *target.Failure) directory.Result {
+func leaseResult(ctx context.Context, f *target.Failure) directory.Result {
 	switch {
 	case f.Kind == target.FailedConnect:
 		return directory.Refused
@@ -415,28 +424,28 @@
 }
 
 func (sc *serviceCall) execution() problem.Execution {
-	if sc.sent {
+	if sc.mayHaveRun {
 		return problem.Unknown
 	}
 	return problem.NotRun
 }
 
-// serviceRetry is when to come back after a service failed.
-const serviceRetry = time.Second
+// serviceRetryAfter is the Retry-After when a service has no usable target.
+const serviceRetryAfter = time.Second
 
-func (sc *serviceCall) giveUp(ctx context.Context, why string, f *target.Failure) *problem.Problem {
+func (sc *serviceCall) finalProblem(ctx context.Context, why string, f *target.Failure) *problem.Problem {
 	detail := "Service " + sc.name + ": " + why + "; last failure: " + string(f.Kind) + "."
 	execution := f.Execution
-	if sc.sent {
+	if sc.mayHaveRun {
 		execution = problem.Unknown
 	}
 	switch {
 	case ctx.Err() != nil && errors.Is(context.Cause(ctx), errCallerLeft):
-		return leftProblem(ctx, execution)
+		return interruptedProblem(ctx, execution)
 	case ctx.Err() != nil || f.Kind == target.FailedTimeout:
 		return problem.New(504, "late", "Not done by its deadline", detail, execution)
 	case execution == problem.NotRun:
-		return problem.New(503, "no-target", "No target in use", detail, execution).WithRetryAfter(serviceRetry)
+		return problem.New(503, "no-target", "No target in use", detail, execution).WithRetryAfter(serviceRetryAfter)
 	default:
 		return problem.New(502, "service-failed", "The service failed", detail, execution)
 	}
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -15,21 +15,23 @@
 	"github.com/vanillagate/vanillagate/internal/query/status"
 )
 
-// methodStatus gives what one process sees.
+// methodStatus is the peer call that returns a process's status report.
 const methodStatus = "status"
 
-// queryTimeout bounds the reads that an operator's question needs.
+// queryTimeout bounds the reads for one operator query.
 const queryTimeout = 3 * time.Second
 
-func (s *Server) answerStatus(context.Context, json.RawMessage) (any, error) { return s.report(), nil }
+func (s *Server) handleStatus(context.Context, json.RawMessage) (any, error) {
+	return s.statusReport(), nil
+}
 
-// report is what this process sees.
-func (s *Server) report() status.Report {
+// statusReport returns the status as this process sees it.
+func (s *Server) statusReport() status.Report {
 	now := time.Now()
 	self := s.opts.Network.Self()
 	return status.Report{
 		Incarnation: self.Incarnation, CallerAddress: self.CallerAddress, Zone: self.Zone,
-		Revision: s.keeper.State().Revision, Leaving: s.leaving.Load() || s.stops.vms()[self.CallerAddress], InFlight: int(s.callers.Load()),
+		Revision: s.keeper.State().Revision, Leaving: s.shuttingDown.Load() || s.stops.entryVMs()[self.CallerAddress], InFlight: int(s.callerRequests.Load()),
 		Targets: s.targetReports(now), AtLimit: s.customers.AtLimit(now),
 		Stores: s.health.report(), Suspects: s.suspectReports(now),
 	}
@@ -56,11 +58,11 @@
 	return list
 }
 
-// serveStatus asks every entry process and puts their reports together.
+// serveStatus collects the reports of all entry processes and merges them.
 func (s *Server) serveStatus(ctx *fasthttp.RequestCtx) {
-	sources := status.Sources{Reports: []status.Report{s.report()}, Listed: s.vms.get(), Stops: s.stops.list()}
+	sources := status.Sources{Reports: []status.Report{s.statusReport()}, Listed: s.vms.get(), Stops: s.stops.list()}
 	var mu sync.Mutex // guards sources.Reports
-	askAll(s, methodStatus, func(r status.Report) {
+	callPeers(s, methodStatus, func(r status.Report) {
 		mu.Lock()
 		defer mu.Unlock()
 		sources.Reports = append(sources.Reports, r)
@@ -71,11 +73,12 @@
 	writeJSON(ctx, status.Merge(sources))
 }
 
-// defaultCostSpan is what GET /v1/admin/costs covers when no time is named.
+// defaultCostSpan is the period that GET /v1/admin/costs covers if no start is
+// given.
 const defaultCostSpan = 24 * time.Hour
 
-// serveCosts sums the cost rows between the times since and until (RFC 3339).
-// What processes have gathered since their last rows is not in it yet.
+// serveCosts sums the cost rows between the query parameters since and until
+// (RFC 3339). Costs that processes have not written yet are not included.
 func (s *Server) serveCosts(ctx *fasthttp.RequestCtx) {
 	now := time.Now()
 	since, err := timeArg(ctx, "since", now.Add(-defaultCostSpan))
@@ -93,7 +96,7 @@
 	report, err := costs.Sum(readCtx, s.opts.Table, since, until)
 	if err != nil {
 		writeProblem(ctx, problem.New(503, "store-down", "Costs can't be read", err.Error(), problem.NotRun).
-			WithRetryAfter(claimRetry))
+			WithRetryAfter(claimRetryAfter))
 		return
 	}
 	writeJSON(ctx, report)
@@ -107,7 +110,7 @@
 	return time.Parse(time.RFC3339, raw)
 }
 
-// list gives the planned stops in force, and those that are only announced.
+// list returns the planned stops in force and those that are only announced.
 func (st *stops) list() []config.Stop {
 	list := []config.Stop{}
 	for _, stop := range st.state().Stops {
--- a/internal/entry/stops.go
+++ b/internal/entry/stops.go
@@ -15,114 +15,118 @@
 )
 
 const (
-	// announceTTL is how long an announcement counts that nobody renews.
+	// announceTTL is how long an announcement is valid unless it is renewed.
 	announceTTL = 10 * time.Minute
-	// leaveTTL is how long a process that left is remembered as leaving.
-	leaveTTL = 2 * time.Minute
-	// stopPeriod is how often announced stops are looked after.
-	stopPeriod = 2 * time.Second
+	// shutdownTTL is how long peers remember that a process is shutting down.
+	shutdownTTL = 2 * time.Minute
+	// submitPeriod is how often announced stops are renewed and submitted.
+	submitPeriod = 2 * time.Second
 )
 
-// announcedStop is what peers tell each other of a stop. It counts until the
-// stop is in the configuration in force, which then decides.
-type announcedStop struct {
+// stopMessage is the message about a planned stop or a shutdown that peers
+// exchange. A planned stop applies until the configuration in force has a newer
+// change of it, which takes precedence.
+type stopMessage struct {
 	Stop *config.Stop `json:"stop,omitempty"`
-	// Change is what still has to be accepted for the stop to be in force. Any
-	// process can submit it: its own identity makes it safe to do so twice.
+	// Change is the change that the store still has to accept. Any process can
+	// submit it: its ID makes it idempotent.
 	Change *change.Request `json:"change,omitempty"`
-	// After is the revision of the stop's last change when it was announced. A
-	// later one decides.
+	// After is the revision of the stop's last change at the time of the
+	// announcement. A later change takes precedence.
 	After config.Revision `json:"after,omitempty"`
 	// Withdrawn is the ID of a change that was refused.
 	Withdrawn string `json:"withdrawn,omitempty"`
-	// Leave is the caller address of an entry VM that leaves now.
+	// Leave is the caller address of an entry VM that is shutting down.
 	Leave string `json:"leave,omitempty"`
 }
 
-// stops joins the planned stops in force with those that were only announced:
-// while the store is down an announcement can't be accepted, and the target
-// must get no new work all the same.
+// stops combines the planned stops in force with those that are only announced.
+// While the store is down a stop can't be accepted, but its target must get no
+// new work all the same.
 type stops struct {
 	server *Server
 
-	// applying is held while stops are worked out and handed to the directory.
-	// Of two at once the one that read first could otherwise hand over last,
-	// and a stop that was announced in between would not take effect. It is
-	// taken before mu and before the directory's locks.
-	applying sync.Mutex
+	// applyMu is held while the stops are computed and passed to the directory.
+	// Without it, of two concurrent updates the one with the older data could
+	// be applied last, and a stop that was announced in between would not take
+	// effect. It is taken before mu and before the directory's locks.
+	applyMu sync.Mutex
 
-	mu       sync.Mutex // guards the rest; a leaf
-	recorded *config.State
-	// learned are announcements that a peer was asked for.
-	learned []learnedItem
+	mu          sync.Mutex // guards the fields below; no other lock is taken under it
+	configState *config.State
+	// fetched holds the announcements that were fetched from a peer.
+	fetched []fetchedItem
 }
 
-type learnedItem struct {
+type fetchedItem struct {
 	peer.Item
 	until time.Time
 }
 
-// methodStops gives the announcements that a peer knows of.
+// methodStops is the peer call that returns the announcements a peer knows of.
 const methodStops = "stops"
 
-func (st *stops) answer(context.Context, json.RawMessage) (any, error) {
+func (st *stops) handleStops(context.Context, json.RawMessage) (any, error) {
 	return st.server.opts.Network.Items(peer.TopicStop), nil
 }
 
-// learn asks a peer for the announcements. A process that has just started, or
-// stood still, would hear of them a moment after it began to serve.
-func (st *stops) learn(ctx context.Context, of peer.Incarnation) {
+// fetchFrom fetches the announcements from a peer. A process that has just
+// started, or was frozen, would otherwise receive them only shortly after it
+// begins to serve.
+func (st *stops) fetchFrom(ctx context.Context, of peer.Incarnation) {
 	var items []peer.Item
 	if err := st.server.opts.Network.Call(ctx, of, methodStops, nil, &items); err != nil {
-		st.server.log.Warn("Announced stops not learned.", zap.Error(err))
+		st.server.log.Warn("Fetching announced stops from a peer failed.", zap.Error(err))
 		return
 	}
 	now := time.Now()
 	st.mu.Lock()
-	st.learned = nil
+	st.fetched = nil
 	for _, item := range items {
-		st.learned = append(st.learned, learnedItem{Item: item, until: now.Add(item.TTL)})
+		st.fetched = append(st.fetched, fetchedItem{Item: item, until: now.Add(item.TTL)})
 	}
 	st.mu.Unlock()
-	st.refresh()
+	st.applyToTargets()
 }
 
-// items are the announcements that were heard, and those that were learned.
+// items returns the announcements that were received and those that were
+// fetched.
 func (st *stops) items() []peer.Item {
 	all := st.server.opts.Network.Items(peer.TopicStop)
 	now := time.Now()
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	for _, l := range st.learned {
-		if left := l.until.Sub(now); left > 0 {
-			l.TTL = left
-			all = append(all, l.Item)
+	for _, f := range st.fetched {
+		if left := f.until.Sub(now); left > 0 {
+			f.TTL = left
+			all = append(all, f.Item)
 		}
 	}
 	return all
 }
 
 func newStops(s *Server) *stops {
-	st := &stops{server: s, recorded: config.NewState()}
-	s.opts.Network.Subscribe(peer.TopicStop, func(peer.Item) { st.refresh() })
+	st := &stops{server: s, configState: config.NewState()}
+	s.opts.Network.Subscribe(peer.TopicStop, func(peer.Item) { st.applyToTargets() })
 	return st
 }
 
-func (st *stops) inForce(state *config.State) {
+func (st *stops) onConfigChange(state *config.State) {
 	st.mu.Lock()
-	st.recorded = state
+	st.configState = state
 	st.mu.Unlock()
-	st.refresh()
+	st.applyToTargets()
 }
 
 func (st *stops) state() *config.State {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return st.recorded
+	return st.configState
 }
 
-// announce spreads a stop before it is accepted. A request that is certain to
-// be refused is not announced: its loser would have half of it applied.
+// announce publishes a stop before the store accepts it. A request that is
+// certain to be refused is not announced, because it would take effect although
+// it is refused.
 func (st *stops) announce(req change.Request, stop config.Stop) bool {
 	state := st.state()
 	last := state.LastChanges[config.ItemKey(config.KindStop, req.Name)]
@@ -130,36 +134,37 @@
 	if !expected || len(change.Validate(state, req)) > 0 {
 		return false
 	}
-	st.publish(announcedStop{Stop: &stop, Change: &req, After: last.Revision})
+	st.publish(stopMessage{Stop: &stop, Change: &req, After: last.Revision})
 	return true
 }
 
-func (st *stops) publish(a announcedStop) {
+func (st *stops) publish(a stopMessage) {
 	st.server.publish(peer.TopicStop, a.Change.ID, announceTTL, a)
-	st.refresh()
+	st.applyToTargets()
 }
 
-// withdraw takes back the announcement of a change that was refused after all.
+// withdraw cancels the announcement of a change that was refused after all.
 func (st *stops) withdraw(req change.Request) {
-	st.server.publish(peer.TopicStop, "withdrawn/"+req.ID, announceTTL, announcedStop{Withdrawn: req.ID})
-	st.refresh()
+	st.server.publish(peer.TopicStop, "withdrawn/"+req.ID, announceTTL, stopMessage{Withdrawn: req.ID})
+	st.applyToTargets()
 }
 
-// announced is an announcement that counts, and who made it.
-type announced struct {
-	announcedStop
-	origin peer.Incarnation
-	left   time.Duration // until it no longer counts
+// pendingStop is an announcement that still applies, and its origin.
+type pendingStop struct {
+	stopMessage
+	origin    peer.Incarnation
+	expiresIn time.Duration // until it expires
 }
 
-// pending lists the announcements that are neither decided nor withdrawn.
-func (st *stops) pending() []announced {
+// pending lists the announcements that are neither withdrawn nor superseded by
+// the configuration in force.
+func (st *stops) pending() []pendingStop {
 	state := st.state()
-	var all []announced
+	var all []pendingStop
 	withdrawn := map[string]bool{}
 	for _, item := range st.items() {
-		a := announced{origin: item.Origin, left: item.TTL}
-		if json.Unmarshal(item.Body, &a.announcedStop) != nil {
+		a := pendingStop{origin: item.Origin, expiresIn: item.TTL}
+		if json.Unmarshal(item.Body, &a.stopMessage) != nil {
 			continue
 		}
 		withdrawn[a.Withdrawn] = true
@@ -176,8 +181,9 @@
 	return kept
 }
 
-// all lists the addresses to stop by kind.
-func (st *stops) all(kind config.StopKind) map[string]bool {
+// addressesToStop returns the addresses of all stops of a kind, in force or
+// announced.
+func (st *stops) addressesToStop(kind config.StopKind) map[string]bool {
 	addresses := map[string]bool{}
 	for _, stop := range st.state().Stops {
 		if stop.Subject == kind {
@@ -192,56 +198,59 @@
 	return addresses
 }
 
-// vms lists the entry VMs that callers should no longer be told of.
-func (st *stops) vms() map[string]bool {
-	addresses := st.all(config.StopVM)
+// entryVMs returns the addresses of entry VMs that should no longer be given to
+// callers.
+func (st *stops) entryVMs() map[string]bool {
+	addresses := st.addressesToStop(config.StopVM)
 	for _, item := range st.items() {
-		var a announcedStop
-		if json.Unmarshal(item.Body, &a) == nil && a.Leave != "" && !st.replaced(item.Origin, a.Leave) {
+		var a stopMessage
+		if json.Unmarshal(item.Body, &a) == nil && a.Leave != "" && !st.addressReused(item.Origin, a.Leave) {
 			addresses[a.Leave] = true
 		}
 	}
 	return addresses
 }
 
-// replaced says that another process than the one that left has the address by
-// now.
-func (st *stops) replaced(left peer.Incarnation, address string) bool {
+// addressReused reports whether a process other than the one that shut down
+// uses the address now.
+func (st *stops) addressReused(origin peer.Incarnation, address string) bool {
 	network := st.server.opts.Network
 	for _, m := range append(network.Members(), network.Self()) {
-		if m.CallerAddress == address && m.Incarnation != left && m.State == peer.Alive {
+		if m.CallerAddress == address && m.Incarnation != origin && m.State == peer.Alive {
 			return true
 		}
 	}
 	return false
 }
 
-func (st *stops) refresh() {
-	st.applying.Lock()
-	defer st.applying.Unlock()
-	st.server.targets.SetStops(st.all(config.StopTarget))
+// applyToTargets passes the current stops of targets to the directory.
+func (st *stops) applyToTargets() {
+	st.applyMu.Lock()
+	defer st.applyMu.Unlock()
+	st.server.targets.SetStops(st.addressesToStop(config.StopTarget))
 }
 
-// run looks after announced stops: they are renewed while they are not
-// decided, so that an outage of the store may last, and submitted until the
-// store has accepted or refused them. It refreshes too, as no message tells
-// that an announcement's time is up.
+// run renews announced stops until they are decided, so that they survive a
+// long outage of the store, and submits them until the store has accepted or
+// refused them. It also reapplies the stops, because no event signals that an
+// announcement has expired.
 func (st *stops) run(ctx context.Context) {
-	for wait.Jittered(ctx, stopPeriod) {
+	for wait.Jittered(ctx, submitPeriod) {
 		for _, a := range st.pending() {
-			if st.responsible(a.origin) {
-				st.lookAfter(ctx, a)
+			if st.isResponsibleFor(a.origin) {
+				st.renewAndSubmit(ctx, a)
 			}
 		}
-		st.refresh()
+		st.applyToTargets()
 	}
 }
 
-// responsible says whether this process looks after an announcement: the one
-// that made it, or when that one is gone, the first of all. Without a
-// successor a stop that was announced during an outage would be forgotten with
-// the process that took it in.
-func (st *stops) responsible(origin peer.Incarnation) bool {
+// isResponsibleFor reports whether this process renews and submits an
+// announcement. That is the process that made it or, if that one is gone, the
+// live one with the lowest incarnation. Without a successor a stop that was
+// announced during an outage would be lost together with the process that
+// accepted it.
+func (st *stops) isResponsibleFor(origin peer.Incarnation) bool {
 	network := st.server.opts.Network
 	self := network.Self().Incarnation
 	if origin == self {
@@ -259,17 +268,17 @@
 	return first
 }
 
-func (st *stops) lookAfter(ctx context.Context, a announced) {
+func (st *stops) renewAndSubmit(ctx context.Context, a pendingStop) {
 	self := st.server.opts.Network.Self().Incarnation
-	if a.origin != self || a.left < announceTTL/2 {
-		st.publish(a.announcedStop)
+	if a.origin != self || a.expiresIn < announceTTL/2 {
+		st.publish(a.stopMessage)
 	}
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	out := st.server.changes.Submit(ctx, *a.Change)
 	switch out.Result {
 	case change.Accepted:
-		st.server.putInForce(*a.Change, out.Revision)
+		st.server.applyAccepted(*a.Change, out.Revision)
 	case change.Conflict, change.Invalid:
 		st.server.log.Warn("Announced stop was refused.", zap.String("stop", a.Stop.ID),
 			zap.String("by", a.Change.By), zap.String("changed_by", out.Last.By), zap.Strings("faults", out.ValidationErrors))
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -11,82 +11,83 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// streamBuffer is how many pieces of text may wait for a slow caller before
-// the engine's stream is held up.
+// streamBuffer is how many pieces of text may be buffered for a slow caller
+// before the engine's stream is blocked.
 const streamBuffer = 64
 
-const finishLength = "length"
+const finishReasonLength = "length"
 
-// streaming is a request whose answer is streamed: one goroutine runs the
-// pipeline and puts pieces into words, the other writes them to the caller.
+// streaming is a request whose response is streamed. One goroutine runs the
+// pipeline and sends text to pieces; the other writes it to the caller.
 type streaming struct {
 	server *Server
 	call   *call
 	req    *pipeline.Request
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	words  chan string
-	// result and prob are set before words is closed.
+	pieces chan string
+	// result and prob are set before pieces is closed.
 	result *pipeline.Result
 	prob   *problem.Problem
 }
 
-// streamPipeline starts the answer with the first piece of text. What fails
-// before that is answered with its own status.
+// streamPipeline starts the response when the first piece of text is there, so
+// that an earlier failure gets its own status code.
 func (s *Server) streamPipeline(ctx *fasthttp.RequestCtx, c *call, req *pipeline.Request) {
 	deadline, cancelDeadline := context.WithDeadline(context.Background(), c.deadline)
 	runCtx, cancel := context.WithCancelCause(deadline)
-	runCtx, watched := s.hangups.Watch(runCtx, ctx.Conn())
+	runCtx, stopWatching := s.hangups.Watch(runCtx, ctx.Conn())
 	st := &streaming{
-		server: s, call: c, req: req, ctx: runCtx, cancel: cancel, words: make(chan string, streamBuffer),
+		server: s, call: c, req: req, ctx: runCtx, cancel: cancel, pieces: make(chan string, streamBuffer),
 	}
-	req.OnText = st.put
+	req.OnText = st.send
 	go st.run()
-	first, open := <-st.words
+	first, open := <-st.pieces
 	if !open && st.prob != nil {
-		watched()
+		stopWatching()
 		cancelDeadline()
-		s.refuse(ctx, c.received, c.contract.Customer, st.prob)
+		s.refuse(ctx, c.requestInfo, c.contract.Customer, st.prob)
 		return
 	}
 	ctx.SetContentType("text/event-stream")
 	ctx.Response.Header.Set("Cache-Control", "no-store")
 	s.inFlight.Add(1)
-	s.callers.Add(1)
+	s.callerRequests.Add(1)
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer s.inFlight.Add(-1)
-		defer s.callers.Add(-1)
+		defer s.callerRequests.Add(-1)
 		defer cancelDeadline()
-		defer watched()
+		defer stopWatching()
 		st.write(w, first, open)
 	})
 }
 
 func (st *streaming) run() {
 	st.result, st.prob = st.server.run(st.ctx, st.call, st.req)
-	close(st.words)
+	close(st.pieces)
 }
 
-// put hands a piece to the writer, or says that the caller left.
-func (st *streaming) put(text string) error {
+// send passes a piece to the writer. It returns the context's cause if the
+// request was cancelled, for example because the caller disconnected.
+func (st *streaming) send(text string) error {
 	select {
-	case st.words <- text:
+	case st.pieces <- text:
 		return nil
 	case <-st.ctx.Done():
 		return context.Cause(st.ctx)
 	}
 }
 
-// write sends the pieces as they come. A write that fails says that the caller
-// left; cancelling then ends the engine's stream.
+// write sends the pieces as they come. A failed write means that the caller
+// disconnected; the cancellation then ends the engine's stream.
 func (st *streaming) write(w *bufio.Writer, first string, open bool) {
 	sse := &eventWriter{w: w, id: "cmpl-" + st.call.id, model: st.call.name}
 	if open {
 		sse.text(first)
-		for text := range st.words {
+		for text := range st.pieces {
 			sse.text(text)
-			// More pieces that wait already go out together.
-			if len(st.words) == 0 && sse.flush() != nil {
+			// Pieces that are already buffered are flushed together.
+			if len(st.pieces) == 0 && sse.flush() != nil {
 				st.cancel(errCallerLeft)
 			}
 		}
@@ -97,7 +98,7 @@
 func (st *streaming) end(sse *eventWriter) {
 	if st.prob != nil {
 		st.prob.RequestID = st.call.id
-		st.server.observer.refused(st.call.contract.Customer, st.prob)
+		st.server.observer.recordRefused(st.call.contract.Customer, st.prob)
 		sse.problem(st.prob)
 		_ = sse.flush()
 		return
@@ -108,7 +109,8 @@
 	}
 }
 
-// eventWriter writes server-sent events in the usual form of model engines.
+// eventWriter writes server-sent events in the format that model engines
+// commonly use.
 type eventWriter struct {
 	w     *bufio.Writer
 	id    string
@@ -128,7 +130,7 @@
 }
 
 func (e *eventWriter) end(result *pipeline.Result) {
-	reason := finishLength
+	reason := finishReasonLength
 	e.event(targetapi.Completion{
 		ID: e.id, Model: e.model, Usage: &result.Usage,
 		Choices: []targetapi.CompletionChoice{{FinishReason: &reason}},
@@ -136,8 +138,8 @@
 	_, _ = e.w.WriteString("data: [DONE]\n\n")
 }
 
-// problem ends a stream that can't be completed. There is no end mark after
-// it, so that no caller takes what came for the whole.
+// problem ends a stream that can't be completed. No [DONE] event follows, so
+// that callers don't take the partial text for complete.
 func (e *eventWriter) problem(p *problem.Problem) {
 	_, _ = e.w.WriteString("event: error\n")
 	e.event(p)
--- a/internal/pipeline/acquire.go
+++ b/internal/pipeline/acquire.go
@@ -14,131 +14,136 @@
 )
 
 const (
-	// quarantineWait is how often a suspect looks whether it can run alone.
-	quarantineWait = 10 * time.Millisecond
-	// shareAfter is when a suspect no longer waits for one of the targets that
-	// this process may use: they may be down for a reason unknown to the peers.
-	shareAfter = time.Second
+	// quarantinePollInterval is how often a suspect checks whether it can run
+	// isolated.
+	quarantinePollInterval = 10 * time.Millisecond
+	// shareTargetsAfter is when a suspect no longer waits for the targets
+	// assigned to this process and may use any: the assigned ones may be down
+	// for a reason that the peers don't know.
+	shareTargetsAfter = time.Second
 )
 
-// acquire picks a target and counts the attempt; nil where there is none. A
-// suspect waits until it may run, and for a target without another suspect.
-func (r *stageRun) acquire(ctx context.Context, hedge bool, units int, saved func(string) time.Duration) *attempt {
-	pool := r.x.Targets.Pool(r.pool.Name)
+// acquire picks a target and counts the attempt; it returns nil if there is
+// none. A suspect waits until it may run, and for a target without another
+// suspect. units is the size of the call, in tokens for a generation.
+func (r *stageRun) acquire(ctx context.Context, hedge bool, units int, prefillSaved func(string) time.Duration) *attempt {
+	pool := r.executor.Targets.Pool(r.pool.Name)
 	if pool == nil {
 		return nil
 	}
-	leave := r.mayRun(ctx)
-	want := directory.Want{Not: r.failed, Units: units, PrefillSaved: saved}
+	permission := r.awaitPermission(ctx)
+	want := directory.Want{Not: r.failedTargets, Units: units, PrefillSaved: prefillSaved}
 	if r.pool.Kind == config.TargetEngine {
-		want.Pack, want.Within = r.w.req.Pack, remaining(ctx)/packTimeShare
+		want.Pack, want.Within = r.state.req.Pack, remaining(ctx)/packTimeDivisor
 	}
 	var lease *directory.Lease
-	switch leave {
+	switch permission {
 	case suspect.Unrestricted:
-		lease = r.free(pool, want)
+		lease = r.acquireUnrestricted(pool, want)
 	case suspect.Isolated:
-		lease = r.alone(ctx, pool, want)
+		lease = r.acquireIsolated(ctx, pool, want)
 	}
 	if lease == nil {
-		r.x.Suspicion.ReleasePermission(r.w.req.Fingerprint(), leave)
+		r.executor.Suspicion.ReleasePermission(r.state.req.Fingerprint(), permission)
 		return nil
 	}
 	r.attempts++
 	a := &attempt{number: r.attempts, hedge: hedge, lease: lease, since: time.Now()}
-	r.guard(ctx, a, leave)
+	r.cancelOnEvidence(ctx, a, permission)
 	return a
 }
 
-// mayRun waits until a request may run, or gives why it may not.
-func (r *stageRun) mayRun(ctx context.Context) suspect.Permission {
+// awaitPermission waits until the request may run or is denied.
+func (r *stageRun) awaitPermission(ctx context.Context) suspect.Permission {
 	for {
-		leave := r.x.Suspicion.RequestPermission(r.w.req.Fingerprint())
-		if leave != suspect.MustWait || !wait.For(ctx, quarantineWait) {
-			return leave
+		permission := r.executor.Suspicion.RequestPermission(r.state.req.Fingerprint())
+		if permission != suspect.MustWait || !wait.For(ctx, quarantinePollInterval) {
+			return permission
 		}
 	}
 }
 
-func (r *stageRun) free(pool *directory.Pool, want directory.Want) *directory.Lease {
+func (r *stageRun) acquireUnrestricted(pool *directory.Pool, want directory.Want) *directory.Lease {
 	if lease := pool.Acquire(want, time.Now()); lease != nil {
 		return lease
 	}
-	// Every other target failed this request or is out: try them again.
+	// Every other target failed this request or is out of use; try the failed
+	// ones again.
 	want.Not = nil
 	return pool.Acquire(want, time.Now())
 }
 
-func (r *stageRun) alone(ctx context.Context, pool *directory.Pool, want directory.Want) *directory.Lease {
+func (r *stageRun) acquireIsolated(ctx context.Context, pool *directory.Pool, want directory.Want) *directory.Lease {
 	since := time.Now()
 	for {
-		want.Quarantine = r.x.Suspicion.Quarantine(r.pool.Name)
-		if time.Since(since) > shareAfter {
+		want.Quarantine = r.executor.Suspicion.Quarantine(r.pool.Name)
+		if time.Since(since) > shareTargetsAfter {
 			want.Quarantine = anyTarget
 		}
 		if lease := pool.Acquire(want, time.Now()); lease != nil {
 			return lease
 		}
-		goOn := r.x.Suspicion.MayContinue(r.w.req.Fingerprint(), suspect.Isolated)
-		if !goOn || !wait.For(ctx, quarantineWait) {
+		mayContinue := r.executor.Suspicion.MayContinue(r.state.req.Fingerprint(), suspect.Isolated)
+		if !mayContinue || !wait.For(ctx, quarantinePollInterval) {
 			return nil
 		}
 	}
 }
 
-// packTimeShare: a call that is expected to need more than half of its time at
-// a full engine goes to an emptier one.
-const packTimeShare = 2
+// packTimeDivisor limits packing: a call that is expected to need more than
+// 1/packTimeDivisor of its remaining time at a busy engine goes to a less
+// loaded one.
+const packTimeDivisor = 2
 
 func anyTarget(string) bool { return true }
 
-// guard ends an attempt when evidence comes that forbids it. The look after
-// the watch is set up catches what came in between.
-func (r *stageRun) guard(ctx context.Context, a *attempt, leave suspect.Permission) {
-	fingerprint := r.w.req.Fingerprint()
+// cancelOnEvidence cancels an attempt when new evidence forbids it. The check
+// after the watch is set up catches evidence that came in between.
+func (r *stageRun) cancelOnEvidence(ctx context.Context, a *attempt, permission suspect.Permission) {
+	fingerprint := r.state.req.Fingerprint()
 	ctx, cancel := context.WithCancel(ctx)
-	look := func() {
-		if !r.x.Suspicion.MayContinue(fingerprint, leave) {
+	check := func() {
+		if !r.executor.Suspicion.MayContinue(fingerprint, permission) {
 			cancel()
 		}
 	}
-	stop := r.x.Suspicion.Watch(fingerprint, look)
-	look()
+	stop := r.executor.Suspicion.Watch(fingerprint, check)
+	check()
 	a.ctx = ctx
 	a.release = func() {
 		stop()
 		cancel()
-		r.x.Suspicion.ReleasePermission(fingerprint, leave)
+		r.executor.Suspicion.ReleasePermission(fingerprint, permission)
 	}
 }
 
 func (r *stageRun) suspected() bool {
-	return r.x.Suspicion.Check(r.w.req.Fingerprint()) == suspect.Suspected
+	return r.executor.Suspicion.Check(r.state.req.Fingerprint()) == suspect.Suspected
 }
 
-// crashProbe bounds the look whether a target died.
-const crashProbe = 200 * time.Millisecond
+// crashProbeTimeout bounds the check whether a target died.
+const crashProbeTimeout = 200 * time.Millisecond
 
-// blame notes a failed attempt and suspects the request where its target died
-// under it. It gives false where the request is convicted.
-func (r *stageRun) blame(ctx context.Context, f *target.Failure, address string) bool {
-	r.sent = r.sent || f.Execution != problem.NotRun
+// recordFailure records a failed attempt and suspects the request if the target
+// died while running it. It returns false if the request is convicted.
+func (r *stageRun) recordFailure(ctx context.Context, f *target.Failure, address string) bool {
+	r.mayHaveRun = r.mayHaveRun || f.Execution != problem.NotRun
 	if f.Kind == target.FailedCancelled {
-		return true // by the guard: the target is not to blame
+		return true // cancelled by cancelOnEvidence; not the target's fault
 	}
-	r.failed = append(r.failed, address)
-	died := f.Kind == target.FailedBroken && f.Execution != problem.NotRun && ctx.Err() == nil && !standing(address)
-	fingerprint := r.w.req.Fingerprint()
+	r.failedTargets = append(r.failedTargets, address)
+	died := f.Kind == target.FailedBroken && f.Execution != problem.NotRun && ctx.Err() == nil && !acceptsConnections(address)
+	fingerprint := r.state.req.Fingerprint()
 	if died {
-		r.x.Suspicion.RecordCrash(fingerprint, address)
+		r.executor.Suspicion.RecordCrash(fingerprint, address)
 	}
-	return r.x.Suspicion.Check(fingerprint) != suspect.Convicted
+	return r.executor.Suspicion.Check(fingerprint) != suspect.Convicted
 }
 
-// standing says whether a target still takes connections: a broken connection
-// alone is no crash.
-func standing(address string) bool {
-	conn, err := net.DialTimeout("tcp", address, crashProbe)
+// acceptsConnections reports whether a target still accepts connections. A
+// broken connection alone is not a crash.
+func acceptsConnections(address string) bool {
+	conn, err := net.DialTimeout("tcp", address, crashProbeTimeout)
 	if err != nil {
 		return false
 	}
--- a/internal/pipeline/attempts.go
+++ b/internal/pipeline/attempts.go
@@ -16,27 +16,27 @@
 	"github.com/vanillagate/vanillagate/internal/target"
 )
 
-// stageRun is one stage of one request. One goroutine owns it; attempts run in
-// goroutines of their own and give their results over a channel.
+// stageRun is the execution of one stage of one request. One goroutine owns it.
+// Attempts run in their own goroutines and send their results over a channel.
 type stageRun struct {
-	x     *Executor
-	w     *work
-	stage config.Stage
-	pool  config.Pool
-	index int
-	since time.Time
-	// docs are the request's documents as the stage found them. An attempt that
-	// lost may still read its answer when the winner's has replaced work.docs,
-	// so attempts use these only.
+	executor *Executor
+	state    *requestState
+	stage    config.Stage
+	pool     config.Pool
+	index    int
+	since    time.Time
+	// docs are the request's documents when the stage began. A losing attempt
+	// may still parse its answer after the winner's has replaced
+	// requestState.docs, so attempts use only these.
 	docs []string
-	// before says that an earlier stage of the request ran.
-	before bool
+	// earlierStageRan is set if an earlier stage of the request ran.
+	earlierStageRan bool
 
-	attempts   int
-	failed     []string    // addresses that failed this request
-	sent       bool        // an attempt may have run
-	stallPaid  atomic.Bool // the next retry is out of the budget already
-	answeredBy string
+	attempts      int
+	failedTargets []string    // addresses that failed this request
+	mayHaveRun    bool        // an attempt may have run
+	retryPrepaid  atomic.Bool // the next retry was already taken from the budget
+	answeredBy    string
 }
 
 // attempt is one call at one target.
@@ -45,51 +45,51 @@
 	hedge  bool
 	lease  *directory.Lease
 	since  time.Time
-	// ctx ends with the request, or when a target dies under another copy of
-	// it: this one could cost a further target. release ends it.
+	// ctx ends with the request, or when a target dies under another attempt of
+	// it, since this one could crash another target. release cancels it.
 	ctx     context.Context
 	release func()
 }
 
-// outcome is how an attempt ended.
+// outcome is the result of an attempt.
 type outcome struct {
 	attempt *attempt
 	answer  *target.Answer
-	parsed  parsed
+	parsed  parsedAnswer
 	err     error
 }
 
-func newStageRun(x *Executor, w *work, index int, pool config.Pool) *stageRun {
+func newStageRun(x *Executor, state *requestState, index int, pool config.Pool) *stageRun {
 	return &stageRun{
-		x: x, w: w, stage: w.req.Pipeline.Stages[index], pool: pool, index: index, since: time.Now(),
-		before: index > 0, docs: w.docs,
+		executor: x, state: state, stage: state.req.Pipeline.Stages[index], pool: pool, index: index, since: time.Now(),
+		earlierStageRan: index > 0, docs: state.docs,
 	}
 }
 
-func (r *stageRun) budget() retry.BudgetKey {
-	return retry.BudgetKey{Customer: r.w.req.Customer, Pool: r.pool.Name}
+func (r *stageRun) budgetKey() retry.BudgetKey {
+	return retry.BudgetKey{Customer: r.state.req.Customer, Pool: r.pool.Name}
 }
 
-func (r *stageRun) do(ctx context.Context) *problem.Problem {
-	r.x.Budgets.For(r.budget()).RecordFirstTry()
+func (r *stageRun) execute(ctx context.Context) *problem.Problem {
+	r.executor.Budgets.For(r.budgetKey()).RecordFirstTry()
 	if r.pool.Kind == config.TargetEngine {
 		return r.generate(ctx)
 	}
-	path, body, ok := r.encode()
+	path, body, ok := r.buildCall()
 	if !ok {
 		return problem.New(500, "no-stage", "Pipeline is not complete",
-			"Pool "+r.pool.Name+" is no kind of stage.", ranIf(r.before))
+			"Pool "+r.pool.Name+" is no kind of stage.", executionIf(r.earlierStageRan))
 	}
 	raw, err := json.Marshal(body)
 	if err != nil {
 		panic("pipeline: encode: " + err.Error())
 	}
-	return r.race(ctx, path, raw)
+	return r.runHedged(ctx, path, raw)
 }
 
-func (r *stageRun) charge(o outcome, waste Waste) Charge {
+func (r *stageRun) chargeFor(o outcome, waste Waste) Charge {
 	c := Charge{
-		Customer: r.w.req.Customer, Pipeline: r.w.req.Pipeline.Name, Stage: r.stage.Name,
+		Customer: r.state.req.Customer, Pipeline: r.state.req.Pipeline.Name, Stage: r.stage.Name,
 		Usage: o.parsed.usage, Waste: waste, Pool: r.pool.Name, Target: o.attempt.lease.Address,
 		Took: time.Since(o.attempt.since),
 	}
@@ -99,20 +99,21 @@
 	return c
 }
 
-// lost handles a failed attempt: nil means that the stage goes on.
-func (r *stageRun) lost(ctx context.Context, o outcome, running int, launch func(bool) bool) *problem.Problem {
+// handleFailure handles a failed attempt and retries if allowed. It returns nil
+// if the stage continues.
+func (r *stageRun) handleFailure(ctx context.Context, o outcome, running int, launch func(bool) bool) *problem.Problem {
 	f := asFailure(o.err)
-	if !r.blame(ctx, f, o.attempt.lease.Address) {
-		return convicted(problem.Unknown)
+	if !r.recordFailure(ctx, f, o.attempt.lease.Address) {
+		return convictedProblem(problem.Unknown)
 	}
 	if running > 0 {
 		return nil
 	}
-	if p := r.mayRetry(ctx, f); p != nil {
+	if p := r.prepareRetry(ctx, f); p != nil {
 		return p
 	}
 	if !launch(false) {
-		return r.noTarget(ctx)
+		return r.noTargetProblem(ctx)
 	}
 	return nil
 }
@@ -125,22 +126,24 @@
 	return &target.Failure{Kind: target.FailedFormat, Execution: problem.Unknown, Err: err}
 }
 
-// mayRetry waits out the backoff, or says why there is no other try.
-func (r *stageRun) mayRetry(ctx context.Context, f *target.Failure) *problem.Problem {
-	expected := r.x.Latencies.ExpectedRemaining(r.w.req.Pipeline, r.index)
+// prepareRetry waits for the backoff, or returns the final problem if there is
+// no other attempt.
+func (r *stageRun) prepareRetry(ctx context.Context, f *target.Failure) *problem.Problem {
+	expected := r.executor.Latencies.ExpectedRemaining(r.state.req.Pipeline, r.index)
 	verdict := retry.Decide(retry.FailedCall{
 		Tries: r.attempts, Idempotent: true, NotRun: f.Execution == problem.NotRun,
 		Remaining: remaining(ctx), Expected: expected,
 	})
 	if verdict != retry.Retry {
-		return r.giveUp(ctx, string(verdict), f)
+		return r.finalProblem(ctx, string(verdict), f)
 	}
-	// A refused connection put no load on the target, so it needs no budget. A
-	// target that answers with a refusal needs one: where all of a pool refuse,
-	// each request would else come four times. Suspects run one to a target, so their second tries can't be a flood, and
-	// the innocent ones among them have a right to an answer.
-	if f.Kind != target.FailedConnect && !r.suspected() && !r.paid() {
-		return r.giveUp(ctx, "retry budget is used up", f)
+	// A refused connection put no load on the target, so its retry needs no
+	// budget. A target that answers with a refusal does: if all targets of a
+	// pool refuse, each request would be sent four times. Suspects are exempt:
+	// they run one to a target, so their retries can't flood the pool, and
+	// those that are innocent must still get an answer.
+	if f.Kind != target.FailedConnect && !r.suspected() && !r.takeRetry() {
+		return r.finalProblem(ctx, "retry budget is used up", f)
 	}
 	if f.Execution == problem.NotRun {
 		return nil
@@ -149,16 +152,16 @@
 	case <-time.After(retry.Backoff(r.attempts, newRandom())):
 		return nil
 	case <-ctx.Done():
-		return r.giveUp(ctx, "the deadline passed", f)
+		return r.finalProblem(ctx, "the deadline passed", f)
 	}
 }
 
-// paid takes a retry out of the budget, unless that was done already.
-func (r *stageRun) paid() bool {
-	if r.stallPaid.CompareAndSwap(true, false) {
+// takeRetry takes a retry from the budget, unless that was done already.
+func (r *stageRun) takeRetry() bool {
+	if r.retryPrepaid.CompareAndSwap(true, false) {
 		return true
 	}
-	return r.x.Budgets.Allow(r.budget(), time.Now())
+	return r.executor.Budgets.Allow(r.budgetKey(), time.Now())
 }
 
 func newRandom() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
@@ -166,85 +169,87 @@
 func remaining(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		return never
+		return noLimit
 	}
 	return time.Until(deadline)
 }
 
 const (
-	// unavailableRetry is when to come back after a stage failed.
-	unavailableRetry = time.Second
-	statusLate       = 504
-	statusFailed     = 502
-	statusNoTarget   = 503
+	// retryAfter is the Retry-After when a stage failed.
+	retryAfter     = time.Second
+	statusTimeout  = 504
+	statusFailed   = 502
+	statusNoTarget = 503
 )
 
-// giveUp is the final answer, at once. What ran is said as far as it is known.
-func (r *stageRun) giveUp(ctx context.Context, why string, f *target.Failure) *problem.Problem {
+// finalProblem returns the problem for a stage that failed and is not retried.
+// It reports whether the request ran as precisely as that is known.
+func (r *stageRun) finalProblem(ctx context.Context, why string, f *target.Failure) *problem.Problem {
 	execution := r.execution()
 	detail := "Stage " + r.stage.Name + ": " + why + "; last failure: " + string(f.Kind) + "."
 	if ctx.Err() != nil || f.Kind == target.FailedTimeout {
-		return problem.New(statusLate, "late", "Not done by its deadline", detail, execution)
+		return problem.New(statusTimeout, "late", "Not done by its deadline", detail, execution)
 	}
-	return problem.New(statusFailed, "stage-failed", "A stage failed", detail, execution).WithRetryAfter(unavailableRetry)
+	return problem.New(statusFailed, "stage-failed", "A stage failed", detail, execution).WithRetryAfter(retryAfter)
 }
 
 func (r *stageRun) execution() problem.Execution {
 	switch {
-	case r.before:
+	case r.earlierStageRan:
 		return problem.Ran
-	case r.sent:
+	case r.mayHaveRun:
 		return problem.Unknown
 	default:
 		return problem.NotRun
 	}
 }
 
-func (r *stageRun) noTarget(ctx context.Context) *problem.Problem {
-	if r.x.Suspicion.Check(r.w.req.Fingerprint()) == suspect.Convicted {
-		return convicted(r.execution())
+func (r *stageRun) noTargetProblem(ctx context.Context) *problem.Problem {
+	if r.executor.Suspicion.Check(r.state.req.Fingerprint()) == suspect.Convicted {
+		return convictedProblem(r.execution())
 	}
 	if ctx.Err() != nil {
-		return r.giveUp(ctx, "the deadline passed", &target.Failure{Kind: target.FailedTimeout})
+		return r.finalProblem(ctx, "the deadline passed", &target.Failure{Kind: target.FailedTimeout})
 	}
 	return problem.New(statusNoTarget, "no-target", "No target in use",
-		"Pool "+r.pool.Name+" has no target that can take the request now.", r.execution()).WithRetryAfter(unavailableRetry)
+		"Pool "+r.pool.Name+" has no target that can take the request now.", r.execution()).WithRetryAfter(retryAfter)
 }
 
 func (r *stageRun) identity(a *attempt) target.Identity {
-	return target.Identity{Request: r.w.req.ID, Stage: r.stage.Name, Attempt: a.number}
+	return target.Identity{Request: r.state.req.ID, Stage: r.stage.Name, Attempt: a.number}
 }
 
-// call makes one attempt. It ends its lease and gives exactly one result.
-func (r *stageRun) call(ctx context.Context, a *attempt, path string, body []byte, results chan<- outcome) {
+// runAttempt makes one attempt. It ends the attempt's lease and sends exactly
+// one result.
+func (r *stageRun) runAttempt(ctx context.Context, a *attempt, path string, body []byte, results chan<- outcome) {
 	id := r.identity(a)
 	slowAfter := r.slowAfter(ctx)
-	answer, err := r.x.Client.Do(ctx, target.Call{
+	answer, err := r.executor.Client.Do(ctx, target.Call{
 		Address: a.lease.Address, Method: "POST", Path: path, Identity: id,
-		Customer: r.w.req.Customer, ContentType: contentJSON, Body: body,
+		Customer: r.state.req.Customer, ContentType: contentJSON, Body: body,
 	})
 	o := outcome{attempt: a, answer: answer, err: err}
 	if err == nil {
 		o.parsed, o.err = r.read(answer, id)
 	}
-	r.end(o, slowAfter)
+	r.finishAttempt(o, slowAfter)
 	results <- o
 }
 
-// read turns an answer into its content, or into a failure.
-func (r *stageRun) read(answer *target.Answer, id target.Identity) (parsed, error) {
+// read checks and parses an answer, or returns a failure.
+func (r *stageRun) read(answer *target.Answer, id target.Identity) (parsedAnswer, error) {
 	if answer.Status != statusOK {
-		return parsed{}, statusFailure(answer)
+		return parsedAnswer{}, statusFailure(answer)
 	}
 	if err := r.checkVersion(answer); err != nil {
-		return parsed{}, err
+		return parsedAnswer{}, err
 	}
 	return r.parse(answer, id)
 }
 
 const statusOK = 200
 
-// statusFailure tells refusals before anything ran from other errors.
+// statusFailure distinguishes refusals before execution from other errors.
 func statusFailure(answer *target.Answer) *target.Failure {
 	execution := problem.Unknown
 	if answer.HasIdentity {
@@ -259,22 +264,23 @@
 	}
 }
 
-// checkVersion drops an answer of another model version than the one in force.
-// An engine that ignores fencing may have taken an old order, and its answer
-// would look like any other.
+// checkVersion rejects an answer of a model version that the pool doesn't
+// accept. An engine that ignores fencing may have applied an outdated order,
+// and its answer would look like any other.
 func (r *stageRun) checkVersion(answer *target.Answer) error {
 	if r.pool.Accepts(answer.Version) {
 		return nil
 	}
 	return &target.Failure{
 		Kind: target.FailedVersion, Execution: problem.Ran,
-		Err: errors.New("version " + answer.Version + " answered, " + r.pool.Version + " is wanted"),
+		Err: errors.New("answer has model version " + answer.Version + ", but " + r.pool.Version + " is in force"),
 	}
 }
 
-// end settles what an attempt means for its target and its cost. slowAfter is
-// when an attempt that lost against another speaks against its target.
-func (r *stageRun) end(o outcome, slowAfter time.Duration) {
+// finishAttempt reports the result of an attempt to its lease and charges it if
+// it failed but may have run. slowAfter is the duration from which a cancelled
+// or timed-out attempt counts as a failure of its target.
+func (r *stageRun) finishAttempt(o outcome, slowAfter time.Duration) {
 	defer o.attempt.release()
 	now := time.Now()
 	took := now.Sub(o.attempt.since)
@@ -286,33 +292,33 @@
 		return
 	}
 	f := asFailure(o.err)
-	o.attempt.lease.Done(resultOf(f, took > slowAfter), took, now)
+	o.attempt.lease.Done(leaseResult(f, took > slowAfter), took, now)
 	if f.Kind != target.FailedCancelled {
-		r.x.Observer.CallFailed(r.w.req.ID, r.stage.Name, o.attempt.lease.Address, f)
+		r.executor.Observer.CallFailed(r.state.req.ID, r.stage.Name, o.attempt.lease.Address, f)
 	}
 	if f.Execution != problem.NotRun {
-		r.x.Observer.Charged(r.charge(o, wasteOf(o.attempt, f)))
+		r.executor.Observer.Charged(r.chargeFor(o, wasteOf(o.attempt, f)))
 	}
 }
 
 func wasteOf(a *attempt, f *target.Failure) Waste {
 	if f.Kind == target.FailedCancelled {
-		return wasteOfLoser(a)
+		return wasteOfCancelled(a)
 	}
 	return WasteFailed
 }
 
-func wasteOfLoser(a *attempt) Waste {
+func wasteOfCancelled(a *attempt) Waste {
 	if a.hedge {
 		return WasteHedge
 	}
 	return WasteCanceled
 }
 
-// resultOf: a call that was cancelled, or cut short by the request's deadline,
-// speaks against its target only if it was slow by then. That is how a target
-// that stands still is found out.
-func resultOf(f *target.Failure, slow bool) directory.Result {
+// leaseResult maps a failure to a result for the target. A call that was
+// cancelled, or cut off by the request's deadline, counts against its target
+// only if it was slow by then. That is how frozen targets are detected.
+func leaseResult(f *target.Failure, slow bool) directory.Result {
 	switch f.Kind {
 	case target.FailedConnect:
 		return directory.Refused
--- a/internal/pipeline/generate.go
+++ b/internal/pipeline/generate.go
@@ -14,27 +14,27 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// generation is the state of one generation over its attempts: a stream that
-// breaks is resumed on another engine from the text that came so far.
+// generation is the state of one generation across its attempts. A stream that
+// breaks is resumed on another engine from the text received so far.
 type generation struct {
 	prompt    string
 	text      strings.Builder
-	tokens    int // so far
+	tokens    int // received so far
 	maxTokens int
 	usage     targetapi.Usage
-	forward   func(text string) error
+	onText    func(text string) error
 }
 
-// errCallerLeft ends a generation that nobody reads any more.
+// errCallerLeft ends a generation whose caller has disconnected.
 var errCallerLeft = &target.Failure{
 	Kind: target.FailedCancelled, Execution: problem.Ran, Err: errors.New("pipeline: the caller left"),
 }
 
-var doneMark = []byte("[DONE]")
+var doneEvent = []byte("[DONE]")
 
 func (r *stageRun) maxTokens() int {
-	if r.w.req.MaxTokens > 0 {
-		return r.w.req.MaxTokens
+	if r.state.req.MaxTokens > 0 {
+		return r.state.req.MaxTokens
 	}
 	if r.stage.MaxTokens > 0 {
 		return r.stage.MaxTokens
@@ -42,21 +42,21 @@
 	return DefaultMaxTokens
 }
 
-// last says that the caller reads this stage's text.
-func (r *stageRun) last() bool { return r.index == len(r.w.req.Pipeline.Stages)-1 }
+// isLastStage reports whether this stage's text is the response to the caller.
+func (r *stageRun) isLastStage() bool { return r.index == len(r.state.req.Pipeline.Stages)-1 }
 
-// generate makes attempts, one after the other, until the text is whole.
+// generate makes attempts, one after the other, until the text is complete.
 func (r *stageRun) generate(ctx context.Context) *problem.Problem {
-	g := &generation{prompt: r.w.prompt(r.stage), maxTokens: r.maxTokens()}
-	if r.last() {
-		g.forward = r.w.req.OnText
+	g := &generation{prompt: r.state.prompt(r.stage), maxTokens: r.maxTokens()}
+	if r.isLastStage() {
+		g.onText = r.state.req.OnText
 	}
 	for {
-		a := r.acquire(ctx, false, g.maxTokens-g.tokens, r.saved(g.prompt))
+		a := r.acquire(ctx, false, g.maxTokens-g.tokens, r.prefillSaved(g.prompt))
 		if a == nil {
-			return r.noTarget(ctx)
+			return r.noTargetProblem(ctx)
 		}
-		err := r.segment(a.ctx, a, g)
+		err := r.generateOnce(a.ctx, a, g)
 		if err == nil {
 			r.finish(a, g)
 			return nil
@@ -65,55 +65,55 @@
 		if errors.Is(err, errCallerLeft) {
 			return problem.New(statusCallerLeft, "caller-left", "The caller left", "The connection was closed.", problem.Ran)
 		}
-		if !r.blame(ctx, f, a.lease.Address) {
-			return convicted(problem.Unknown)
+		if !r.recordFailure(ctx, f, a.lease.Address) {
+			return convictedProblem(problem.Unknown)
 		}
-		if g.whole() {
+		if g.complete() {
 			r.finish(a, g)
 			return nil
 		}
-		if p := r.mayRetry(ctx, f); p != nil {
+		if p := r.prepareRetry(ctx, f); p != nil {
 			return p
 		}
 	}
 }
 
-// whole says that all tokens came. A stream can be cut between its last token
-// and its end mark; an engine that is then asked for the rest, zero tokens,
-// would generate as many as it does by default.
-func (g *generation) whole() bool { return g.tokens >= g.maxTokens }
+// complete reports whether all tokens were received. A stream can break after
+// its last token but before its [DONE] event. An engine that is then asked for
+// the remaining zero tokens would generate its default number of tokens.
+func (g *generation) complete() bool { return g.tokens >= g.maxTokens }
 
-// statusCallerLeft is nginx's well-known status for a closed request. It only
-// shows in logs and metrics.
+// statusCallerLeft is the status that nginx uses for a request closed by the
+// client. It only appears in logs and metrics.
 const statusCallerLeft = 499
 
-func (r *stageRun) saved(prompt string) func(string) time.Duration {
-	if r.x.Prefixes == nil {
+func (r *stageRun) prefillSaved(prompt string) func(string) time.Duration {
+	if r.executor.Prefixes == nil {
 		return nil
 	}
-	return r.x.Prefixes.SavedTime(r.pool.Name, prompt)
+	return r.executor.Prefixes.SavedTime(r.pool.Name, prompt)
 }
 
 func (r *stageRun) finish(a *attempt, g *generation) {
 	r.answeredBy = a.lease.Address
-	r.x.Budgets.For(r.budget()).RecordSuccess()
-	r.w.output = g.text.String()
-	if r.x.Prefixes != nil {
-		r.x.Prefixes.RecordUsage(r.pool.Name, g.prompt, g.usage)
-	}
-	r.w.usage.PromptTokens += g.usage.PromptTokens
-	r.w.usage.CachedTokens += g.usage.CachedTokens
-	r.w.usage.CompletionTokens += g.tokens
+	r.executor.Budgets.For(r.budgetKey()).RecordSuccess()
+	r.state.output = g.text.String()
+	if r.executor.Prefixes != nil {
+		r.executor.Prefixes.RecordUsage(r.pool.Name, g.prompt, g.usage)
+	}
+	r.state.usage.PromptTokens += g.usage.PromptTokens
+	r.state.usage.CachedTokens += g.usage.CachedTokens
+	r.state.usage.CompletionTokens += g.tokens
 }
 
-// segment makes one attempt at the rest of the text. It settles the attempt's
-// lease and cost.
-func (r *stageRun) segment(ctx context.Context, a *attempt, g *generation) error {
+// generateOnce makes one attempt at the rest of the text. It ends the attempt's
+// lease and charges its cost.
+func (r *stageRun) generateOnce(ctx context.Context, a *attempt, g *generation) error {
 	o := outcome{attempt: a}
 	before := g.tokens
-	watched, watch := watchStall(ctx, r.mayLeaveStalled)
+	watched, watch := watchStall(ctx, r.prepayRetry)
 	defer watch.stop()
-	stream, err := r.open(watched, a, g)
+	stream, err := r.openStream(watched, a, g)
 	if err == nil {
 		o.answer = stream.Answer
 		err = r.readEvents(stream, a, g, watch)
@@ -125,32 +125,32 @@
 	o.parsed.usage = g.usage
 	o.parsed.usage.CompletionTokens = g.tokens - before
 	o.err = err
-	r.end(o, stalledTarget(watch))
+	r.finishAttempt(o, slowAfterStall(watch))
 	if err == nil {
-		r.x.Observer.Charged(r.charge(o, NoWaste))
+		r.executor.Observer.Charged(r.chargeFor(o, NoWaste))
 	}
 	return err
 }
 
-func (r *stageRun) open(ctx context.Context, a *attempt, g *generation) (*target.Stream, error) {
+func (r *stageRun) openStream(ctx context.Context, a *attempt, g *generation) (*target.Stream, error) {
 	body, err := json.Marshal(targetapi.CompletionRequest{
 		Model: r.pool.Model, Prompt: g.prompt + g.text.String(), MaxTokens: g.maxTokens - g.tokens,
-		Stream: true, Priority: r.w.req.Priority, User: r.w.req.Customer,
+		Stream: true, Priority: r.state.req.Priority, User: r.state.req.Customer,
 	})
 	if err != nil {
 		panic("pipeline: encode: " + err.Error())
 	}
-	if r.x.Prefixes != nil {
-		r.x.Prefixes.RecordPrompt(r.pool.Name, a.lease.Address, g.prompt)
+	if r.executor.Prefixes != nil {
+		r.executor.Prefixes.RecordPrompt(r.pool.Name, a.lease.Address, g.prompt)
 	}
-	return r.x.Client.OpenStream(ctx, target.Call{
+	return r.executor.Client.OpenStream(ctx, target.Call{
 		Address: a.lease.Address, Method: "POST", Path: targetapi.PathCompletions, Identity: r.identity(a),
-		Customer: r.w.req.Customer, ContentType: contentJSON, Body: body,
+		Customer: r.state.req.Customer, ContentType: contentJSON, Body: body,
 	})
 }
 
-// readEvents reads one stream to its end. A stream that ends without its end mark is
-// a failure: a short answer must never look like a whole one.
+// readEvents reads one stream to its end. A stream that ends without [DONE] is
+// a failure: a truncated answer must never pass as complete.
 func (r *stageRun) readEvents(stream *target.Stream, a *attempt, g *generation, watch *stallWatch) error {
 	if stream.Answer.Status != statusOK {
 		return statusFailure(stream.Answer)
@@ -159,43 +159,43 @@
 		return err
 	}
 	id := "cmpl-" + r.identity(a).String()
-	finished := false
+	hasFinishReason := false
 	for {
 		data, err := stream.Next()
 		if errors.Is(err, io.EOF) {
-			return cut(io.ErrUnexpectedEOF)
+			return brokenStream(io.ErrUnexpectedEOF)
 		}
 		if err != nil {
 			return err
 		}
-		if bytes.Equal(data, doneMark) {
-			if !finished {
-				return cut(errors.New("stream ended without a finish reason"))
+		if bytes.Equal(data, doneEvent) {
+			if !hasFinishReason {
+				return brokenStream(errors.New("stream ended without a finish reason"))
 			}
 			stream.Drain()
 			return nil
 		}
-		watch.moved()
-		ended, err := g.event(data, id)
+		watch.progressed()
+		ended, err := g.handleEvent(data, id)
 		if err != nil {
 			return err
 		}
-		finished = finished || ended
+		hasFinishReason = hasFinishReason || ended
 	}
 }
 
-func cut(err error) *target.Failure {
+func brokenStream(err error) *target.Failure {
 	return &target.Failure{Kind: target.FailedBroken, Execution: problem.Unknown, Err: err}
 }
 
-// event takes in one event; ended says that it carries a finish reason.
-func (g *generation) event(data []byte, id string) (ended bool, err error) {
+// handleEvent processes one event; ended is true if it has a finish reason.
+func (g *generation) handleEvent(data []byte, id string) (ended bool, err error) {
 	var c targetapi.Completion
 	if err := json.Unmarshal(data, &c); err != nil {
 		return false, badFormat(err)
 	}
 	if c.ID != id {
-		return false, notOurs(errors.New("event is for " + c.ID + ", not for " + id))
+		return false, identityMismatch(errors.New("event has ID " + c.ID + ", want " + id))
 	}
 	if c.Usage != nil {
 		g.usage.PromptTokens = c.Usage.PromptTokens
@@ -216,10 +216,10 @@
 	}
 	g.text.WriteString(text)
 	g.tokens++
-	if g.forward == nil {
+	if g.onText == nil {
 		return nil
 	}
-	if err := g.forward(text); err != nil {
+	if err := g.onText(text); err != nil {
 		return errCallerLeft
 	}
 	return nil
--- a/internal/pipeline/generate_test.go
+++ b/internal/pipeline/generate_test.go
@@ -22,20 +22,23 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// quiet observes nothing and suspects nobody.
-type quiet struct{ Suspicion }
+// noopHooks implements Observer and Suspicion. It records nothing and suspects
+// no request.
+type noopHooks struct{ Suspicion }
 
-func (quiet) Charged(Charge)                                            {}
-func (quiet) StageDone(string, string, string, time.Duration)           {}
-func (quiet) CallFailed(string, string, string, error)                  {}
-func (quiet) Check(suspect.Fingerprint) suspect.Verdict                 { return "" }
-func (quiet) RequestPermission(suspect.Fingerprint) suspect.Permission  { return suspect.Unrestricted }
-func (quiet) MayContinue(suspect.Fingerprint, suspect.Permission) bool  { return true }
-func (quiet) Watch(suspect.Fingerprint, func()) func()                  { return func() {} }
-func (quiet) ReleasePermission(suspect.Fingerprint, suspect.Permission) {}
+func (noopHooks) Charged(Charge)                                  {}
+func (noopHooks) StageDone(string, string, string, time.Duration) {}
+func (noopHooks) CallFailed(string, string, string, error)        {}
+func (noopHooks) Check(suspect.Fingerprint) suspect.Verdict       { return "" }
+func (noopHooks) RequestPermission(suspect.Fingerprint) suspect.Permission {
+	return suspect.Unrestricted
+}
+func (noopHooks) MayContinue(suspect.Fingerprint, suspect.Permission) bool  { return true }
+func (noopHooks) Watch(suspect.Fingerprint, func()) func()                  { return func() {} }
+func (noopHooks) ReleasePermission(suspect.Fingerprint, suspect.Permission) {}
 
-// executorWith runs requests at one engine.
-func executorWith(t *testing.T, engine http.HandlerFunc) *Executor {
+// newTestExecutor returns an executor with a single engine.
+func newTestExecutor(t *testing.T, engine http.HandlerFunc) *Executor {
 	t.Helper()
 	server := httptest.NewServer(engine)
 	t.Cleanup(server.Close)
@@ -47,25 +50,24 @@
 	}}, time.Now())
 	return &Executor{
 		Targets: targets, Client: target.NewClient(1 << 20), Budgets: &retry.Budgets{}, Latencies: NewLatencyTracker(),
-		Observer: quiet{}, Suspicion: quiet{},
+		Observer: noopHooks{}, Suspicion: noopHooks{},
 	}
 }
 
-func oneStage(tokens int) *Request {
+func singleStageRequest(maxTokens int) *Request {
 	return &Request{
-		ID: "r", Customer: "granite", Input: "x", MaxTokens: tokens,
+		ID: "r", Customer: "granite", Input: "x", MaxTokens: maxTokens,
 		Pipeline: config.Pipeline{Name: "p", Stages: []config.Stage{{Name: "generate", Pool: "llm"}}},
 		Pools:    map[string]config.Pool{"llm": {Name: "llm", Kind: config.TargetEngine}},
 	}
 }
 
-// An engine's stream is cut after its last token and before its end mark.
-// Nothing is missing. Asking another engine for the rest, which is no token at
-// all, would make it generate as many as it does by default, and the caller
-// would get words behind the end.
-func TestStreamCutBehindItsLastTokenIsWhole(t *testing.T) {
+// An engine's stream breaks after its last token but before [DONE]. The text is
+// complete. Asking another engine for the remaining zero tokens would make it
+// generate its default number, and the caller would get text after the end.
+func TestStreamCutAfterLastTokenIsComplete(t *testing.T) {
 	var calls atomic.Int64
-	x := executorWith(t, func(w http.ResponseWriter, r *http.Request) {
+	x := newTestExecutor(t, func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
 		id := r.Header.Get(targetapi.HeaderRequestID)
 		w.Header().Set(targetapi.HeaderRequestID, id)
@@ -77,16 +79,16 @@
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	got, prob := x.Run(ctx, oneStage(3))
+	got, prob := x.Run(ctx, singleStageRequest(3))
 	assert.Assert(t, prob == nil, "%v", prob)
 	assert.Equal(t, got.Output, "a b c")
 	assert.Equal(t, got.Usage.CompletionTokens, 3)
 	assert.Equal(t, calls.Load(), int64(1))
 }
 
-// A rerank answer that names a document twice would put one document before
-// the engine twice and lose another.
-func TestRerankAnswerThatNamesADocumentTwiceIsRefused(t *testing.T) {
+// A rerank answer that names a document twice would send one document to the
+// engine twice and drop another.
+func TestRerankAnswerWithDuplicateDocumentIsRejected(t *testing.T) {
 	id := target.Identity{Request: "r", Stage: "s", Attempt: 1}
 	for body, good := range map[string]bool{
 		`{"id":"r/s/1","results":[{"index":1},{"index":0}]}`: true,
@@ -100,7 +102,8 @@
 	}
 }
 
-// Stages may answer anything. It is read, or it is a failure of the stage.
+// Stages may return arbitrary answers. Each is either parsed or a failure of
+// the stage.
 func FuzzStageAnswers(f *testing.F) {
 	f.Add([]byte(`{"data":[{"index":0,"embedding":[0.5,1]}]}`))
 	f.Add([]byte(`{"search_query":"q","data":[{"content":"d"}]}`))
@@ -119,7 +122,7 @@
 			assert.Assert(t, len(p.docs) <= len(docs))
 		}
 		g := &generation{maxTokens: 4}
-		if _, err := g.event(body, "cmpl-"+id.String()); err != nil {
+		if _, err := g.handleEvent(body, "cmpl-"+id.String()); err != nil {
 			assert.Equal(t, g.tokens, 0)
 		}
 	})
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -1,5 +1,5 @@
-// Package pipeline runs one request through the stages of its pipeline under
-// one deadline.
+// Package pipeline runs a request through the stages of its pipeline under one
+// deadline.
 package pipeline
 
 import (
@@ -15,32 +15,33 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// Request is one request for a pipeline. Its deadline is the context's.
+// Request is a request to a pipeline. Its deadline is that of the context.
 type Request struct {
 	ID        string
 	Customer  string
 	Pipeline  config.Pipeline
 	Pools     map[string]config.Pool
 	Input     string
-	MaxTokens int // zero means the stage's own
+	MaxTokens int // zero means the stage's own limit
 	Priority  int
-	// Hedge says how freely slow stages are hedged: 0 never, 1 as the budget
-	// allows.
+	// Hedge is how freely slow stages are hedged: 0 never, 1 as far as the
+	// budget allows.
 	Hedge float64
-	// Pack says how far generations are put together on few engines, which
-	// costs less and takes longer: 0 not at all, 1 as far as the deadline allows.
+	// Pack is how far generations are packed onto few engines, which costs less
+	// but takes longer: 0 not at all, 1 as far as the deadline allows.
 	Pack float64
-	// OnText, where not nil, gets the generated text piece by piece. An error
-	// says that the caller left.
+	// OnText, if not nil, is called with each piece of the generated text. An
+	// error means that the caller disconnected.
 	OnText func(text string) error
 }
 
-// Fingerprint identifies the request by what its targets do for it.
+// Fingerprint identifies the request by the content that determines what its
+// targets do.
 func (r *Request) Fingerprint() suspect.Fingerprint {
 	return suspect.FingerprintOf(r.Customer, r.Pipeline.Name, r.Input)
 }
 
-// StageReport is what one stage took.
+// StageReport describes how one stage was executed.
 type StageReport struct {
 	Name     string  `json:"name"`
 	Target   string  `json:"target"`
@@ -48,17 +49,17 @@
 	Millis   float64 `json:"millis"`
 }
 
-// Result is the answer to a request.
+// Result is the result of a request.
 type Result struct {
 	Output string
 	Usage  targetapi.Usage
 	Stages []StageReport
 }
 
-// Waste says why a call at a target was of no use.
+// Waste is the reason why a call's result was not used.
 type Waste string
 
-// The reasons.
+// Reasons for wasted calls; NoWaste means that the result was used.
 const (
 	NoWaste       Waste = ""
 	WasteHedge    Waste = "hedge_lost"
@@ -66,43 +67,47 @@
 	WasteCanceled Waste = "cancelled"
 )
 
-// Charge is what one call at a target cost.
+// Charge is the cost of one call at a target.
 type Charge struct {
 	Customer, Pipeline, Stage string
-	// Pool and Target, an address, say who was called, Took how long this
+	// Pool and Target (an address) identify the target, Took is how long this
 	// process waited for it.
 	Pool, Target string
 	Took         time.Duration
-	// EngineTime is what the target said; zero where it gave no answer.
+	// EngineTime is the time that the target reported; zero if it gave no
+	// answer.
 	EngineTime time.Duration
 	Usage      targetapi.Usage
 	Waste      Waste
 }
 
-// Observer is told what happens. Its methods are called from many goroutines.
+// Observer is notified of stages and calls. Its methods are called
+// concurrently.
 type Observer interface {
 	// Charged is called once for each call at a target that may have run.
 	Charged(Charge)
-	// StageDone is called for each stage that ended well.
+	// StageDone is called for each stage that succeeded.
 	StageDone(customer, pipeline, stage string, took time.Duration)
 	// CallFailed is called for each failed call at a target.
 	CallFailed(requestID, stage, address string, err error)
 }
 
-// Suspicion knows of requests that are suspected of crashing targets, and
-// tells the peers.
+// Suspicion tracks requests that are suspected of crashing targets and shares
+// the evidence with the peers.
 type Suspicion interface {
 	RecordCrash(f suspect.Fingerprint, address string)
 	RecordSuccess(f suspect.Fingerprint)
 	Check(f suspect.Fingerprint) suspect.Verdict
-	// RequestPermission says how a request may run now; Done ends what it gave.
+	// RequestPermission returns how a request may run now. ReleasePermission
+	// gives back a permission.
 	RequestPermission(f suspect.Fingerprint) suspect.Permission
-	ReleasePermission(f suspect.Fingerprint, leave suspect.Permission)
-	// MayContinue says whether what Ask gave still stands; Watch has fn called when
-	// it may have changed, until stop is called.
-	MayContinue(f suspect.Fingerprint, leave suspect.Permission) bool
+	ReleasePermission(f suspect.Fingerprint, permission suspect.Permission)
+	// MayContinue reports whether a permission is still valid. Watch calls fn
+	// when that may have changed, until stop is called.
+	MayContinue(f suspect.Fingerprint, permission suspect.Permission) bool
 	Watch(f suspect.Fingerprint, fn func()) (stop func())
-	// Quarantine says on which of a pool's targets a suspect may run.
+	// Quarantine returns a filter for the targets of a pool that a suspect may
+	// use.
 	Quarantine(pool string) func(address string) bool
 }
 
@@ -118,18 +123,19 @@
 	Prefixes Prefixes
 }
 
-// Prefixes knows which target has which prompt prefix cached.
+// Prefixes tracks which target has which prompt prefixes cached.
 type Prefixes interface {
-	// SavedTime gives the prefill time saved at each target for a prompt.
+	// SavedTime returns the prefill time that each target's cache would save for a
+	// prompt.
 	SavedTime(pool, prompt string) func(address string) time.Duration
-	// RecordPrompt notes that a target has worked on a prompt.
+	// RecordPrompt records that a prompt was sent to a target.
 	RecordPrompt(pool, address, prompt string)
-	// RecordUsage notes how many tokens a prompt had.
+	// RecordUsage records how many tokens a prompt had.
 	RecordUsage(pool, prompt string, usage targetapi.Usage)
 }
 
-// work is what has been made of a request so far.
-type work struct {
+// requestState accumulates the results of a request's stages.
+type requestState struct {
 	req    *Request
 	vector []float32
 	docs   []string
@@ -137,16 +143,16 @@
 	usage  targetapi.Usage
 }
 
-// Run takes the request through all stages. Errors are problems for the
-// caller; a stage's result is used only by the request that asked for it.
+// Run runs the request through all stages. Errors are problems for the caller.
+// A stage's result is used only for the request that asked for it.
 func (x *Executor) Run(ctx context.Context, req *Request) (*Result, *problem.Problem) {
-	if p := x.turnAway(req); p != nil {
+	if p := x.refuseConvicted(req); p != nil {
 		return nil, p
 	}
-	w := &work{req: req}
+	state := &requestState{req: req}
 	result := &Result{}
 	for i := range req.Pipeline.Stages {
-		report, p := x.stage(ctx, w, i, result)
+		report, p := x.runStage(ctx, state, i, result)
 		if p != nil {
 			p.RequestID = req.ID
 			return nil, p
@@ -156,45 +162,45 @@
 	if x.Suspicion.Check(req.Fingerprint()) == suspect.Suspected {
 		x.Suspicion.RecordSuccess(req.Fingerprint())
 	}
-	result.Output = w.output
-	result.Usage = w.usage
+	result.Output = state.output
+	result.Usage = state.usage
 	return result, nil
 }
 
-// turnAway refuses a request that is known to crash its targets.
-func (x *Executor) turnAway(req *Request) *problem.Problem {
+// refuseConvicted refuses a request that is known to crash its targets.
+func (x *Executor) refuseConvicted(req *Request) *problem.Problem {
 	if x.Suspicion.Check(req.Fingerprint()) == suspect.Convicted {
-		return convicted(problem.NotRun)
+		return convictedProblem(problem.NotRun)
 	}
 	return nil
 }
 
-func convicted(execution problem.Execution) *problem.Problem {
+func convictedProblem(execution problem.Execution) *problem.Problem {
 	return problem.New(422, "crashes-targets", "Request crashes its targets",
 		"Two targets died while they ran this request. It will not be tried again.", execution)
 }
 
-func (x *Executor) stage(ctx context.Context, w *work, index int, soFar *Result) (StageReport, *problem.Problem) {
-	stage := w.req.Pipeline.Stages[index]
-	pool, ok := w.req.Pools[stage.Pool]
+func (x *Executor) runStage(ctx context.Context, state *requestState, index int, soFar *Result) (StageReport, *problem.Problem) {
+	stage := state.req.Pipeline.Stages[index]
+	pool, ok := state.req.Pools[stage.Pool]
 	if !ok {
 		return StageReport{}, problem.New(500, "no-pool", "Pipeline is not complete",
-			"Stage "+stage.Name+" names a pool that doesn't exist.", ranIf(index > 0))
+			"Stage "+stage.Name+" names a pool that doesn't exist.", executionIf(index > 0))
 	}
-	run := newStageRun(x, w, index, pool)
-	p := run.do(ctx)
+	run := newStageRun(x, state, index, pool)
+	p := run.execute(ctx)
 	report := StageReport{
 		Name: stage.Name, Target: run.answeredBy, Attempts: run.attempts,
 		Millis: float64(time.Since(run.since).Microseconds()) / 1000,
 	}
 	if p == nil {
-		x.Latencies.Observe(w.req.Pipeline.Name, stage.Name, time.Since(run.since))
-		x.Observer.StageDone(w.req.Customer, w.req.Pipeline.Name, stage.Name, time.Since(run.since))
+		x.Latencies.Observe(state.req.Pipeline.Name, stage.Name, time.Since(run.since))
+		x.Observer.StageDone(state.req.Customer, state.req.Pipeline.Name, stage.Name, time.Since(run.since))
 	}
 	return report, p
 }
 
-func ranIf(ran bool) problem.Execution {
+func executionIf(ran bool) problem.Execution {
 	if ran {
 		return problem.Ran
 	}
--- a/internal/pipeline/stall.go
+++ b/internal/pipeline/stall.go
@@ -7,79 +7,82 @@
 	"time"
 )
 
-// errStalled ends an attempt whose stream stands still.
-var errStalled = errors.New("pipeline: the stream stands still")
+// errStalled ends an attempt whose stream stalled.
+var errStalled = errors.New("pipeline: the stream stalled")
 
 const (
-	// firstShare and nextShare are the parts of the time left that a stream
-	// may stand still before its first event and between two later ones.
-	firstShare = 0.5
-	nextShare  = 0.25
-	// shortestStall keeps a short pause of a busy VM from counting.
-	shortestStall = 250 * time.Millisecond
-	longestStall  = 5 * time.Second
+	// firstEventShare and laterEventShare are the fractions of the remaining
+	// time that a stream may pause before its first event and between later
+	// ones.
+	firstEventShare = 0.5
+	laterEventShare = 0.25
+	// minStallLimit keeps short pauses of a busy VM from counting as a stall.
+	minStallLimit = 250 * time.Millisecond
+	maxStallLimit = 5 * time.Second
 )
 
-// stallLimit is how long a stream may stand still with so much time left.
-func stallLimit(left time.Duration, moved bool) time.Duration {
-	share := firstShare
-	if moved {
-		share = nextShare
+// stallLimit returns how long a stream may pause with the given time left.
+// started is true once an event has come.
+func stallLimit(left time.Duration, started bool) time.Duration {
+	share := firstEventShare
+	if started {
+		share = laterEventShare
 	}
 	limit := time.Duration(share * float64(left))
-	return min(max(limit, shortestStall), longestStall)
+	return min(max(limit, minStallLimit), maxStallLimit)
 }
 
-// stallWatch leaves an engine that stands still while there is time to go on
-// at another. A frozen engine keeps its connections, so that without this the
-// caller would wait until its deadline and get half an answer.
+// stallWatch abandons an engine whose stream stalls while there is time to
+// continue at another. A frozen engine keeps its connections open, so without
+// this the caller would wait until its deadline and get a partial answer.
 type stallWatch struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	timer  *time.Timer
-	left   atomic.Bool
+	ctx       context.Context
+	cancel    context.CancelFunc
+	timer     *time.Timer
+	abandoned atomic.Bool
 }
 
-// watchStall gives a context that ends when the stream stands still and
-// mayLeave agrees; else the stream is waited for.
-func watchStall(ctx context.Context, mayLeave func() bool) (context.Context, *stallWatch) {
+// watchStall returns a context that ends when the stream stalls and mayAbandon
+// returns true. Otherwise the stream continues.
+func watchStall(ctx context.Context, mayAbandon func() bool) (context.Context, *stallWatch) {
 	watched, cancel := context.WithCancel(ctx)
 	w := &stallWatch{ctx: ctx, cancel: cancel}
 	w.timer = time.AfterFunc(stallLimit(remaining(ctx), false), func() {
-		if !mayLeave() {
+		if !mayAbandon() {
 			return
 		}
-		w.left.Store(true)
+		w.abandoned.Store(true)
 		cancel()
 	})
 	return watched, w
 }
 
-// moved notes that an event came.
-func (w *stallWatch) moved() { w.timer.Reset(stallLimit(remaining(w.ctx), true)) }
+// progressed records that an event came.
+func (w *stallWatch) progressed() { w.timer.Reset(stallLimit(remaining(w.ctx), true)) }
 
-func (w *stallWatch) stalled() bool { return w.left.Load() }
+func (w *stallWatch) stalled() bool { return w.abandoned.Load() }
 
 func (w *stallWatch) stop() {
 	w.timer.Stop()
 	w.cancel()
 }
 
-// mayLeaveStalled takes the retry out of the budget beforehand: without one
-// the stalled stream is still the best hope.
-func (r *stageRun) mayLeaveStalled() bool {
-	if r.x.Budgets.Allow(r.budget(), time.Now()) {
-		r.stallPaid.Store(true)
+// prepayRetry takes the retry from the budget in advance. Without a retry the
+// stalled stream is the only chance for an answer.
+func (r *stageRun) prepayRetry() bool {
+	if r.executor.Budgets.Allow(r.budgetKey(), time.Now()) {
+		r.retryPrepaid.Store(true)
 		return true
 	}
 	return false
 }
 
-// stalledTarget is after what time a failed generation speaks against its
-// target: at once if it stood still, never if only the deadline passed.
-func stalledTarget(w *stallWatch) time.Duration {
+// slowAfterStall returns from which duration on a failed generation counts
+// against its target: at once if the stream stalled, never if only the deadline
+// passed.
+func slowAfterStall(w *stallWatch) time.Duration {
 	if w.stalled() {
 		return 0
 	}
-	return never
+	return noLimit
 }
--- a/internal/pipeline/stall_test.go
+++ b/internal/pipeline/stall_test.go
@@ -10,26 +10,26 @@
 
 func TestStallLimit(t *testing.T) {
 	tests := []struct {
-		name  string
-		left  time.Duration
-		moved bool
-		want  time.Duration
+		name    string
+		left    time.Duration
+		started bool
+		want    time.Duration
 	}{
 		{"before the first event", 4 * time.Second, false, 2 * time.Second},
 		{"between events", 4 * time.Second, true, time.Second},
-		{"little time left", 400 * time.Millisecond, true, shortestStall},
-		{"very long deadline", time.Hour, false, longestStall},
+		{"little time left", 400 * time.Millisecond, true, minStallLimit},
+		{"very long deadline", time.Hour, false, maxStallLimit},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			assert.Equal(t, stallLimit(tc.left, tc.moved), tc.want)
+			assert.Equal(t, stallLimit(tc.left, tc.started), tc.want)
 		})
 	}
 }
 
-// An engine freezes in the middle of a stream and keeps its connections. The
-// caller would see the text stop and wait until its deadline.
-func TestStalledStreamIsLeft(t *testing.T) {
+// An engine freezes in the middle of a stream and keeps its connections open.
+// Without a stall limit the caller would wait until its deadline for more text.
+func TestStalledStreamIsAbandoned(t *testing.T) {
 	deadline, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	watched, watch := watchStall(deadline, func() bool { return true })
@@ -40,7 +40,7 @@
 	assert.NilError(t, deadline.Err())
 }
 
-func TestStalledStreamIsWaitedForWithoutBudget(t *testing.T) {
+func TestStalledStreamContinuesWithoutRetryBudget(t *testing.T) {
 	asked := make(chan struct{})
 	watched, watch := watchStall(context.Background(), func() bool {
 		close(asked)
