--- a/internal/command/claim/batch.go
+++ b/internal/command/claim/batch.go
@@ -11,85 +11,87 @@
 	"github.com/vanillagate/vanillagate/internal/backing"
 )
 
-// Bounds of a batch. A claim that comes alone waits gatherTime at most; while
-// inFlight transactions are on their way, or the pace is used up, the next one
-// gathers.
+// Limits of a batch. A single claim waits at most batchDelay for others to join
+// its transaction. While maxTxInFlight transactions are in flight, or the rate
+// limit is used up, writes accumulate for the next batch.
 const (
-	maxBatch   = 50
-	inFlight   = 2
-	gatherTime = 2 * time.Millisecond
-	queueSize  = 4096
+	maxBatch      = 50
+	maxTxInFlight = 2
+	batchDelay    = 2 * time.Millisecond
+	queueSize     = 4096
 )
 
-// placed says what became of one write of a batch.
-type placed struct {
-	// done says that the write took effect.
-	done bool
-	// found is the row that stands in its place.
+// writeResult is the result of one write of a batch.
+type writeResult struct {
+	// applied is set if the write took effect.
+	applied bool
+	// found is the existing row that made the write's condition fail.
 	found *backing.Row
 	err   error
 }
 
-// pending is one write that waits for its batch.
+// pending is one write that waits to be sent in a batch.
 type pending struct {
 	write  backing.Write
-	result chan placed // has room for the one result
-	// taken is set once, by the batcher that sends the write or by the waiter
-	// that leaves before. It tells "certainly not sent" from "may have been".
-	taken atomic.Bool
+	result chan writeResult // buffered for one result
+	// dequeued is set once, either by the batcher when it adds the write to a
+	// batch or by the waiting caller when it gives up first. It separates
+	// writes that were certainly not sent from those that may have been.
+	dequeued atomic.Bool
 }
 
-// errQueueFull is a write that was never sent.
+// errQueueFull is the error of a write that was never sent.
 var errQueueFull = errors.Join(errors.New("claim: too many claims are waiting"), backing.ErrNotRun)
 
-// batcher puts the writes of many requests into few transactions: a few
-// hundred writes a second are all that the store gives.
+// batcher combines the writes of many requests into few transactions, because
+// the store handles only a few hundred writes per second.
 type batcher struct {
-	table backing.Table
-	queue chan *pending
-	slots chan struct{} // one for each transaction in flight
-	pace  *pace         // used by run alone
+	table   backing.Table
+	queue   chan *pending
+	slots   chan struct{} // one entry per transaction in flight
+	limiter *txLimiter    // used only by run
 }
 
 func newBatcher(table backing.Table) *batcher {
 	return &batcher{
-		table: table,
-		queue: make(chan *pending, queueSize),
-		slots: make(chan struct{}, inFlight),
-		pace:  newPace(time.Now()),
+		table:   table,
+		queue:   make(chan *pending, queueSize),
+		slots:   make(chan struct{}, maxTxInFlight),
+		limiter: newTxLimiter(time.Now()),
 	}
 }
 
-// write places one row and waits for what became of it.
-func (b *batcher) write(ctx context.Context, w backing.Write) placed {
-	p := &pending{write: w, result: make(chan placed, 1)}
+// write queues one write and waits for its result.
+func (b *batcher) write(ctx context.Context, w backing.Write) writeResult {
+	p := &pending{write: w, result: make(chan writeResult, 1)}
 	select {
 	case b.queue <- p:
 	default:
-		return placed{err: errQueueFull}
+		return writeResult{err: errQueueFull}
 	}
 	select {
 	case result := <-p.result:
 		return result
 	case <-ctx.Done():
 	}
-	if p.taken.CompareAndSwap(false, true) {
-		return placed{err: fmt.Errorf("%w: %w", backing.ErrNotRun, context.Cause(ctx))}
+	if p.dequeued.CompareAndSwap(false, true) {
+		return writeResult{err: fmt.Errorf("%w: %w", backing.ErrNotRun, context.Cause(ctx))}
 	}
-	return placed{err: fmt.Errorf("%w: %w", backing.ErrUnknown, context.Cause(ctx))}
+	return writeResult{err: fmt.Errorf("%w: %w", backing.ErrUnknown, context.Cause(ctx))}
 }
 
-// run sends batches until the context ends, then waits for those in flight.
+// run sends batches until the context ends, then waits for the transactions in
+// flight.
 func (b *batcher) run(ctx context.Context) {
 	var sending sync.WaitGroup
 	defer sending.Wait()
-	var held []*pending
+	var nextWrites []*pending
 	for {
-		batch, rest, ok := b.gather(ctx, held)
+		batch, rest, ok := b.collect(ctx, nextWrites)
 		if !ok {
 			return
 		}
-		held = rest
+		nextWrites = rest
 		sending.Go(func() {
 			defer func() { <-b.slots }()
 			b.send(context.WithoutCancel(ctx), batch)
@@ -97,15 +99,18 @@
 	}
 }
 
-// gather waits for a slot and a first write, then for others.
-func (b *batcher) gather(ctx context.Context, held []*pending) (batch, rest []*pending, ok bool) {
+// collect waits for a free transaction slot and a first write, then collects
+// more writes until the batch is full or the delay has passed. carried are the
+// writes that did not fit into the batch before. It returns the batch and the
+// writes that are deferred to the next one.
+func (b *batcher) collect(ctx context.Context, carried []*pending) (batch, rest []*pending, ok bool) {
 	select {
 	case b.slots <- struct{}{}:
 	case <-ctx.Done():
 		return nil, nil, false
 	}
 	builder := newBatch()
-	for _, p := range held {
+	for _, p := range carried {
 		builder.add(p)
 	}
 	for builder.empty() {
@@ -117,31 +122,32 @@
 			return nil, nil, false
 		}
 	}
-	timer := time.NewTimer(max(gatherTime, b.pace.wait(time.Now())))
+	timer := time.NewTimer(max(batchDelay, b.limiter.delay(time.Now())))
 	defer timer.Stop()
-	defer func() { b.pace.spend(time.Now()) }()
+	defer func() { b.limiter.recordTx(time.Now()) }()
 	for {
-		// A full batch goes out at once: it is what the pace is there for.
+		// A full batch is sent at once: the rate limit only exists to fill
+		// batches.
 		if builder.full() {
-			return builder.writes, builder.rest, true
+			return builder.writes, builder.deferred, true
 		}
 		select {
 		case p := <-b.queue:
 			builder.add(p)
 		case <-timer.C:
-			return builder.writes, builder.rest, true
+			return builder.writes, builder.deferred, true
 		case <-ctx.Done():
-			return builder.writes, builder.rest, true
+			return builder.writes, builder.deferred, true
 		}
 	}
 }
 
-// batch is one transaction being put together. A transaction must not name a
-// row twice, so a second write of a row is held for the next one.
+// batch is a transaction under construction. A transaction must not name a row
+// twice, so a second write to the same row is deferred to the next batch.
 type batch struct {
-	writes []*pending
-	rest   []*pending
-	keys   map[backing.Key]bool
+	writes   []*pending
+	deferred []*pending
+	keys     map[backing.Key]bool
 }
 
 func newBatch() *batch { return &batch{keys: map[backing.Key]bool{}} }
@@ -151,34 +157,34 @@
 
 func (b *batch) add(p *pending) {
 	if b.full() || b.keys[p.write.Row.Key] {
-		b.rest = append(b.rest, p)
+		b.deferred = append(b.deferred, p)
 		return
 	}
-	if !p.taken.CompareAndSwap(false, true) {
-		return // its caller has gone
+	if !p.dequeued.CompareAndSwap(false, true) {
+		return // its caller has given up
 	}
 	b.keys[p.write.Row.Key] = true
 	b.writes = append(b.writes, p)
 }
 
-// send commits a batch. One write whose condition fails cancels the whole
+// send commits a batch. A single write whose condition fails cancels the whole
 // transaction, so the others are sent again without it.
 func (b *batcher) send(ctx context.Context, writes []*pending) {
 	for len(writes) > 0 {
-		conflicts, err := b.table.Commit(ctx, writesOf(writes))
+		conflicts, err := b.table.Commit(ctx, rowWrites(writes))
 		if err != nil {
-			answer(writes, placed{err: err})
+			deliverAll(writes, writeResult{err: err})
 			return
 		}
 		if len(conflicts) == 0 {
-			answer(writes, placed{done: true})
+			deliverAll(writes, writeResult{applied: true})
 			return
 		}
-		writes = without(writes, conflicts)
+		writes = dropConflicting(writes, conflicts)
 	}
 }
 
-func writesOf(all []*pending) []backing.Write {
+func rowWrites(all []*pending) []backing.Write {
 	writes := make([]backing.Write, 0, len(all))
 	for _, p := range all {
 		writes = append(writes, p.write)
@@ -186,17 +192,17 @@
 	return writes
 }
 
-func answer(all []*pending, result placed) {
+func deliverAll(all []*pending, result writeResult) {
 	for _, p := range all {
 		p.result <- result
 	}
 }
 
-func without(all []*pending, conflicts []backing.Conflict) []*pending {
+func dropConflicting(all []*pending, conflicts []backing.Conflict) []*pending {
 	lost := map[int]bool{}
 	for _, c := range conflicts {
 		lost[c.Index] = true
-		all[c.Index].result <- placed{found: c.Found}
+		all[c.Index].result <- writeResult{found: c.Found}
 	}
 	var rest []*pending
 	for i, p := range all {
--- a/internal/command/claim/claim.go
+++ b/internal/command/claim/claim.go
@@ -1,8 +1,8 @@
-// Package claim has a non-idempotent request run at most once. Before a
-// request is sent to a target, an entry process inserts a claim under the
-// caller's idempotency key; whoever finds a claim there does not send. The
-// outcome is recorded under the claim, so that a caller that asks again gets
-// the same whole answer at any entry VM.
+// Package claim makes a non-idempotent request run at most once. Before an
+// entry process sends the request to a target, it inserts a claim row under the
+// caller's idempotency key. A process that finds an existing claim does not
+// send the request. The outcome is recorded in the claim, so a caller that
+// repeats the request at any entry VM gets the same complete answer.
 package claim
 
 import (
@@ -16,18 +16,19 @@
 	"github.com/vanillagate/vanillagate/internal/peer"
 )
 
-// Token orders the holders of one claim. It is the version of the claim's row
-// that gave the holder its right: it grows with every change of the row, and
-// targets that check fencing tokens refuse a lower one than they have seen.
+// Token is the fencing token of a claim's holder: the version of the claim's
+// row that granted the claim. It grows with every change of the row, and
+// targets that check fencing tokens refuse a lower token than the highest that
+// they have seen.
 type Token uint64
 
-// String is the token as sent in the Fencing-Token header.
+// String returns the token as it is sent in the Fencing-Token header.
 func (t Token) String() string { return strconv.FormatUint(uint64(t), 10) }
 
-// Fingerprint tells one request from another under the same idempotency key.
+// Fingerprint distinguishes different requests under the same idempotency key.
 type Fingerprint string
 
-// FingerprintOf covers everything that makes a request what it is.
+// FingerprintOf returns a hash of method, path and body.
 func FingerprintOf(method, path string, body []byte) Fingerprint {
 	sum := sha256.New()
 	fmt.Fprintf(sum, "%q %q ", method, path)
@@ -35,7 +36,7 @@
 	return Fingerprint(hex.EncodeToString(sum.Sum(nil)))
 }
 
-// Identity names a claim.
+// Identity is the key of a claim.
 type Identity struct {
 	Customer       string
 	IdempotencyKey string
@@ -45,17 +46,17 @@
 	return backing.Key{Partition: "claim/" + id.Customer, Sort: id.IdempotencyKey}
 }
 
-// Request asks for the claim of one request.
+// Request holds the data of one attempt to claim a request.
 type Request struct {
 	Identity
-	// RequestID and Incarnation tell our own row from another's after a lost
-	// answer. A request ID is used for one Claim call only.
+	// RequestID and Incarnation identify our own row after the answer to a
+	// write was lost. A request ID is used for one Claim call only.
 	RequestID   string
 	Incarnation peer.Incarnation
 	Fingerprint Fingerprint
 }
 
-// Holder is who has a claim.
+// Holder identifies the request and process that hold a claim.
 type Holder struct {
 	RequestID   string           `json:"request_id"`
 	Incarnation peer.Incarnation `json:"incarnation"`
@@ -63,15 +64,16 @@
 
 func (r Request) holder() Holder { return Holder{RequestID: r.RequestID, Incarnation: r.Incarnation} }
 
-// State says how far a claim is.
+// State is the state of a claim.
 type State string
 
 // The states of a claim.
 const (
-	// Held: the holder may have sent the request to a target, or may yet.
+	// Held: the holder may have sent the request to a target or may still send
+	// it.
 	Held State = "held"
-	// Released: the holder certainly did not have the request run, and gave
-	// the claim up.
+	// Released: the request certainly did not run and the holder gave the claim
+	// up.
 	Released State = "released"
 	// Finished: the outcome is recorded.
 	Finished State = "finished"
@@ -85,28 +87,29 @@
 	Outcome     *RecordedAnswer `json:"outcome,omitempty"`
 }
 
-// Answer is what the target answered and the caller gets, also when it asks
-// again.
+// Answer is the target's answer. Callers that repeat the request get the same
+// answer.
 type Answer struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// RecordedAnswer is an Answer as it stands in a claim's row.
+// RecordedAnswer is an Answer as stored in a claim's row.
 type RecordedAnswer struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
-	// Body is the answer's body, unless Object names where it stands.
+	// Body is the answer's body, unless it is stored in the object named
+	// Object.
 	Body   []byte `json:"body,omitempty"`
 	Object string `json:"object,omitempty"`
-	// Size and Sum (hex SHA-256) of the body guard against half an object, or
-	// another one.
+	// Size and Sum (hex SHA-256) of the body detect a truncated or replaced
+	// object.
 	Size int    `json:"size"`
 	Sum  string `json:"sum"`
 }
 
-// Grant is the right to send a request to a target once.
+// Grant permits its holder to send the request to a target once.
 type Grant struct {
 	Request
 	Token Token
@@ -123,7 +126,7 @@
 func encodeRow(row Row) []byte {
 	raw, err := json.Marshal(row)
 	if err != nil {
-		panic(fmt.Sprintf("claim: encode: %v", err))
+		panic(fmt.Sprintf("claim: encode row: %v", err))
 	}
 	return raw
 }
--- a/internal/command/claim/claims.go
+++ b/internal/command/claim/claims.go
@@ -10,27 +10,29 @@
 	"github.com/vanillagate/vanillagate/internal/wait"
 )
 
-// Result says what became of a claim.
+// Result is the result of a claim.
 type Result int
 
 // The results.
 const (
-	// Claimed: Outcome.Grant is the right to send the request once.
+	// Claimed: Outcome.Grant permits sending the request once.
 	Claimed Result = iota + 1
-	// Taken: another holds the claim, Outcome.Holder. Where Outcome.Finished is
-	// set the request ran, and Outcome.Answer is what it got (nil, with Err,
-	// where the store that keeps it can't be read).
+	// Taken: another request, Outcome.Holder, has the claim. If
+	// Outcome.Finished is set, that request ran and Outcome.Answer is its
+	// answer (nil, with Err set, if the recorded answer can't be read).
 	Taken
-	// Mismatch: the key belongs to another request of this customer.
+	// Mismatch: the customer used this idempotency key for a different request.
 	Mismatch
-	// NotRun: the store certainly refused the claim, and this request was not
-	// sent. What an earlier request under the key did is not known.
+	// NotRun: the claim was certainly not written and this request was not
+	// sent. Whether an earlier request under the key ran is not known.
 	NotRun
-	// Unknown: the claim may stand or not. This request was not sent.
+	// Unknown: the claim may or may not have been written. This request was not
+	// sent.
 	Unknown
 )
 
-// Outcome is the answer to a Claim. Which fields are set depends on Result.
+// Outcome is the outcome of a Claim call. Result determines which fields are
+// set.
 type Outcome struct {
 	Result   Result
 	Grant    Grant
@@ -43,109 +45,111 @@
 const (
 	retryMin = 5 * time.Millisecond
 	retryMax = 200 * time.Millisecond
-	// laterMax is the longest pause between tries that no caller waits for.
-	laterMax   = 2 * time.Second
-	maxRefused = 2
-	pollPeriod = 100 * time.Millisecond
-	// pollsPerClaim reads stand between two tries to claim.
+	// backgroundRetryMax is the longest pause between retries in the
+	// background, where no caller waits.
+	backgroundRetryMax = 2 * time.Second
+	maxRefusals        = 2
+	pollPeriod         = 100 * time.Millisecond
+	// pollsPerClaim is the number of reads between two attempts to claim.
 	pollsPerClaim = 20
 )
 
-// Claims makes and finishes the claims of one entry process.
+// Claims creates and finishes the claims of one entry process.
 type Claims struct {
-	table   backing.Table
-	objects backing.ObjectStore
-	batches *batcher
-	silence *silence
-	later   *later
+	table      backing.Table
+	objects    backing.ObjectStore
+	batches    *batcher
+	silence    *silenceDetector
+	background *backgroundJobs
 }
 
-// New builds Claims; Run must run for them to work.
+// New returns a Claims whose methods work only while Run is running.
 func New(table backing.Table, objects backing.ObjectStore) *Claims {
 	return &Claims{
-		table:   table,
-		objects: objects,
-		batches: newBatcher(table),
-		silence: newSilence(time.Now),
-		later:   newLater(),
+		table:      table,
+		objects:    objects,
+		batches:    newBatcher(table),
+		silence:    newSilenceDetector(time.Now),
+		background: newBackgroundJobs(),
 	}
 }
 
-// Run sends the batches until the context ends.
+// Run sends the batched writes until the context ends.
 func (c *Claims) Run(ctx context.Context) { c.batches.run(ctx) }
 
-// Claim asks for the right to send a request. takeOverAllowed is as in Facts.
-// It returns by the context's deadline. A claim that may stand though it was
-// given up would block its key for good, so it is freed in the background.
+// Claim asks for permission to send a request, until the context's deadline.
+// takeOverAllowed is as in Facts. If the result is Unknown, the claim is
+// released in the background: it may have been written, and an unused claim
+// would block its key forever.
 func (c *Claims) Claim(ctx context.Context, req Request, takeOverAllowed bool) Outcome {
 	out := c.claim(ctx, req, takeOverAllowed)
 	if out.Result == Unknown {
-		c.later.do(0, func(ctx context.Context) { c.giveUp(ctx, req) })
+		c.background.start(0, func(ctx context.Context) { c.giveUp(ctx, req) })
 	}
 	return out
 }
 
 func (c *Claims) claim(ctx context.Context, req Request, takeOverAllowed bool) Outcome {
 	first := backing.Write{
-		Row: backing.Row{Key: req.rowKey(), Body: encodeRow(heldBy(req))},
+		Row: backing.Row{Key: req.rowKey(), Body: encodeRow(heldRow(req))},
 		If:  backing.IfAbsent,
 	}
-	try := &claiming{Claims: c, req: req, takeOverAllowed: takeOverAllowed, write: first}
+	call := &claimCall{Claims: c, req: req, takeOverAllowed: takeOverAllowed, write: first}
 	for pause := retryMin; ; pause = min(2*pause, retryMax) {
-		out, again := try.attempt(ctx)
+		out, again := call.attempt(ctx)
 		if !again {
 			return out
 		}
 		if !wait.Jittered(ctx, pause) {
-			return try.gaveUp()
+			return call.outcomeWithoutAnswer()
 		}
 	}
 }
 
-func heldBy(req Request) Row {
+func heldRow(req Request) Row {
 	return Row{Holder: req.holder(), Fingerprint: req.Fingerprint, State: Held}
 }
 
-// claiming is one Claim call.
-type claiming struct {
+// claimCall is the state of one Claim call.
+type claimCall struct {
 	*Claims
 	req             Request
 	takeOverAllowed bool
 	write           backing.Write
-	// mayStand says that the answer to a write of ours was lost.
-	mayStand bool
-	refused  int
+	// mayExist is set once the answer to one of our writes was lost.
+	mayExist bool
+	refusals int
 	lastErr  error
 }
 
-// attempt places the claim's row.
-func (c *claiming) attempt(ctx context.Context) (out Outcome, again bool) {
-	return c.take(ctx, c.batches.write(ctx, c.write))
+// attempt tries once to write the claim's row.
+func (c *claimCall) attempt(ctx context.Context) (out Outcome, again bool) {
+	return c.handleResult(ctx, c.batches.write(ctx, c.write))
 }
 
-// take goes by what became of a write. After a lost answer the same write is
-// made again: its condition fails where the lost one took effect, and the row
-// that is then found is our own.
-func (c *claiming) take(ctx context.Context, result placed) (out Outcome, again bool) {
+// handleResult evaluates the result of a write. After a lost answer the same
+// write is sent again: if the lost one took effect, its condition fails and the
+// row found is our own.
+func (c *claimCall) handleResult(ctx context.Context, result writeResult) (out Outcome, again bool) {
 	switch {
 	case result.err != nil:
-		return c.failed(result.err)
-	case result.done:
+		return c.handleError(result.err)
+	case result.applied:
 		return c.granted(backing.NextVersion(c.write)), false
 	case result.found == nil:
-		// The row that we wanted to replace is gone, or the store did not say
-		// what stands there: begin again with the insertion.
+		// The row to be replaced is gone, or the store did not return it: start
+		// again with the insertion.
 		c.write = backing.Write{Row: c.write.Row, If: backing.IfAbsent}
 		return Outcome{}, true
 	default:
-		return c.decide(ctx, result.found)
+		return c.handleExisting(ctx, result.found)
 	}
 }
 
-func (c *claiming) decide(ctx context.Context, row *backing.Row) (Outcome, bool) {
+func (c *claimCall) handleExisting(ctx context.Context, row *backing.Row) (Outcome, bool) {
 	found, err := decodeRow(row)
 	if err != nil {
-		return c.failed(err)
+		return c.handleError(err)
 	}
 	facts := Facts{TakeOverAllowed: c.takeOverAllowed, HolderSilent: c.silence.observe(c.req.Identity, row.Version)}
 	switch Decide(found, c.req, facts) {
@@ -163,52 +167,55 @@
 	}
 }
 
-// replay reads the recorded answer. A store that can't give it leaves the
-// request "ran": saying that it did not run would have it sent again.
-func (c *claiming) replay(ctx context.Context, found Row) Outcome {
-	answer, err := load(ctx, c.objects, found.Outcome)
+// replay reads the recorded answer. If the store can't return it, the request
+// still counts as run, because reporting "not run" would make the caller send
+// it again.
+func (c *claimCall) replay(ctx context.Context, found Row) Outcome {
+	answer, err := loadAnswer(ctx, c.objects, found.Outcome)
 	return Outcome{Result: Taken, Holder: found.Holder, Finished: true, Answer: answer, Err: err}
 }
 
-func (c *claiming) granted(version uint64) Outcome {
+func (c *claimCall) granted(version uint64) Outcome {
 	return Outcome{Result: Claimed, Grant: Grant{Request: c.req, Token: Token(version)}}
 }
 
-func (c *claiming) failed(err error) (Outcome, bool) {
+func (c *claimCall) handleError(err error) (Outcome, bool) {
 	c.lastErr = err
 	if !errors.Is(err, backing.ErrNotRun) {
-		c.mayStand = true
+		c.mayExist = true
 		return Outcome{}, true
 	}
-	c.refused++
-	if c.refused >= maxRefused {
-		return c.gaveUp(), false
+	c.refusals++
+	if c.refusals >= maxRefusals {
+		return c.outcomeWithoutAnswer(), false
 	}
 	return Outcome{}, true
 }
 
-// gaveUp ends a Claim without an answer of the store.
-func (c *claiming) gaveUp() Outcome {
-	if c.mayStand {
+// outcomeWithoutAnswer is the outcome of a Claim call for which the store gave
+// no usable answer.
+func (c *claimCall) outcomeWithoutAnswer() Outcome {
+	if c.mayExist {
 		return Outcome{Result: Unknown, Err: c.lastErr}
 	}
 	return Outcome{Result: NotRun, Err: c.lastErr}
 }
 
-// neverTakeOver: a claim is never taken from a silent holder. A fencing token
-// would stop the holder from sending late, but it may have had the request run
-// before it fell silent, and then a second run under a newer token passes every
-// check of the target. "Unknown" is the truth here.
+// neverTakeOver: a claim is never taken over from a silent holder. A fencing
+// token would stop the holder from sending late, but the request may have run
+// before the holder fell silent. A second run under a newer token would then
+// pass every check at the target. The correct answer in this case is "unknown".
 const neverTakeOver = false
 
-// ClaimOrWait is Claim, and where another request holds the claim it waits for
-// that one's outcome until the context's deadline, as long as the holder lives.
-// Taken without Finished then means that the deadline came first, or that the
-// holder died: its outcome won't come, and who waits is told so at once.
-func (c *Claims) ClaimOrWait(ctx context.Context, req Request, lives func(peer.Incarnation) bool) Outcome {
+// ClaimOrWait is like Claim, but if another request holds the claim it waits
+// for its outcome until the context's deadline, as long as the holder's process
+// is alive. A result of Taken without Finished means that the deadline passed
+// or that the holder died. In the latter case no outcome will come, so it
+// returns at once.
+func (c *Claims) ClaimOrWait(ctx context.Context, req Request, isAlive func(peer.Incarnation) bool) Outcome {
 	for {
 		out := c.Claim(ctx, req, neverTakeOver)
-		if out.Result != Taken || out.Finished || !lives(out.Holder.Incarnation) {
+		if out.Result != Taken || out.Finished || !isAlive(out.Holder.Incarnation) {
 			return out
 		}
 		if !c.waitForChange(ctx, req) {
@@ -217,9 +224,9 @@
 	}
 }
 
-// waitForChange polls with plain reads, which are cheaper than claims. It ends
-// when the claim is no longer held, or by itself after a while so that
-// a holder's silence is noticed.
+// waitForChange polls with reads, which are cheaper than claims. It returns
+// true when the claim is no longer held, or after pollsPerClaim reads so that
+// the next Claim call can notice a silent holder.
 func (c *Claims) waitForChange(ctx context.Context, req Request) bool {
 	for range pollsPerClaim {
 		if !wait.Jittered(ctx, pollPeriod) {
--- a/internal/command/claim/decide.go
+++ b/internal/command/claim/decide.go
@@ -1,43 +1,43 @@
 package claim
 
-// Decision says what a request does that finds a claim under its key.
+// Decision is how a request proceeds that finds a claim under its key.
 type Decision int
 
 // The decisions.
 const (
-	// Proceed: the claim is our own; its version is our token.
+	// Proceed: the claim is our own, and its version is our token.
 	Proceed Decision = iota + 1
-	// Reclaim: the claim was released; take it by compare-and-set.
+	// Reclaim: the claim was released; replace it by compare-and-set.
 	Reclaim
 	// TakeOver: the holder is silent and the targets check fencing tokens;
-	// take the claim by compare-and-set, which raises the token.
+	// replace the claim by compare-and-set, which increases the token.
 	TakeOver
-	// Replay: give the recorded answer.
+	// Replay: return the recorded answer.
 	Replay
-	// Wait: another holds the claim; only its outcome may be given.
+	// Wait: another request holds the claim; only its outcome may be returned.
 	Wait
-	// Refuse: the key belongs to another request.
+	// Refuse: the key was used for a different request.
 	Refuse
 )
 
-// Facts are what is known beside the claim's row.
+// Facts are the inputs of Decide besides the existing row and the request.
 type Facts struct {
-	// TakeOverAllowed says that every target of the pool refuses a request
-	// whose fencing token is lower than one that it has seen for the key, and
-	// that running the request once for each token is acceptable to those who
-	// run the pool. It must stay false for all others.
+	// TakeOverAllowed is set if every target of the pool refuses a request
+	// whose fencing token is lower than the highest it has seen for the key,
+	// and the operators of the pool accept that the request may run once for
+	// each token. It must be false for all other pools.
 	TakeOverAllowed bool
-	// HolderSilent says that the row has stood unchanged for a whole term on
-	// this process's own clock.
+	// HolderSilent is set if the row has not changed for silenceTimeout on this
+	// process's own clock.
 	HolderSilent bool
 }
 
-// Decide is the policy for a claim that stands already.
+// Decide returns how to proceed with an existing claim.
 //
-// A claim of another is never taken over where targets don't check fencing
-// tokens, however long its holder has been silent: the holder may be paused
-// between the claim and the sending, and would send after it wakes, so that
-// the request runs twice. The caller then gets "unknown", which is true.
+// A claim of another request is never taken over if the targets don't check
+// fencing tokens, however long its holder has been silent: the holder may be
+// paused between claiming and sending and would send when it resumes, so that
+// the request would run twice. The caller then correctly gets "unknown".
 func Decide(found Row, mine Request, facts Facts) Decision {
 	own := found.Holder == mine.holder()
 	switch {
--- a/internal/command/claim/finish.go
+++ b/internal/command/claim/finish.go
@@ -11,68 +11,71 @@
 	"github.com/vanillagate/vanillagate/internal/wait"
 )
 
-// FinishResult says what became of recording an outcome, or of a release.
+// FinishResult is the result of recording an outcome or of a release.
 type FinishResult int
 
 // The results of Finish and Release.
 const (
-	// Recorded: it stands in the claim's row.
+	// Recorded: the outcome or release is stored in the claim's row.
 	Recorded FinishResult = iota + 1
-	// Superseded: another holder has the claim by now.
+	// Superseded: another holder has the claim.
 	Superseded
-	// Unrecorded: the store gave no answer before the deadline. It may stand.
+	// Unrecorded: the store gave no answer before the deadline. The row may
+	// have been written.
 	Unrecorded
 )
 
-// inlineBytes is the largest body that stands in the claim's own row. A full
-// batch of such rows stays far below the store's bound of 4 MB.
-const inlineBytes = 8 << 10
+// maxInlineBytes is the largest body that is stored in the claim's own row. A
+// full batch of such rows stays far below the store's limit of 4 MB per
+// transaction.
+const maxInlineBytes = 8 << 10
 
-// Finish records the outcome of a request that ran, until the context's
-// deadline. A caller that asks again gets it once it is recorded.
+// Finish records the outcome of a request that ran, retrying until the
+// context's deadline. Once recorded, it is returned to callers that repeat the
+// request.
 func (c *Claims) Finish(ctx context.Context, grant Grant, got Answer) FinishResult {
-	recorded := record(grant, got)
+	recorded := newRecordedAnswer(grant, got)
 	if recorded.Object != "" && !c.putObject(ctx, recorded.Object, got.Body) {
 		return Unrecorded
 	}
-	row := heldBy(grant.Request)
+	row := heldRow(grant.Request)
 	row.State = Finished
 	row.Outcome = &recorded
 	return c.settle(ctx, grant, row)
 }
 
-// FinishAsync is Finish in the background, for as long as the store may be
-// down. Call it before the caller is answered where the answer must not wait
-// for the store.
+// FinishAsync is Finish in the background, with retries for up to
+// backgroundTimeout. If the answer must not wait for the store, call it before
+// answering the caller.
 func (c *Claims) FinishAsync(grant Grant, got Answer) {
-	c.later.do(len(got.Body), func(ctx context.Context) { c.Finish(ctx, grant, got) })
+	c.background.start(len(got.Body), func(ctx context.Context) { c.Finish(ctx, grant, got) })
 }
 
 // Release gives up a claim whose request certainly did not run, so that the
-// caller may try again under the same key. The grant must not be used
-// afterwards. The row stays, because its version must go on growing: a row
-// that was deleted and inserted again would start at the first token, and
-// a late write of an earlier holder would then pass for the new one's.
+// caller may retry under the same key. The grant must not be used afterwards.
+// The row is kept because its version must keep growing: a row that was deleted
+// and inserted again would start with the first token again, and a late write
+// of an earlier holder would be accepted as the new holder's.
 func (c *Claims) Release(ctx context.Context, grant Grant) FinishResult {
-	row := heldBy(grant.Request)
+	row := heldRow(grant.Request)
 	row.State = Released
 	return c.settle(ctx, grant, row)
 }
 
 // ReleaseAsync is Release in the background.
 func (c *Claims) ReleaseAsync(grant Grant) {
-	c.later.do(0, func(ctx context.Context) { c.Release(ctx, grant) })
+	c.background.start(0, func(ctx context.Context) { c.Release(ctx, grant) })
 }
 
-// settle replaces the row under the grant's token. After a lost answer the
-// same write is made again; that it finds its own row means that the lost one
-// took effect.
+// settle replaces the row under the grant's token. After a lost answer the same
+// write is sent again; if it then finds its own row, the lost write took
+// effect.
 func (c *Claims) settle(ctx context.Context, grant Grant, row Row) FinishResult {
-	write := settling(grant, row)
-	for pause := retryMin; ; pause = min(2*pause, laterMax) {
+	write := settleWrite(grant, row)
+	for pause := retryMin; ; pause = min(2*pause, backgroundRetryMax) {
 		result := c.batches.write(ctx, write)
 		if result.err == nil {
-			return settled(result, grant, row.State)
+			return settleResult(result, grant, row.State)
 		}
 		if !wait.Jittered(ctx, pause) {
 			return Unrecorded
@@ -80,7 +83,7 @@
 	}
 }
 
-func settling(grant Grant, row Row) backing.Write {
+func settleWrite(grant Grant, row Row) backing.Write {
 	return backing.Write{
 		Row:     backing.Row{Key: grant.rowKey(), Body: encodeRow(row)},
 		If:      backing.IfVersion,
@@ -88,14 +91,14 @@
 	}
 }
 
-func settled(result placed, grant Grant, state State) FinishResult {
-	if result.done {
+func settleResult(result writeResult, grant Grant, state State) FinishResult {
+	if result.applied {
 		return Recorded
 	}
-	return settledBy(result.found, grant, state)
+	return compareFound(result.found, grant, state)
 }
 
-func settledBy(found *backing.Row, grant Grant, state State) FinishResult {
+func compareFound(found *backing.Row, grant Grant, state State) FinishResult {
 	if found == nil || found.Version != uint64(grant.Token)+1 {
 		return Superseded
 	}
@@ -106,17 +109,18 @@
 	return Recorded
 }
 
-// giveUp makes sure that a claim whose placing was lost does not come to
-// stand. Reading that there is none is not enough, since the lost write may
-// take effect later: the row that it is conditioned on has to change. Only a
-// row that another holds is left alone, since changing it would invalidate its
-// holder's token; no lost write is conditioned on it unless claims are taken
-// over, and then the next one takes over from a claim that nobody uses.
+// giveUp makes sure that a claim whose write was not confirmed does not stay in
+// force. Reading that there is no row is not enough, since the lost write may
+// take effect later: the row on which it is conditioned has to change. A row
+// that another request holds is not changed, because that would invalidate its
+// holder's token. Lost writes are never conditioned on a held row unless claims
+// are taken over, and then the next request takes the unused claim over as
+// well.
 func (c *Claims) giveUp(ctx context.Context, req Request) {
-	write := givingUp(req)
-	for pause := retryMin; ; pause = min(2*pause, laterMax) {
+	write := giveUpWrite(req)
+	for pause := retryMin; ; pause = min(2*pause, backgroundRetryMax) {
 		var done bool
-		if write, done = gaveUp(c.batches.write(ctx, write), write, req); done {
+		if write, done = nextGiveUpWrite(c.batches.write(ctx, write), write, req); done {
 			return
 		}
 		if !wait.Jittered(ctx, pause) {
@@ -125,15 +129,16 @@
 	}
 }
 
-func givingUp(req Request) backing.Write {
-	row := heldBy(req)
+func giveUpWrite(req Request) backing.Write {
+	row := heldRow(req)
 	row.State = Released
 	return backing.Write{Row: backing.Row{Key: req.rowKey(), Body: encodeRow(row)}, If: backing.IfAbsent}
 }
 
-// gaveUp says whether that is done, or the write to make next.
-func gaveUp(result placed, write backing.Write, req Request) (next backing.Write, done bool) {
-	if result.done {
+// nextGiveUpWrite returns whether the claim is given up, or else the next write
+// to make.
+func nextGiveUpWrite(result writeResult, write backing.Write, req Request) (next backing.Write, done bool) {
+	if result.applied {
 		return write, true
 	}
 	if result.found == nil {
@@ -147,16 +152,16 @@
 	return write, false
 }
 
-// mustReplace says whether a lost write of the request's claim stands, or may
-// yet take the place of the row found.
+// mustReplace returns whether a lost write of the request's claim is in the
+// store or may still replace the row found.
 func mustReplace(found Row, req Request) bool {
 	own := found.Holder == req.holder()
 	return (own && found.State == Held) || (!own && found.State == Released)
 }
 
-func record(grant Grant, got Answer) RecordedAnswer {
-	recorded := RecordedAnswer{Status: got.Status, ContentType: got.ContentType, Size: len(got.Body), Sum: sumOf(got.Body)}
-	if len(got.Body) <= inlineBytes {
+func newRecordedAnswer(grant Grant, got Answer) RecordedAnswer {
+	recorded := RecordedAnswer{Status: got.Status, ContentType: got.ContentType, Size: len(got.Body), Sum: hexSHA256(got.Body)}
+	if len(got.Body) <= maxInlineBytes {
 		recorded.Body = got.Body
 	} else {
 		recorded.Object = objectName(grant)
@@ -164,19 +169,19 @@
 	return recorded
 }
 
-// objectName differs for each holder of a claim, so that one that has lost it
-// can't replace the body of the one that has it.
+// objectName is different for each holder of a claim, so that an earlier holder
+// can't replace the body of the current one.
 func objectName(grant Grant) string {
-	return fmt.Sprintf("outcome/%s/%s/%s", grant.Customer, sumOf([]byte(grant.IdempotencyKey)), grant.Token)
+	return fmt.Sprintf("outcome/%s/%s/%s", grant.Customer, hexSHA256([]byte(grant.IdempotencyKey)), grant.Token)
 }
 
-func sumOf(body []byte) string {
+func hexSHA256(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
 }
 
 func (c *Claims) putObject(ctx context.Context, name string, body []byte) bool {
-	for pause := retryMin; ; pause = min(2*pause, laterMax) {
+	for pause := retryMin; ; pause = min(2*pause, backgroundRetryMax) {
 		if c.objects.Put(ctx, name, body) == nil {
 			return true
 		}
@@ -186,12 +191,12 @@
 	}
 }
 
-var errBody = errors.New("claim: the recorded body is not the one that was recorded")
+var errBodyMismatch = errors.New("claim: recorded body is missing or does not match its size and checksum")
 
-// load reads a recorded answer whole.
-func load(ctx context.Context, objects backing.ObjectStore, recorded *RecordedAnswer) (*Answer, error) {
+// loadAnswer reads a recorded answer and checks that its body is complete.
+func loadAnswer(ctx context.Context, objects backing.ObjectStore, recorded *RecordedAnswer) (*Answer, error) {
 	if recorded == nil {
-		return nil, errBody
+		return nil, errBodyMismatch
 	}
 	got := &Answer{Status: recorded.Status, ContentType: recorded.ContentType, Body: recorded.Body}
 	if recorded.Object != "" {
@@ -201,8 +206,8 @@
 		}
 		got.Body = body
 	}
-	if len(got.Body) != recorded.Size || sumOf(got.Body) != recorded.Sum {
-		return nil, errBody
+	if len(got.Body) != recorded.Size || hexSHA256(got.Body) != recorded.Sum {
+		return nil, errBodyMismatch
 	}
 	return got, nil
 }
--- a/internal/command/claim/look.go
+++ b/internal/command/claim/lookup.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// Lookup reads who stands under an identity without claiming it; nil where
-// nobody ever did.
+// Lookup reads the claim of an identity without claiming it. It returns nil if
+// there is none.
 func (c *Claims) Lookup(ctx context.Context, id Identity) (*Row, error) {
 	found, err := c.table.Get(ctx, id.rowKey())
 	if err != nil || found == nil {
--- a/internal/command/claim/model_test.go
+++ b/internal/command/claim/model_test.go
@@ -17,9 +17,9 @@
 	"github.com/vanillagate/vanillagate/internal/peer"
 )
 
-// TestMain has the models draw from one seed, deep enough to find the faults
-// that were put in by hand, unless flags say otherwise. The verdict is then the
-// same each time.
+// TestMain runs the models with a fixed seed, so that the result is
+// reproducible, and with enough checks and steps to find deliberately inserted
+// faults. Flags override these settings.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := map[string]bool{}
@@ -32,52 +32,52 @@
 	os.Exit(m.Run())
 }
 
-// phase is how far a request of the model is.
+// phase is the progress of a request in the model.
 type phase int
 
 const (
-	placing    phase = iota // its claim is being placed
-	granted                 // it may be sent
-	dispatched              // it was sent, no answer yet
+	placing    phase = iota // its claim is being written
+	granted                 // it may be sent to a target
+	dispatched              // it was sent and has no answer yet
 	answered                // it ran and its answer is known
-	settlingUp              // outcome or release is being written
-	givingBack              // its claim is being given up
-	over
+	settling                // outcome or release is being written
+	givingUp                // its claim is being released without having been used
+	ended
 )
 
-// modelRequest is one request of a caller at some entry process, all under the
-// same idempotency key.
+// modelRequest is one request at some entry process; all use the same
+// idempotency key.
 type modelRequest struct {
-	*claiming
+	*claimCall
 	phase phase
 	grant Grant
-	// write is under way or to be made; it may be made many times.
+	// write is the pending write; it may be sent many times.
 	write backing.Write
 	row   Row // what write records
-	// result of the execution that the answer tells of.
-	ran int
-	// freed says that its claim was certainly not placed, or was given up.
-	freed bool
+	// executionNumber is the execution that produced the answer.
+	executionNumber int
+	// releaseCertain is set if the claim was certainly not written, or was
+	// released.
+	releaseCertain bool
 }
 
-// letter is a message to a target.
-type letter struct {
+// inTransitRequest is a request on its way to a target.
+type inTransitRequest struct {
 	from  *modelRequest
 	token Token
 }
 
-// machine lets requests step through the real decisions of this package, one
-// at a time and in any order, while messages are lost, delayed and doubled.
+// machine runs requests through the real decisions of this package one step at
+// a time, in any order, while messages are lost, delayed and duplicated.
 type machine struct {
-	store    *memory.Store
-	checks   bool // the targets check fencing tokens, and takeover is allowed
-	silent   bool // as far as takers see, the holder is
-	requests []*modelRequest
-	// late are writes whose sender was told nothing and that may yet take
-	// effect.
-	late    []backing.Write
-	letters []letter
-	// executions lists the tokens of the executions at the targets.
+	store         *memory.Store
+	checksFencing bool // the targets check fencing tokens and takeover is allowed
+	silent        bool // the holder appears silent to the other requests
+	requests      []*modelRequest
+	// delayedWrites are writes without an answer that may still take effect.
+	delayedWrites []backing.Write
+	inTransit     []inTransitRequest
+	// executions are the tokens of the executions at the targets, in order.
 	executions []Token
 	highest    Token
 	byToken    map[Token]string
@@ -86,11 +86,11 @@
 
 const maxRequests = 5
 
-func newMachine(checks bool) *machine {
-	return &machine{store: memory.New(), checks: checks, byToken: map[Token]string{}}
+func newMachine(checksFencing bool) *machine {
+	return &machine{store: memory.New(), checksFencing: checksFencing, byToken: map[Token]string{}}
 }
 
-// Arrive is a caller asking, again or elsewhere.
+// Arrive adds a request: a first one or a repetition, at any entry process.
 func (m *machine) Arrive(t *rapid.T) {
 	if len(m.requests) >= maxRequests {
 		return
@@ -102,28 +102,28 @@
 		Incarnation: peer.Incarnation(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "entry")),
 		Fingerprint: "f",
 	}
-	claims := &Claims{objects: m.store.Objects(), silence: newSilence(m.clock()), later: newLater()}
-	first := backing.Write{Row: backing.Row{Key: req.rowKey(), Body: encodeRow(heldBy(req))}, If: backing.IfAbsent}
-	c := &claiming{Claims: claims, req: req, takeOverAllowed: m.checks, write: first}
-	m.requests = append(m.requests, &modelRequest{claiming: c, phase: placing})
+	claims := &Claims{objects: m.store.Objects(), silence: newSilenceDetector(m.clock()), background: newBackgroundJobs()}
+	first := backing.Write{Row: backing.Row{Key: req.rowKey(), Body: encodeRow(heldRow(req))}, If: backing.IfAbsent}
+	c := &claimCall{Claims: claims, req: req, takeOverAllowed: m.checksFencing, write: first}
+	m.requests = append(m.requests, &modelRequest{claimCall: c, phase: placing})
 }
 
-// clock has any holder look silent from the second look on, if the model says
-// so: a term may pass between any two steps.
+// clock makes any holder appear silent from the second observation on if the
+// model says so: silenceTimeout may pass between any two steps.
 func (m *machine) clock() func() time.Time {
 	at := time.Unix(0, 0)
 	return func() time.Time {
 		if m.silent {
-			at = at.Add(silentTerm)
+			at = at.Add(silenceTimeout)
 		}
 		return at
 	}
 }
 
-// Silence has terms pass, or not, from now on.
+// Silence sets whether holders appear silent from now on.
 func (m *machine) Silence(t *rapid.T) { m.silent = rapid.Bool().Draw(t, "silent") }
 
-// pick draws a request in one of the phases; nil if there is none.
+// pick draws a request in one of the phases, or returns nil if there is none.
 func (m *machine) pick(t *rapid.T, phases ...phase) *modelRequest {
 	var fit []*modelRequest
 	for _, r := range m.requests {
@@ -139,70 +139,70 @@
 	return rapid.SampledFrom(fit).Draw(t, "request")
 }
 
-// write makes one write with a fate.
-func (m *machine) write(t *rapid.T, w backing.Write) placed {
+// write sends one write with a randomly drawn result.
+func (m *machine) write(t *rapid.T, w backing.Write) writeResult {
 	switch rapid.SampledFrom([]string{"answered", "answered", "answered", "lost", "late", "late", "refused"}).Draw(t, "fate") {
 	case "lost":
 		m.apply(w)
-		return placed{err: backing.ErrUnknown}
+		return writeResult{err: backing.ErrUnknown}
 	case "late":
-		m.late = append(m.late, w)
-		return placed{err: backing.ErrUnknown}
+		m.delayedWrites = append(m.delayedWrites, w)
+		return writeResult{err: backing.ErrUnknown}
 	case "refused":
-		return placed{err: backing.ErrNotRun}
+		return writeResult{err: backing.ErrNotRun}
 	default:
 		return m.apply(w)
 	}
 }
 
-func (m *machine) apply(w backing.Write) placed {
+func (m *machine) apply(w backing.Write) writeResult {
 	conflicts, err := m.store.Commit(context.Background(), []backing.Write{w})
 	if err != nil {
-		return placed{err: err}
+		return writeResult{err: err}
 	}
 	if len(conflicts) > 0 {
-		return placed{found: conflicts[0].Found}
+		return writeResult{found: conflicts[0].Found}
 	}
-	return placed{done: true}
+	return writeResult{applied: true}
 }
 
-// LateWrite has a delayed write take effect, if its condition still holds.
+// LateWrite applies a delayed write if its condition still holds.
 func (m *machine) LateWrite(t *rapid.T) {
-	if len(m.late) == 0 {
+	if len(m.delayedWrites) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.late)-1).Draw(t, "write")
-	w := m.late[i]
-	m.late = append(m.late[:i:i], m.late[i+1:]...)
+	i := rapid.IntRange(0, len(m.delayedWrites)-1).Draw(t, "write")
+	w := m.delayedWrites[i]
+	m.delayedWrites = append(m.delayedWrites[:i:i], m.delayedWrites[i+1:]...)
 	m.apply(w)
 }
 
-// Place makes one try to place a claim.
+// Place makes one attempt to write a claim.
 func (m *machine) Place(t *rapid.T) {
 	r := m.pick(t, placing)
 	if r == nil {
 		return
 	}
-	out, again := r.take(context.Background(), m.write(t, r.claiming.write))
+	out, again := r.handleResult(context.Background(), m.write(t, r.claimCall.write))
 	if again {
 		return
 	}
 	switch out.Result {
 	case Claimed:
-		m.take(t, r, out.Grant)
+		m.grantClaim(t, r, out.Grant)
 	case Taken:
 		m.replay(t, r, out)
 	case NotRun:
-		r.phase = over
-		r.freed = true
+		r.phase = ended
+		r.releaseCertain = true
 	case Unknown:
 		m.giveUp(r)
 	default:
-		t.Fatalf("claim ended as %d", out.Result)
+		t.Fatalf("claim ended with result %d", out.Result)
 	}
 }
 
-func (m *machine) take(t *rapid.T, r *modelRequest, grant Grant) {
+func (m *machine) grantClaim(t *rapid.T, r *modelRequest, grant Grant) {
 	if other, found := m.byToken[grant.Token]; found {
 		t.Fatalf("token %d was given to %s and %s", grant.Token, other, r.req.RequestID)
 	}
@@ -211,18 +211,18 @@
 	r.phase = granted
 }
 
-// replay checks that each caller that gets a recorded answer gets the same
-// one, and that it is of an execution.
+// replay checks that all callers that get a recorded answer get the same one,
+// and that it is the answer of an execution.
 func (m *machine) replay(t *rapid.T, r *modelRequest, out Outcome) {
 	if !out.Finished {
-		return // it asks again
+		return // the caller will repeat the request
 	}
-	r.phase = over
+	r.phase = ended
 	if out.Err != nil {
 		t.Fatalf("recorded answer: %v", out.Err)
 	}
 	if len(m.executions) == 0 {
-		t.Fatal("an answer is recorded and nothing ran")
+		t.Fatal("an answer is recorded but nothing ran")
 	}
 	body := string(out.Answer.Body)
 	if m.replayed != "" && m.replayed != body {
@@ -231,12 +231,13 @@
 	m.replayed = body
 }
 
-// rare keeps what ends a request from ending all of them early.
-func rare(t *rapid.T) bool { return rapid.IntRange(0, 3).Draw(t, "rare") > 0 }
+// skipMostly makes the actions that end a request rare, so that not all
+// requests end early.
+func skipMostly(t *rapid.T) bool { return rapid.IntRange(0, 3).Draw(t, "rare") > 0 }
 
-// GiveUp is a caller's time running out while its claim is being placed.
+// GiveUp is a caller's deadline passing while its claim is being written.
 func (m *machine) GiveUp(t *rapid.T) {
-	if rare(t) {
+	if skipMostly(t) {
 		return
 	}
 	if r := m.pick(t, placing); r != nil {
@@ -245,17 +246,17 @@
 }
 
 func (m *machine) giveUp(r *modelRequest) {
-	r.phase = givingBack
-	r.write = givingUp(r.req)
-	if r.gaveUp().Result == NotRun {
-		r.phase = over
-		r.freed = true
+	r.phase = givingUp
+	r.write = giveUpWrite(r.req)
+	if r.outcomeWithoutAnswer().Result == NotRun {
+		r.phase = ended
+		r.releaseCertain = true
 	}
 }
 
-// GiveBack makes one try to give up a claim that was never used.
+// GiveBack makes one attempt to release a claim that was never used.
 func (m *machine) GiveBack(t *rapid.T) {
-	r := m.pick(t, givingBack)
+	r := m.pick(t, givingUp)
 	if r == nil {
 		return
 	}
@@ -263,72 +264,74 @@
 	if result.err != nil {
 		return
 	}
-	next, done := gaveUp(result, r.write, r.req)
+	next, done := nextGiveUpWrite(result, r.write, r.req)
 	r.write = next
 	if done {
-		r.phase = over
-		r.freed = true
+		r.phase = ended
+		r.releaseCertain = true
 	}
 }
 
-// Send dispatches a request to a target. How long it is on its way is open.
+// Send dispatches a request to a target. It may be in transit for any time.
 func (m *machine) Send(t *rapid.T) {
 	r := m.pick(t, granted)
 	if r == nil {
 		return
 	}
 	r.phase = dispatched
-	m.letters = append(m.letters, letter{from: r, token: r.grant.Token})
+	m.inTransit = append(m.inTransit, inTransitRequest{from: r, token: r.grant.Token})
 }
 
-// NotSent is a target that refuses the connection: certainly not run.
+// NotSent is a target that refuses the connection, so that the request
+// certainly did not run.
 func (m *machine) NotSent(t *rapid.T) {
 	r := m.pick(t, granted)
 	if r == nil {
 		return
 	}
-	m.settleLater(r, Row{State: Released})
+	m.startSettling(r, Row{State: Released})
 }
 
-// Deliver has a target run a request, or refuse it by its fencing token.
+// Deliver lets a target run a request or refuse it because of its fencing
+// token.
 func (m *machine) Deliver(t *rapid.T) {
-	if len(m.letters) == 0 {
+	if len(m.inTransit) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.letters)-1).Draw(t, "letter")
-	l := m.letters[i]
-	m.letters = append(m.letters[:i:i], m.letters[i+1:]...)
-	if m.checks && l.token < m.highest {
+	i := rapid.IntRange(0, len(m.inTransit)-1).Draw(t, "letter")
+	l := m.inTransit[i]
+	m.inTransit = append(m.inTransit[:i:i], m.inTransit[i+1:]...)
+	if m.checksFencing && l.token < m.highest {
 		return
 	}
 	m.highest = max(m.highest, l.token)
 	m.executions = append(m.executions, l.token)
 	if l.from.phase == dispatched && rapid.Bool().Draw(t, "answer arrives") {
-		l.from.ran = len(m.executions)
+		l.from.executionNumber = len(m.executions)
 		l.from.phase = answered
 	}
 }
 
-// Answer begins to record an outcome.
+// Answer starts recording an outcome.
 func (m *machine) Answer(t *rapid.T) {
 	r := m.pick(t, answered)
 	if r == nil {
 		return
 	}
-	recorded := record(r.grant, Answer{Status: 200, Body: fmt.Append(nil, "execution ", r.ran)})
-	m.settleLater(r, Row{State: Finished, Outcome: &recorded})
+	recorded := newRecordedAnswer(r.grant, Answer{Status: 200, Body: fmt.Append(nil, "execution ", r.executionNumber)})
+	m.startSettling(r, Row{State: Finished, Outcome: &recorded})
 }
 
-func (m *machine) settleLater(r *modelRequest, row Row) {
+func (m *machine) startSettling(r *modelRequest, row Row) {
 	row.Holder, row.Fingerprint = r.req.holder(), r.req.Fingerprint
 	r.row = row
-	r.write = settling(r.grant, row)
-	r.phase = settlingUp
+	r.write = settleWrite(r.grant, row)
+	r.phase = settling
 }
 
-// Settle makes one try to write an outcome or a release.
+// Settle makes one attempt to write an outcome or a release.
 func (m *machine) Settle(t *rapid.T) {
-	r := m.pick(t, settlingUp)
+	r := m.pick(t, settling)
 	if r == nil {
 		return
 	}
@@ -336,27 +339,28 @@
 	if result.err != nil {
 		return
 	}
-	r.phase = over
-	finish := settled(result, r.grant, r.row.State)
-	if finish == Superseded && r.row.State == Finished && !m.checks {
+	r.phase = ended
+	finish := settleResult(result, r.grant, r.row.State)
+	if finish == Superseded && r.row.State == Finished && !m.checksFencing {
 		t.Fatalf("the outcome of %s can't be recorded", r.req.RequestID)
 	}
 }
 
-// Crash ends a request at any point. What it sent stays on its way.
+// Crash ends a request at any point. Its messages and writes stay in transit.
 func (m *machine) Crash(t *rapid.T) {
-	if rare(t) {
+	if skipMostly(t) {
 		return
 	}
-	if r := m.pick(t, placing, granted, dispatched, answered, settlingUp, givingBack); r != nil {
-		r.phase = over
+	if r := m.pick(t, placing, granted, dispatched, answered, settling, givingUp); r != nil {
+		r.phase = ended
 	}
 }
 
-// Check is the promise.
+// Check verifies the invariants: without fencing the request runs at most once,
+// and executions never go back to an older token.
 func (m *machine) Check(t *rapid.T) {
-	m.checkFreed(t)
-	if !m.checks && len(m.executions) > 1 {
+	m.checkReleasedClaims(t)
+	if !m.checksFencing && len(m.executions) > 1 {
 		t.Fatalf("executed %d times", len(m.executions))
 	}
 	for i := 1; i < len(m.executions); i++ {
@@ -366,12 +370,12 @@
 	}
 }
 
-// checkFreed wants that a claim that was given up does not come to stand by
-// a late write: nobody would ever finish it, and the key would be refused for
-// good. Where claims are taken over it can happen, and the next one takes over
-// from it.
-func (m *machine) checkFreed(t *rapid.T) {
-	if m.checks {
+// checkReleasedClaims checks that a released claim is not written again by a
+// late write: nobody would ever finish it, and the key would be refused
+// forever. With takeover this can happen, and the next request takes the claim
+// over.
+func (m *machine) checkReleasedClaims(t *rapid.T) {
+	if m.checksFencing {
 		return
 	}
 	row, err := m.store.Get(context.Background(), Identity{Customer: "granite", IdempotencyKey: "k"}.rowKey())
@@ -383,23 +387,23 @@
 		t.Fatal(err)
 	}
 	for _, r := range m.requests {
-		if r.freed && found.State == Held && found.Holder == r.req.holder() {
-			t.Fatalf("the claim of %s stands after it was given up", r.req.RequestID)
+		if r.releaseCertain && found.State == Held && found.Holder == r.req.holder() {
+			t.Fatalf("the claim of %s is held after it was given up", r.req.RequestID)
 		}
 	}
 }
 
-// Callers ask again at any entry VM while processes crash or are paused between
-// any two steps, and writes are lost or take effect late. On targets that
-// ignore fencing tokens the request runs once at most, also when a claim was
-// released or given up between; every caller that gets a recorded answer gets
-// the same one.
+// Callers repeat a request at any entry VM while processes crash or are paused
+// between any two steps, and writes are lost or take effect late. On targets
+// that ignore fencing tokens the request runs at most once, even if a claim was
+// released in between. All callers that get a recorded answer get the same one.
 func TestModelAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { t.Repeat(rapid.StateMachineActions(newMachine(false))) })
 }
 
-// The same where the targets check fencing tokens and a silent holder's claim
-// is taken over: no execution under an older token follows one under a newer.
+// The same with targets that check fencing tokens and with takeover of a silent
+// holder's claim: no execution under an older token follows one under a newer
+// token.
 func TestModelFencing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { t.Repeat(rapid.StateMachineActions(newMachine(true))) })
 }
@@ -433,9 +437,10 @@
 	}
 }
 
-// Rows come from the store, where other releases and hands may have written.
+// Rows in the store may have been written by other releases of the software or
+// by hand, so decoding must tolerate any content.
 func FuzzDecodeRow(f *testing.F) {
-	f.Add(encodeRow(heldBy(Request{RequestID: "r"})))
+	f.Add(encodeRow(heldRow(Request{RequestID: "r"})))
 	f.Add([]byte(`{"state":"finished","outcome":{"status":200,"object":"x"}}`))
 	f.Add([]byte(`null`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
--- a/internal/command/claim/silence.go
+++ b/internal/command/claim/silence.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Bounds of what is remembered of claims that others hold.
+// Limits for observing the claims of other holders.
 const (
-	// silentTerm is how long a held claim must stand unchanged on our own
+	// silenceTimeout is how long a held claim must remain unchanged on our own
 	// clock before its holder counts as silent.
-	silentTerm  = 30 * time.Second
-	maxObserved = 10_000
+	silenceTimeout = 30 * time.Second
+	maxObserved    = 10_000
 )
 
-// silence remembers since when claims have stood unchanged.
-type silence struct {
+// silenceDetector remembers since when each observed claim has been unchanged.
+type silenceDetector struct {
 	now      func() time.Time
 	mu       sync.Mutex // guards observed
 	observed map[Identity]observation
@@ -25,32 +25,33 @@
 	since   time.Time
 }
 
-func newSilence(now func() time.Time) *silence {
-	return &silence{now: now, observed: map[Identity]observation{}}
+func newSilenceDetector(now func() time.Time) *silenceDetector {
+	return &silenceDetector{now: now, observed: map[Identity]observation{}}
 }
 
-// observe notes the version of a claim's row, and says whether it has stood
-// for a whole term.
-func (s *silence) observe(id Identity, version uint64) bool {
+// observe records the version of a claim's row and returns whether it has been
+// unchanged for silenceTimeout.
+func (s *silenceDetector) observe(id Identity, version uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	seen, found := s.observed[id]
 	if found && seen.version == version {
-		return now.Sub(seen.since) >= silentTerm
+		return now.Sub(seen.since) >= silenceTimeout
 	}
-	s.makeRoom(now)
+	s.evictOld(now)
 	s.observed[id] = observation{version: version, since: now}
 	return false
 }
 
-// makeRoom forgets what is long settled. Forgetting only makes a wait longer.
-func (s *silence) makeRoom(now time.Time) {
+// evictOld removes old observations when the map is full. Losing one only makes
+// a wait longer.
+func (s *silenceDetector) evictOld(now time.Time) {
 	if len(s.observed) < maxObserved {
 		return
 	}
 	for id, seen := range s.observed {
-		if now.Sub(seen.since) > 2*silentTerm {
+		if now.Sub(seen.since) > 2*silenceTimeout {
 			delete(s.observed, id)
 		}
 	}
