--- a/internal/command/lease/decide.go
+++ b/internal/command/lease/decide.go
@@ -10,52 +10,55 @@
 // Row is the body of a lease's row.
 type Row struct {
 	Holder peer.Incarnation `json:"holder"`
-	// TermMS is how long each taker has to wait, in milliseconds.
+	// TermMS is how long other processes must wait before they may take the
+	// lease over, in milliseconds.
 	TermMS int64 `json:"term_ms"`
-	// Released says that the holder gave the lease up and orders no more.
+	// Released is set if the holder gave the lease up and sends no more orders.
 	Released bool `json:"released,omitempty"`
 }
 
 func (r Row) term() time.Duration { return time.Duration(r.TermMS) * time.Millisecond }
 
-// ObservedRow is a lease's row as it was last read.
+// ObservedRow is a lease's row as last read.
 type ObservedRow struct {
 	Row     Row
 	Version uint64
-	// Since is a moment after the row was first read at this version.
+	// Since is a time after the row was first read at this version.
 	Since Instant
 }
 
-// AcquireDecision is how a lease is asked for.
+// AcquireDecision says whether to try to acquire a lease, and the condition of
+// the write.
 type AcquireDecision struct {
-	// Acquire is false where the lease must not be asked for yet.
+	// Acquire is false if the lease must not be requested yet.
 	Acquire bool
 	If      backing.Condition
 	Version uint64
 }
 
-// Decide says whether and how to ask for a lease whose row was last seen so;
-// nil means that there is no row.
+// Decide returns whether and how to acquire a lease whose row was last read as
+// observed; nil means that there is no row.
 //
-// Another's lease may be asked for only after its version stood unchanged for
-// a whole term on our own monotonic clock. By then the holder's term, which it
-// counts from before it asked, has ended on any clock. Our own row, which we
-// also find where the answer to an earlier asking was lost, may be renewed at
-// any time: nobody else holds while it stands.
-func Decide(me peer.Incarnation, seen *ObservedRow, now Instant) AcquireDecision {
-	if seen == nil {
+// The lease of another process may be requested only after its version has been
+// unchanged for a whole term on our own monotonic clock. By then the holder's
+// term, which it counts from before its request, has ended on any clock. Our
+// own row may be renewed at any time, since no other process holds the lease
+// while it is in force. We also find our own row if the answer to an earlier
+// request was lost.
+func Decide(self peer.Incarnation, observed *ObservedRow, now Instant) AcquireDecision {
+	if observed == nil {
 		return AcquireDecision{Acquire: true, If: backing.IfAbsent}
 	}
-	ours := seen.Row.Holder == me
-	waited := now.Mono-seen.Since.Mono >= seen.Row.term()
-	if ours || seen.Row.Released || waited {
-		return AcquireDecision{Acquire: true, If: backing.IfVersion, Version: seen.Version}
+	ours := observed.Row.Holder == self
+	waited := now.Mono-observed.Since.Mono >= observed.Row.term()
+	if ours || observed.Row.Released || waited {
+		return AcquireDecision{Acquire: true, If: backing.IfVersion, Version: observed.Version}
 	}
 	return AcquireDecision{}
 }
 
-// Observe notes a row that was just read. The wait of a taker goes on only
-// where the version is the same as before.
+// Observe returns the observation after a row was read. The waiting time
+// continues only if the version has not changed.
 func Observe(before *ObservedRow, row Row, version uint64, now Instant) *ObservedRow {
 	if before != nil && before.Version == version {
 		return before
--- a/internal/command/lease/lease_test.go
+++ b/internal/command/lease/lease_test.go
@@ -11,35 +11,35 @@
 	"github.com/vanillagate/vanillagate/internal/peer"
 )
 
-const length = 10 * time.Second
+const termLength = 10 * time.Second
 
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
-func at(mono, wall time.Duration) Instant { return Instant{Mono: mono, Wall: noon.Add(wall)} }
+func instantAt(mono, wall time.Duration) Instant { return Instant{Mono: mono, Wall: noon.Add(wall)} }
 
 func TestTermHolds(t *testing.T) {
-	term := Term{Token: 1, RequestedAt: at(0, 0), Length: length}
+	term := Term{Token: 1, RequestedAt: instantAt(0, 0), Length: termLength}
 	cases := []struct {
 		name string
 		now  Instant
 		want bool
 	}{
-		{"fresh", at(time.Second, time.Second), true},
-		{"a tenth before its end", at(9*time.Second, 9*time.Second), false},
-		{"over", at(time.Minute, time.Minute), false},
-		{"suspended VM: monotonic clock stood still", at(time.Second, time.Minute), false},
-		{"wall clock set back", at(5*time.Second, -time.Hour), false},
-		{"wall clock set forward", at(time.Second, time.Hour), false},
-		{"clocks drift a little", at(5*time.Second, 5500*time.Millisecond), true},
+		{"fresh", instantAt(time.Second, time.Second), true},
+		{"a tenth before its end", instantAt(9*time.Second, 9*time.Second), false},
+		{"over", instantAt(time.Minute, time.Minute), false},
+		{"suspended VM: monotonic clock stopped", instantAt(time.Second, time.Minute), false},
+		{"wall clock set back", instantAt(5*time.Second, -time.Hour), false},
+		{"wall clock set forward", instantAt(time.Second, time.Hour), false},
+		{"clocks drift a little", instantAt(5*time.Second, 5500*time.Millisecond), true},
 	}
 	for _, c := range cases {
 		assert.Equal(t, term.Holds(c.now), c.want, c.name)
 	}
-	assert.Equal(t, Term{Length: length}.Holds(at(0, 0)), false)
+	assert.Equal(t, Term{Length: termLength}.Holds(instantAt(0, 0)), false)
 }
 
 func TestDecide(t *testing.T) {
-	other := Row{Holder: "b", TermMS: length.Milliseconds()}
+	other := Row{Holder: "b", TermMS: termLength.Milliseconds()}
 	released := other
 	released.Released = true
 	cases := []struct {
@@ -48,38 +48,38 @@
 		now  Instant
 		want AcquireDecision
 	}{
-		{"no row", nil, at(0, 0), AcquireDecision{Acquire: true, If: backing.IfAbsent}},
-		{"own", &ObservedRow{Row: Row{Holder: "a"}, Version: 3}, at(0, 0), AcquireDecision{Acquire: true, If: backing.IfVersion, Version: 3}},
-		{"released", &ObservedRow{Row: released, Version: 3}, at(0, 0), AcquireDecision{Acquire: true, If: backing.IfVersion, Version: 3}},
-		{"waited a term", &ObservedRow{Row: other, Version: 3}, at(length, 0), AcquireDecision{Acquire: true, If: backing.IfVersion, Version: 3}},
-		{"only the wall clock went on", &ObservedRow{Row: other, Version: 3}, at(time.Second, length), AcquireDecision{}},
-		{"waited less", &ObservedRow{Row: other, Version: 3}, at(length-1, length), AcquireDecision{}},
+		{"no row", nil, instantAt(0, 0), AcquireDecision{Acquire: true, If: backing.IfAbsent}},
+		{"own", &ObservedRow{Row: Row{Holder: "a"}, Version: 3}, instantAt(0, 0), AcquireDecision{Acquire: true, If: backing.IfVersion, Version: 3}},
+		{"released", &ObservedRow{Row: released, Version: 3}, instantAt(0, 0), AcquireDecision{Acquire: true, If: backing.IfVersion, Version: 3}},
+		{"waited a term", &ObservedRow{Row: other, Version: 3}, instantAt(termLength, 0), AcquireDecision{Acquire: true, If: backing.IfVersion, Version: 3}},
+		{"only the wall clock advanced", &ObservedRow{Row: other, Version: 3}, instantAt(time.Second, termLength), AcquireDecision{}},
+		{"waited less than a term", &ObservedRow{Row: other, Version: 3}, instantAt(termLength-1, termLength), AcquireDecision{}},
 	}
 	for _, c := range cases {
 		assert.Equal(t, Decide("a", c.seen, c.now), c.want, c.name)
 	}
 }
 
-// process is a Manager with clocks that the test moves.
+// process is a Manager with clocks that the test sets.
 type process struct {
 	*Manager
 	now Instant
 }
 
 func newProcess(store *memory.Store, me string) *process {
-	p := &process{now: at(0, 0)}
-	p.Manager = NewManager(store, peer.Incarnation(me), func() Instant { return p.now }, length)
+	p := &process{now: instantAt(0, 0)}
+	p.Manager = NewManager(store, peer.Incarnation(me), func() Instant { return p.now }, termLength)
 	return p
 }
 
-func (p *process) pass(d time.Duration) {
+func (p *process) advance(d time.Duration) {
 	p.now = Instant{Mono: p.now.Mono + d, Wall: p.now.Wall.Add(d)}
 }
 
-// A steward is paused for longer than its lease while another takes the pool.
-// When it goes on it must find out before it orders anything, or two stewards
-// would give an engine different orders.
-func TestPausedHolderFindsOutBeforeItOrders(t *testing.T) {
+// A steward is paused for longer than its lease while another one takes over
+// the pool. When it resumes it must notice that before it sends orders, or two
+// stewards would send an engine conflicting orders.
+func TestPausedHolderLosesLease(t *testing.T) {
 	store := memory.New()
 	a, b := newProcess(store, "a"), newProcess(store, "b")
 	pools := []string{"llm"}
@@ -89,8 +89,8 @@
 	assert.NilError(t, b.AcquireOrRenew(t.Context(), pools))
 	_, holds = b.Check("llm")
 	assert.Assert(t, !holds)
-	a.pass(length)
-	b.pass(length)
+	a.advance(termLength)
+	b.advance(termLength)
 	assert.NilError(t, b.AcquireOrRenew(t.Context(), pools))
 	newToken, holds := b.Check("llm")
 	assert.Assert(t, holds)
@@ -99,20 +99,20 @@
 	assert.Assert(t, !holds)
 }
 
-// The answer to a renewal is lost after it took effect. The holder goes on to
-// the end of the term it knows of, and then holds again at the next cycle
-// without waiting for its own row.
-func TestLostAnswerOfARenewal(t *testing.T) {
+// The answer to a renewal is lost after the write took effect. The holder keeps
+// the lease until the end of the term it knows of, and acquires it again in the
+// next cycle without waiting for its own row to expire.
+func TestRenewalWithLostAnswer(t *testing.T) {
 	store := memory.New()
 	a := newProcess(store, "a")
 	pools := []string{"llm"}
 	assert.NilError(t, a.AcquireOrRenew(t.Context(), pools))
-	a.pass(length / 2)
+	a.advance(termLength / 2)
 	store.SetFaults(func(memory.Call) memory.Fault { return memory.LostAnswer })
 	assert.ErrorIs(t, a.AcquireOrRenew(t.Context(), pools), backing.ErrUnknown)
 	_, holds := a.Check("llm")
 	assert.Assert(t, holds)
-	a.pass(length / 2)
+	a.advance(termLength / 2)
 	_, holds = a.Check("llm")
 	assert.Assert(t, !holds)
 	store.SetFaults(nil)
@@ -121,9 +121,9 @@
 	assert.Assert(t, holds)
 }
 
-// A steward that is stopped as planned must not leave its pool without
-// a steward for a term.
-func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
+// A planned stop of a steward must not leave its pool without a steward for a
+// whole term.
+func TestReleasedLeaseIsAcquiredImmediately(t *testing.T) {
 	store := memory.New()
 	a, b := newProcess(store, "a"), newProcess(store, "b")
 	pools := []string{"llm"}
@@ -138,15 +138,15 @@
 	assert.Equal(t, token, uint64(3))
 }
 
-// The answer to the last renewal before a planned stop is lost. The lease is
-// released all the same.
-func TestReleaseAfterALostRenewal(t *testing.T) {
+// The answer to the last renewal before a planned stop is lost. The lease must
+// be released nevertheless.
+func TestReleaseAfterRenewalWithLostAnswer(t *testing.T) {
 	store := memory.New()
 	a, b := newProcess(store, "a"), newProcess(store, "b")
 	pools := []string{"llm"}
 	assert.NilError(t, a.AcquireOrRenew(t.Context(), pools))
 	store.SetFaults(func(memory.Call) memory.Fault { return memory.LostAnswer })
-	assert.ErrorIs(t, a.ask(t.Context(), "llm", Decide("a", a.seen["llm"], a.now)), backing.ErrUnknown)
+	assert.ErrorIs(t, a.acquire(t.Context(), "llm", Decide("a", a.observed["llm"], a.now)), backing.ErrUnknown)
 	store.SetFaults(nil)
 	assert.NilError(t, a.Release(t.Context()))
 	assert.NilError(t, b.AcquireOrRenew(t.Context(), pools))
--- a/internal/command/lease/manager.go
+++ b/internal/command/lease/manager.go
@@ -12,47 +12,52 @@
 	"github.com/vanillagate/vanillagate/internal/peer"
 )
 
-// Partition holds the leases by the name of the pool.
+// Partition is the table partition of the leases; the sort key is the pool's
+// name.
 const Partition = "lease"
 
-// MaxLeases bounds how many leases one read of the partition returns.
+// MaxLeases is the maximum number of leases that one read of the partition
+// returns.
 const MaxLeases = 1000
 
-// cyclesPerTerm is how often in a term a holder renews and a taker looks.
-const cyclesPerTerm = 4
+// cyclesPerLeaseTerm is how often per term a holder renews its leases and other
+// processes check them.
+const cyclesPerLeaseTerm = 4
 
-// Manager asks for the leases of pools and renews them.
+// Manager acquires and renews the leases of pools.
 type Manager struct {
 	table  backing.Table
-	me     peer.Incarnation
+	self   peer.Incarnation
 	clock  Clock
 	length time.Duration
-	// seen is used by Cycle and Release alone, which must not run at once.
-	seen map[string]*ObservedRow
+	// observed is used only by AcquireOrRenew and Release, which must not run
+	// concurrently.
+	observed map[string]*ObservedRow
 
 	mu    sync.Mutex // guards terms
 	terms map[string]Term
 }
 
-// NewManager builds a Manager for one process. length is the term, the same
-// for all stewards; a holder that vanishes is replaced after about one and
-// a quarter terms.
-func NewManager(table backing.Table, me peer.Incarnation, clock Clock, length time.Duration) *Manager {
+// NewManager returns a Manager for one process. length is the term, which must
+// be the same for all stewards. A holder that disappears is replaced after
+// about one and a quarter terms.
+func NewManager(table backing.Table, self peer.Incarnation, clock Clock, length time.Duration) *Manager {
 	return &Manager{
-		table:  table,
-		me:     me,
-		clock:  clock,
-		length: length,
-		seen:   map[string]*ObservedRow{},
-		terms:  map[string]Term{},
+		table:    table,
+		self:     self,
+		clock:    clock,
+		length:   length,
+		observed: map[string]*ObservedRow{},
+		terms:    map[string]Term{},
 	}
 }
 
-// Period is how often to call Cycle.
-func (m *Manager) Period() time.Duration { return m.length / cyclesPerTerm }
+// Period is the interval at which to call AcquireOrRenew.
+func (m *Manager) Period() time.Duration { return m.length / cyclesPerLeaseTerm }
 
 // Check returns the fencing token of a pool's lease if this process certainly
-// holds it now. Call it right before each order, not once for many.
+// holds it now. Call it immediately before each order, not once for several
+// orders.
 func (m *Manager) Check(pool string) (token uint64, holds bool) {
 	m.mu.Lock()
 	term := m.terms[pool]
@@ -63,18 +68,19 @@
 	return term.Token, true
 }
 
-// AcquireOrRenew reads the leases and asks for those of the pools that are free or our
-// own. An error ends it early; terms that were granted go on until they end.
+// AcquireOrRenew reads the leases and requests those of the given pools that
+// are free or already our own. It stops at the first error; leases granted
+// before remain valid until their terms end.
 func (m *Manager) AcquireOrRenew(ctx context.Context, pools []string) error {
 	if err := m.read(ctx); err != nil {
 		return err
 	}
 	for _, pool := range pools {
-		ask := Decide(m.me, m.seen[pool], m.clock())
-		if !ask.Acquire {
+		decision := Decide(m.self, m.observed[pool], m.clock())
+		if !decision.Acquire {
 			continue
 		}
-		if err := m.ask(ctx, pool, ask); err != nil {
+		if err := m.acquire(ctx, pool, decision); err != nil {
 			return err
 		}
 	}
@@ -100,17 +106,18 @@
 	if err != nil {
 		return err
 	}
-	m.seen[row.Sort] = Observe(m.seen[row.Sort], body, row.Version, now)
+	m.observed[row.Sort] = Observe(m.observed[row.Sort], body, row.Version, now)
 	return nil
 }
 
-// ask makes one asking. Where its answer is lost the term before it goes on to
-// its end, and the next cycle finds the row, which is our own if the asking
-// took effect, and asks anew: a term never begins with a lost answer.
-func (m *Manager) ask(ctx context.Context, pool string, ask AcquireDecision) error {
-	asked := m.clock()
-	body := Row{Holder: m.me, TermMS: m.length.Milliseconds()}
-	write := m.write(pool, body, ask)
+// acquire makes one request for a lease. If its answer is lost, the previous
+// term remains valid until its end. The next call then finds the row, which is
+// our own if the request took effect, and requests the lease again: a term
+// never starts from a lost answer.
+func (m *Manager) acquire(ctx context.Context, pool string, decision AcquireDecision) error {
+	requestedAt := m.clock()
+	body := Row{Holder: m.self, TermMS: m.length.Milliseconds()}
+	write := m.leaseWrite(pool, body, decision)
 	conflicts, err := m.table.Commit(ctx, []backing.Write{write})
 	if err != nil {
 		return err
@@ -119,47 +126,47 @@
 		return nil
 	}
 	version := backing.NextVersion(write)
-	m.seen[pool] = &ObservedRow{Row: body, Version: version, Since: m.clock()}
-	m.set(pool, Term{Token: version, RequestedAt: asked, Length: m.length})
+	m.observed[pool] = &ObservedRow{Row: body, Version: version, Since: m.clock()}
+	m.setTerm(pool, Term{Token: version, RequestedAt: requestedAt, Length: m.length})
 	return nil
 }
 
-func (m *Manager) write(pool string, body Row, ask AcquireDecision) backing.Write {
+func (m *Manager) leaseWrite(pool string, body Row, decision AcquireDecision) backing.Write {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		panic(fmt.Sprintf("lease: encode: %v", err))
+		panic(fmt.Sprintf("lease: encode row: %v", err))
 	}
 	key := backing.Key{Partition: Partition, Sort: pool}
-	return backing.Write{Row: backing.Row{Key: key, Body: raw}, If: ask.If, Version: ask.Version}
+	return backing.Write{Row: backing.Row{Key: key, Body: raw}, If: decision.If, Version: decision.Version}
 }
 
-func (m *Manager) set(pool string, term Term) {
+func (m *Manager) setTerm(pool string, term Term) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.terms[pool] = term
 }
 
-// Release gives up every lease that this process holds, so that another need
-// not wait for its end. Call it when no order is on its way any more.
+// Release gives up all leases of this process, so that another process need not
+// wait for the end of their terms. Call it when no order is in flight any more.
 func (m *Manager) Release(ctx context.Context) error {
 	m.mu.Lock()
 	held := m.terms
 	m.terms = map[string]Term{}
 	m.mu.Unlock()
-	var failed []error
+	var errs []error
 	for pool, term := range held {
-		failed = append(failed, m.release(ctx, pool, term.Token))
+		errs = append(errs, m.release(ctx, pool, term.Token))
 	}
-	return errors.Join(failed...)
+	return errors.Join(errs...)
 }
 
-// release writes a second time where the row is our own at a later version:
-// then the answer to our last renewal was lost.
+// release writes again if the row is our own at a later version: then the
+// answer to our last renewal was lost.
 func (m *Manager) release(ctx context.Context, pool string, version uint64) error {
-	body := Row{Holder: m.me, TermMS: m.length.Milliseconds(), Released: true}
+	body := Row{Holder: m.self, TermMS: m.length.Milliseconds(), Released: true}
 	for {
-		ask := AcquireDecision{If: backing.IfVersion, Version: version}
-		conflicts, err := m.table.Commit(ctx, []backing.Write{m.write(pool, body, ask)})
+		decision := AcquireDecision{If: backing.IfVersion, Version: version}
+		conflicts, err := m.table.Commit(ctx, []backing.Write{m.leaseWrite(pool, body, decision)})
 		if err != nil || len(conflicts) == 0 {
 			return err
 		}
@@ -168,18 +175,18 @@
 			return nil
 		}
 		row, err := Decode(*found)
-		if err != nil || row.Holder != m.me || row.Released {
+		if err != nil || row.Holder != m.self || row.Released {
 			return err
 		}
 		version = found.Version
 	}
 }
 
-// Decode reads the body of a lease's row.
+// Decode decodes the body of a lease's row.
 func Decode(row backing.Row) (Row, error) {
 	var body Row
 	if err := json.Unmarshal(row.Body, &body); err != nil {
-		return body, fmt.Errorf("lease: row %s: %w", row.Sort, err)
+		return body, fmt.Errorf("lease: decode row of pool %s: %w", row.Sort, err)
 	}
 	return body, nil
 }
