--- a/internal/command/change/change.go
+++ b/internal/command/change/change.go
@@ -1,11 +1,11 @@
-// Package change has operators' changes of the configuration accepted by the
-// table service, one at a time, each under the next revision.
+// Package change submits operators' configuration changes to the table service,
+// which accepts them one at a time, each under the next revision.
 //
 // One transaction writes four rows: the head, whose version is the revision of
 // the last change; the last change of the item; the change itself; and the
-// change's revision by its ID. The head makes the changes a total order, the
-// item's row makes the change a compare-and-set, and the ID lets a writer
-// whose answer was lost find out what became of the change.
+// change's revision by its ID. The head puts the changes in a total order, the
+// item's row makes each change a compare-and-set, and the row by ID lets a
+// writer whose answer was lost look up whether the change was accepted.
 package change
 
 import (
@@ -21,32 +21,33 @@
 	"github.com/vanillagate/vanillagate/internal/wait"
 )
 
-// Request asks for one change.
+// Request describes one change.
 type Request struct {
-	// ID is the change's own identity. A request that is sent again carries
-	// the same one.
+	// ID identifies the change. A request that is sent again carries the same
+	// ID.
 	ID      string
 	Kind    config.Kind
 	Name    string
 	Body    json.RawMessage
 	Deleted bool
 	By      string
-	// ExpectedRevision is the revision of the item's last change that the operator has
-	// seen; zero for an item that does not exist.
+	// ExpectedRevision is the revision of the item's last change that the
+	// operator has seen; zero for an item that does not exist.
 	ExpectedRevision config.Revision
 }
 
-// Result says what became of a request.
+// Result is the result of a request.
 type Result int
 
 // The results.
 const (
-	// Accepted means that the change stands under Outcome.Revision.
+	// Accepted means that the change was accepted as Outcome.Revision.
 	Accepted Result = iota + 1
 	// Conflict means that the item's last change is Outcome.Last and not the
-	// one expected. Nothing was written.
+	// expected one. Nothing was written.
 	Conflict
-	// Invalid means that the request can't be accepted, for Outcome.Faults.
+	// Invalid means that the request was refused because of
+	// Outcome.ValidationErrors.
 	Invalid
 	// Unavailable means that this submission certainly changed nothing.
 	Unavailable
@@ -55,7 +56,7 @@
 	Unknown
 )
 
-// Outcome is the answer to a request. Which fields are set depends on Result.
+// Outcome is the outcome of a request. Result determines which fields are set.
 type Outcome struct {
 	Result           Result
 	Revision         config.Revision
@@ -64,12 +65,12 @@
 	Err              error
 }
 
-// Bounds of one submission.
+// Retry limits of one submission.
 const (
-	maxAttempts = 64
-	maxRefused  = 4
-	pauseMin    = 2 * time.Millisecond
-	pauseMax    = 100 * time.Millisecond
+	maxAttempts   = 64
+	maxRefusals   = 4
+	retryPauseMin = 2 * time.Millisecond
+	retryPauseMax = 100 * time.Millisecond
 )
 
 // Submitter submits changes.
@@ -80,66 +81,66 @@
 	wait    func(context.Context, time.Duration) bool
 }
 
-// New builds a Submitter. current gives the state in force in this process; it
-// only saves reading the changes from the first one on.
+// New returns a Submitter. current returns the state in force in this process;
+// it only saves reading all changes from the first one on.
 func New(table backing.Table, current func() *config.State) *Submitter {
 	return &Submitter{table: table, current: current, now: time.Now, wait: wait.Jittered}
 }
 
-// Submit has a change accepted or says why not. It returns by the context's
-// deadline.
+// Submit submits a change and returns its outcome by the context's deadline.
 func (s *Submitter) Submit(ctx context.Context, req Request) Outcome {
-	sub := &submission{Submitter: s, req: req, state: s.current()}
-	pause := pauseMin
+	call := &submission{Submitter: s, req: req, state: s.current()}
+	pause := retryPauseMin
 	for range maxAttempts {
-		out, again := sub.attempt(ctx)
+		out, again := call.attempt(ctx)
 		if !again {
 			return out
 		}
 		if !s.wait(ctx, pause) {
 			break
 		}
-		pause = min(2*pause, pauseMax)
+		pause = min(2*pause, retryPauseMax)
 	}
-	return sub.gaveUp(context.Cause(ctx))
+	return call.outcomeWithoutAnswer(context.Cause(ctx))
 }
 
-var errRaces = errors.New("change: lost every race for the next revision")
+var errTooManyConflicts = errors.New("change: too many conflicts with other changes for the next revision")
 
-// submission is one Submit call.
+// submission is the state of one Submit call.
 type submission struct {
 	*Submitter
 	req   Request
 	state *config.State
-	// mayStand says that the answer to an earlier commit of this submission
-	// was lost. "Nothing was changed" is no longer known then.
-	mayStand bool
-	refused  int
-	lastErr  error
+	// mayBeAccepted is set once the answer to a commit of this submission was
+	// lost. From then on "nothing was changed" can't be reported.
+	mayBeAccepted bool
+	refusals      int
+	lastErr       error
 }
 
-// attempt tries once; again says that it lost a race or an answer.
+// attempt tries once. It returns again if it lost a race or got no answer.
 func (s *submission) attempt(ctx context.Context) (out Outcome, again bool) {
-	item, err := s.read(ctx)
+	item, err := s.readCurrent(ctx)
 	if err != nil {
-		return s.failed(err)
+		return s.handleError(err)
 	}
 	if found := Validate(s.state, s.req); len(found) > 0 {
-		return s.refuse(ctx, Outcome{Result: Invalid, ValidationErrors: found})
+		return s.refuseUnlessAccepted(ctx, Outcome{Result: Invalid, ValidationErrors: found})
 	}
 	last, err := lastChange(item)
 	if err != nil {
-		return s.failed(err)
+		return s.handleError(err)
 	}
-	if !expected(last, s.req.ExpectedRevision) {
-		return s.refuse(ctx, Outcome{Result: Conflict, Last: last})
+	if !matchesExpected(last, s.req.ExpectedRevision) {
+		return s.refuseUnlessAccepted(ctx, Outcome{Result: Conflict, Last: last})
 	}
 	return s.commit(ctx, item)
 }
 
-// read brings the state to the head that the commit will be conditioned on.
-// What was validated against this state still holds when the commit succeeds.
-func (s *submission) read(ctx context.Context) (item *backing.Row, err error) {
+// readCurrent brings the state up to the head on which the commit will be
+// conditioned, and reads the item's row. A validation against this state still
+// holds when the commit succeeds.
+func (s *submission) readCurrent(ctx context.Context) (item *backing.Row, err error) {
 	s.state, _, err = changes.Follow(ctx, s.table, s.state)
 	if err != nil {
 		return nil, err
@@ -156,45 +157,47 @@
 	return last, err
 }
 
-// expected lets an operator create an item that was deleted without knowing
-// that it ever existed.
-func expected(last config.LastChange, expect config.Revision) bool {
+// matchesExpected lets an operator recreate a deleted item without knowing that
+// it ever existed.
+func matchesExpected(last config.LastChange, expect config.Revision) bool {
 	return last.Revision == expect || (expect == 0 && last.Deleted)
 }
 
 func (s *submission) commit(ctx context.Context, item *backing.Row) (Outcome, bool) {
 	revision := s.state.Revision + 1
-	writes, err := writesOf(s.req, revision, item, s.now())
+	writes, err := transactionFor(s.req, revision, item, s.now())
 	if err != nil {
 		return Outcome{Result: Invalid, ValidationErrors: []string{err.Error()}}, false
 	}
 	conflicts, err := s.table.Commit(ctx, writes)
 	if err != nil {
-		s.mayStand = s.mayStand || !errors.Is(err, backing.ErrNotRun)
-		return s.failed(err)
+		s.mayBeAccepted = s.mayBeAccepted || !errors.Is(err, backing.ErrNotRun)
+		return s.handleError(err)
 	}
 	if len(conflicts) == 0 {
 		return Outcome{Result: Accepted, Revision: revision}, false
 	}
-	// The head has moved, by our own change or by another's.
-	s.lastErr = errRaces
-	out, settled, err := s.lookUp(ctx)
+	// The head has moved, through our own change or through another one.
+	s.lastErr = errTooManyConflicts
+	out, settled, err := s.findAccepted(ctx)
 	if err != nil {
-		return s.failed(err)
+		return s.handleError(err)
 	}
 	return out, !settled
 }
 
-// refuse answers with a refusal unless the change stands already: it may be
-// sent again after it was accepted, and by then the item has moved on.
+// refuseUnlessAccepted returns the refusal unless the change was accepted
+// before: an accepted change may be sent again after the item has changed
+// further.
 //
 // A commit whose answer was lost can't take effect after this. It was
-// conditioned on the head that its attempt had read; had the head not moved
-// since, this attempt would have read the same state and refused nothing.
-func (s *submission) refuse(ctx context.Context, refusal Outcome) (Outcome, bool) {
-	out, settled, err := s.lookUp(ctx)
+// conditioned on the head that its attempt had read; if the head had not moved
+// since, this attempt would have read the same state and not refused the
+// change.
+func (s *submission) refuseUnlessAccepted(ctx context.Context, refusal Outcome) (Outcome, bool) {
+	out, settled, err := s.findAccepted(ctx)
 	if err != nil {
-		return s.failed(err)
+		return s.handleError(err)
 	}
 	if settled {
 		return out, false
@@ -202,13 +205,13 @@
 	return refusal, false
 }
 
-// lookUp finds the change by its own identity.
-func (s *submission) lookUp(ctx context.Context) (out Outcome, settled bool, err error) {
+// findAccepted looks the change up by its ID.
+func (s *submission) findAccepted(ctx context.Context) (out Outcome, settled bool, err error) {
 	row, err := s.table.Get(ctx, changes.ChangeIDKey(s.req.ID))
 	if err != nil || row == nil {
 		return Outcome{}, false, err
 	}
-	var accepted acceptedID
+	var accepted acceptedChange
 	if err := json.Unmarshal(row.Body, &accepted); err != nil {
 		return Outcome{}, false, err
 	}
@@ -219,25 +222,25 @@
 	return Outcome{Result: Accepted, Revision: accepted.Revision}, true, nil
 }
 
-// failed notes that an answer of the store is missing. Refusals are tried a
-// few times, since the store also refuses transactions that touch a row at
-// the same moment; lost answers until the deadline.
-func (s *submission) failed(err error) (Outcome, bool) {
+// handleError records a failed call of the store. Refused calls are retried a
+// few times, since the store also refuses concurrent transactions on the same
+// row. Calls without an answer are retried until the deadline.
+func (s *submission) handleError(err error) (Outcome, bool) {
 	s.lastErr = err
 	if errors.Is(err, backing.ErrNotRun) {
-		s.refused++
+		s.refusals++
 	}
-	if s.refused >= maxRefused {
-		return s.gaveUp(err), false
+	if s.refusals >= maxRefusals {
+		return s.outcomeWithoutAnswer(err), false
 	}
 	return Outcome{}, true
 }
 
-func (s *submission) gaveUp(err error) Outcome {
+func (s *submission) outcomeWithoutAnswer(err error) Outcome {
 	if s.lastErr != nil {
 		err = s.lastErr
 	}
-	if s.mayStand {
+	if s.mayBeAccepted {
 		return Outcome{Result: Unknown, Err: err}
 	}
 	return Outcome{Result: Unavailable, Err: err}
--- a/internal/command/change/model_test.go
+++ b/internal/command/change/model_test.go
@@ -16,9 +16,9 @@
 	"github.com/vanillagate/vanillagate/internal/query/changes"
 )
 
-// TestMain has the model draw from one seed, deep enough to find the faults
-// that were put in by hand, unless flags say otherwise. The verdict is then the
-// same each time.
+// TestMain runs the model with a fixed seed, so that the result is
+// reproducible, and with enough checks and steps to find deliberately inserted
+// faults. Flags override these settings.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := map[string]bool{}
@@ -32,26 +32,26 @@
 }
 
 // machine is a store that loses, delays and refuses calls while several
-// submissions run into each other. The submissions are the real ones.
+// submissions interleave. It uses real submissions.
 type machine struct {
-	t       *rapid.T
-	store   *memory.Store
-	late    [][]backing.Write
-	depth   int
-	next    int
-	results map[string]Outcome // by change ID, of those that are final
-	asked   map[string]Request
-	// tries counts the submissions of a change, unchanged lists those that said
-	// that they changed nothing.
-	tries     map[string]int
-	unchanged map[string]int
+	t             *rapid.T
+	store         *memory.Store
+	delayedWrites [][]backing.Write
+	depth         int
+	next          int
+	finalOutcomes map[string]Outcome // by change ID; accepted, conflicting and invalid ones
+	requests      map[string]Request
+	// submissions counts the submissions of each change, unchanged those of
+	// them that reported that nothing was changed.
+	submissions map[string]int
+	unchanged   map[string]int
 }
 
-// maxDepth is how many submissions run within each other.
+// maxDepth is the maximum nesting depth of submissions.
 const maxDepth = 3
 
 func (m *machine) Get(ctx context.Context, key backing.Key) (*backing.Row, error) {
-	m.another("before a read")
+	m.maybeInterleave("before a read")
 	if rapid.IntRange(0, 19).Draw(m.t, "read fails") == 0 {
 		return nil, backing.ErrUnknown
 	}
@@ -59,18 +59,18 @@
 }
 
 func (m *machine) Scan(ctx context.Context, partition, after string, limit int) ([]backing.Row, error) {
-	m.another("before a scan")
+	m.maybeInterleave("before a scan")
 	return m.store.Scan(ctx, partition, after, limit)
 }
 
 func (m *machine) Commit(ctx context.Context, writes []backing.Write) ([]backing.Conflict, error) {
-	m.another("before a write")
+	m.maybeInterleave("before a write")
 	switch rapid.SampledFrom([]string{"answered", "answered", "lost", "late", "refused"}).Draw(m.t, "fate") {
 	case "lost":
 		_, _ = m.store.Commit(ctx, writes)
 		return nil, backing.ErrUnknown
 	case "late":
-		m.late = append(m.late, writes)
+		m.delayedWrites = append(m.delayedWrites, writes)
 		return nil, backing.ErrUnknown
 	case "refused":
 		return nil, backing.ErrNotRun
@@ -79,8 +79,9 @@
 	}
 }
 
-// another has something else happen in the middle of a submission.
-func (m *machine) another(when string) {
+// maybeInterleave may apply a delayed write or run another submission in the
+// middle of a submission.
+func (m *machine) maybeInterleave(when string) {
 	if m.depth == 0 || m.depth >= maxDepth || rapid.IntRange(0, 4).Draw(m.t, when) > 0 {
 		return
 	}
@@ -91,34 +92,33 @@
 	m.Submit(m.t)
 }
 
-// LateWrite has a delayed write take effect, if its condition still holds.
+// LateWrite applies a delayed write if its condition still holds.
 func (m *machine) LateWrite(t *rapid.T) {
-	if len(m.late) == 0 {
+	if len(m.delayedWrites) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.late)-1).Draw(t, "write")
-	writes := m.late[i]
-	m.late = append(m.late[:i:i], m.late[i+1:]...)
+	i := rapid.IntRange(0, len(m.delayedWrites)-1).Draw(t, "write")
+	writes := m.delayedWrites[i]
+	m.delayedWrites = append(m.delayedWrites[:i:i], m.delayedWrites[i+1:]...)
 	_, _ = m.store.Commit(context.Background(), writes)
 }
 
-// Submit asks for a change of one of two items, or sends an earlier request
-// again.
+// Submit submits a change of one of two items, or an earlier request again.
 func (m *machine) Submit(t *rapid.T) {
-	req := m.draw(t)
+	req := m.drawRequest(t)
 	m.depth++
-	m.tries[req.ID]++
+	m.submissions[req.ID]++
 	tries := rapid.IntRange(1, 6).Draw(t, "tries")
 	s := New(m, config.NewState)
 	s.wait = func(context.Context, time.Duration) bool { tries--; return tries > 0 }
 	out := s.Submit(context.Background(), req)
 	m.depth--
-	m.note(t, req, out)
+	m.recordOutcome(t, req, out)
 }
 
-func (m *machine) draw(t *rapid.T) Request {
+func (m *machine) drawRequest(t *rapid.T) Request {
 	if m.next > 0 && rapid.Bool().Draw(t, "again") {
-		return m.asked[fmt.Sprint(rapid.IntRange(0, m.next-1).Draw(t, "which"))]
+		return m.requests[fmt.Sprint(rapid.IntRange(0, m.next-1).Draw(t, "which"))]
 	}
 	id := fmt.Sprint(m.next)
 	m.next++
@@ -131,31 +131,32 @@
 	if rapid.IntRange(0, 3).Draw(t, "stale") == 0 {
 		expect = 0
 	}
-	req := contract(id, name, m.next, expect)
-	m.asked[id] = req
+	req := contractRequest(id, name, m.next, expect)
+	m.requests[id] = req
 	return req
 }
 
-// note keeps what a submission said, and wants the same of a change that was
-// accepted before.
-func (m *machine) note(t *rapid.T, req Request, out Outcome) {
-	before, found := m.results[req.ID]
+// recordOutcome records the outcome of a submission and checks that it is
+// consistent with the earlier outcomes of the same change.
+func (m *machine) recordOutcome(t *rapid.T, req Request, out Outcome) {
+	before, found := m.finalOutcomes[req.ID]
 	if found && before.Result == Accepted && out.Result == Accepted && before.Revision != out.Revision {
-		t.Fatalf("change %s was accepted as %d and as %d", req.ID, before.Revision, out.Revision)
+		t.Fatalf("change %s was accepted as revision %d and as revision %d", req.ID, before.Revision, out.Revision)
 	}
 	if found && before.Result == Accepted && (out.Result == Conflict || out.Result == Invalid) {
-		t.Fatalf("change %s was accepted as %d and then refused", req.ID, before.Revision)
+		t.Fatalf("change %s was accepted as revision %d and then refused", req.ID, before.Revision)
 	}
 	if out.Result == Unavailable {
 		m.unchanged[req.ID]++
 	}
 	if out.Result == Accepted || out.Result == Conflict || out.Result == Invalid {
-		m.results[req.ID] = out
+		m.finalOutcomes[req.ID] = out
 	}
 }
 
-// Check is the promise: revisions without gap or double, no item changed by one
-// who expected another revision, and each answer true for good.
+// Check verifies the invariants: revisions have no gaps or duplicates, no item
+// is changed by a request that expected another revision, and every reported
+// outcome remains true.
 func (m *machine) Check(t *rapid.T) {
 	state, applied, err := changes.Follow(context.Background(), m.store, config.NewState())
 	if err != nil {
@@ -165,47 +166,47 @@
 	last := map[string]config.Revision{}
 	for _, c := range applied {
 		if other, found := revisionOf[c.ID]; found {
-			t.Fatalf("change %s stands at %d and %d", c.ID, other, c.Revision)
+			t.Fatalf("change %s is stored at revisions %d and %d", c.ID, other, c.Revision)
 		}
 		revisionOf[c.ID] = c.Revision
-		if expect := m.asked[c.ID].ExpectedRevision; expect != last[c.Name] {
-			t.Fatalf("change %s expected %d and replaced %d", c.ID, expect, last[c.Name])
+		if expect := m.requests[c.ID].ExpectedRevision; expect != last[c.Name] {
+			t.Fatalf("change %s expected revision %d and replaced revision %d", c.ID, expect, last[c.Name])
 		}
 		last[c.Name] = c.Revision
 	}
 	head, err := changes.Head(context.Background(), m.store)
 	if err != nil || head != state.Revision {
-		t.Fatalf("head %d, changes up to %d, %v", head, state.Revision, err)
+		t.Fatalf("head is at revision %d, changes are at %d, error %v", head, state.Revision, err)
 	}
 	for id, n := range m.unchanged {
-		if n == m.tries[id] && revisionOf[id] != 0 {
-			t.Fatalf("change %s: all tries said that nothing was changed, stands at %d", id, revisionOf[id])
+		if n == m.submissions[id] && revisionOf[id] != 0 {
+			t.Fatalf("change %s: every submission reported that nothing was changed, but it is stored at revision %d", id, revisionOf[id])
 		}
 	}
-	for id, out := range m.results {
+	for id, out := range m.finalOutcomes {
 		if out.Result == Accepted && revisionOf[id] != out.Revision {
-			t.Fatalf("change %s: said accepted as %d, stands at %d", id, out.Revision, revisionOf[id])
+			t.Fatalf("change %s: reported as accepted at revision %d, stored at %d", id, out.Revision, revisionOf[id])
 		}
 		if out.Result != Accepted && revisionOf[id] != 0 {
-			t.Fatalf("change %s: said refused, stands at %d", id, revisionOf[id])
+			t.Fatalf("change %s: reported as refused, stored at revision %d", id, revisionOf[id])
 		}
 	}
 }
 
-// Operators of several shifts change two contracts at once, through entry
-// processes that run into each other at every step, while the store loses
-// answers and takes writes late. Whoever was told "accepted" finds the change
-// under that revision, whoever was told "refused" never finds it, and nobody
-// overwrites what he has not seen.
+// Several operators change two contracts concurrently through entry processes
+// that interleave at every step, while the store loses answers and applies
+// writes late. A change reported as accepted is found under its revision, a
+// refused one is never found, and no change overwrites one that its operator
+// has not seen.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{t: t, store: memory.New(), results: map[string]Outcome{}, asked: map[string]Request{}, tries: map[string]int{}, unchanged: map[string]int{}}
+		m := &machine{t: t, store: memory.New(), finalOutcomes: map[string]Outcome{}, requests: map[string]Request{}, submissions: map[string]int{}, unchanged: map[string]int{}}
 		t.Repeat(rapid.StateMachineActions(m))
 	})
 }
 
-// Items come from operators' files. Whatever they hold, the answer is a list of
-// faults, and what is accepted can be applied.
+// Items come from operators' files. For any content Validate returns a list of
+// errors or nothing, and an item that passes can be applied.
 func FuzzValidate(f *testing.F) {
 	for _, kind := range []config.Kind{config.KindContract, config.KindPool, config.KindPipeline, config.KindService, config.KindStop} {
 		f.Add(string(kind), "a", []byte(`{"customer":"a","name":"a","id":"a"}`))
--- a/internal/command/change/rows.go
+++ b/internal/command/change/rows.go
@@ -13,23 +13,24 @@
 	"github.com/vanillagate/vanillagate/internal/query/changes"
 )
 
-// acceptedID is the row that finds a change by its ID.
-type acceptedID struct {
+// acceptedChange is the body of the row that maps a change's ID to its
+// revision.
+type acceptedChange struct {
 	Revision config.Revision `json:"revision"`
-	// Fingerprint tells the same change sent again from another change under
+	// Fingerprint distinguishes a repeated change from a different change with
 	// the same ID.
 	Fingerprint string `json:"fingerprint"`
 }
 
-// head is the body of the head row; the row's version is the revision.
-type head struct {
+// headRow is the body of the row at the head; the row's version is the revision.
+type headRow struct {
 	ChangeID string `json:"change_id"`
 }
 
-// writesOf is the transaction that accepts a change. All of it happens or
-// nothing does, so a loser leaves nothing half applied.
-func writesOf(req Request, revision config.Revision, item *backing.Row, at time.Time) ([]backing.Write, error) {
-	body, err := compact(req)
+// transactionFor returns the writes that accept a change. They are committed
+// atomically, so a change that loses a race leaves nothing half written.
+func transactionFor(req Request, revision config.Revision, item *backing.Row, at time.Time) ([]backing.Write, error) {
+	body, err := compactBody(req)
 	if err != nil {
 		return nil, err
 	}
@@ -42,16 +43,16 @@
 		headWrite(revision, req.ID),
 		itemWrite(req, item, last),
 		insert(changes.ChangeKey(revision), change),
-		insert(changes.ChangeIDKey(req.ID), acceptedID{Revision: revision, Fingerprint: fingerprint(req)}),
+		insert(changes.ChangeIDKey(req.ID), acceptedChange{Revision: revision, Fingerprint: fingerprint(req)}),
 	}, nil
 }
 
 func headWrite(revision config.Revision, id string) backing.Write {
 	if revision == 1 {
-		return insert(changes.HeadKey(), head{ChangeID: id})
+		return insert(changes.HeadKey(), headRow{ChangeID: id})
 	}
 	return backing.Write{
-		Row:     backing.Row{Key: changes.HeadKey(), Body: encode(head{ChangeID: id})},
+		Row:     backing.Row{Key: changes.HeadKey(), Body: encode(headRow{ChangeID: id})},
 		If:      backing.IfVersion,
 		Version: uint64(revision) - 1,
 	}
@@ -70,8 +71,8 @@
 	return backing.Write{Row: backing.Row{Key: key, Body: encode(body)}, If: backing.IfAbsent}
 }
 
-// encode panics where a type of this package can't be encoded, which is a
-// broken invariant.
+// encode panics if a type of this package can't be encoded, which is a
+// programming error.
 func encode(body any) []byte {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -80,7 +81,7 @@
 	return raw
 }
 
-func compact(req Request) (json.RawMessage, error) {
+func compactBody(req Request) (json.RawMessage, error) {
 	if req.Deleted {
 		return nil, nil
 	}
@@ -92,7 +93,7 @@
 }
 
 func fingerprint(req Request) string {
-	body, err := compact(req)
+	body, err := compactBody(req)
 	if err != nil {
 		body = req.Body
 	}
--- a/internal/command/change/validate_test.go
+++ b/internal/command/change/validate_test.go
@@ -22,25 +22,25 @@
 		kind config.Kind
 		item string
 		body string
-		want string // part of a fault; empty for none
+		want string // part of an error message; empty if valid
 	}{
-		{"good contract", config.KindContract, "a", `{"customer":"a","key_hashes":[]}`, ""},
+		{"valid contract", config.KindContract, "a", `{"customer":"a","key_hashes":[]}`, ""},
 		{"misspelt limit", config.KindContract, "a", `{"customer":"a","requests_per_sec":1}`, "unknown field"},
 		{"negative limit", config.KindContract, "a", `{"customer":"a","in_flight":-1}`, "in_flight: not negative"},
-		{"plain key", config.KindContract, "a", `{"customer":"a","key_hashes":["secret"]}`, "64 lower-case hex"},
-		{"another's key", config.KindContract, "a", `{"customer":"a","key_hashes":["` + hash + `"]}`, "in use by another"},
-		{"other name", config.KindContract, "b", `{"customer":"a"}`, "must be the item's name"},
+		{"unhashed key", config.KindContract, "a", `{"customer":"a","key_hashes":["secret"]}`, "64 lower-case hex"},
+		{"key of another customer", config.KindContract, "a", `{"customer":"a","key_hashes":["` + hash + `"]}`, "in use by another"},
+		{"name differs from item", config.KindContract, "b", `{"customer":"a"}`, "must be the item's name"},
 		{"two items", config.KindContract, "a", `{"customer":"a"} {}`, "text after"},
 		{"slash in name", config.KindContract, "a/b", `{"customer":"a/b"}`, "letters, digits"},
-		{"balance", config.KindContract, "a", `{"customer":"a","balance":2}`, "balance: 0 to 1"},
-		{"good pool", config.KindPool, "p", `{"name":"p","kind":"engine","model":"m"}`, ""},
-		{"pool kind", config.KindPool, "p", `{"name":"p","kind":"gpu"}`, "kind"},
+		{"balance above 1", config.KindContract, "a", `{"customer":"a","balance":2}`, "balance: 0 to 1"},
+		{"valid pool", config.KindPool, "p", `{"name":"p","kind":"engine","model":"m"}`, ""},
+		{"unknown pool kind", config.KindPool, "p", `{"name":"p","kind":"gpu"}`, "kind"},
 		{"pool in use changes kind", config.KindPool, "llm", `{"name":"llm","kind":"encoder"}`, "pipeline/quote uses"},
 		{"no such pool", config.KindPipeline, "p", `{"name":"p","stages":[{"name":"s","pool":"x"}]}`, "no such pool"},
 		{"service pool in pipeline", config.KindPipeline, "p", `{"name":"p","stages":[{"name":"s","pool":"app"}]}`, "plain services"},
-		{"good service", config.KindService, "s", `{"name":"s","pool":"app","routes":[{"method":"POST","path_prefix":"/"}]}`, ""},
+		{"valid service", config.KindService, "s", `{"name":"s","pool":"app","routes":[{"method":"POST","path_prefix":"/"}]}`, ""},
 		{"engine pool in service", config.KindService, "s", `{"name":"s","pool":"llm","routes":[{"method":"POST","path_prefix":"/"}]}`, "of kind engine"},
-		{"stop", config.KindStop, "s", `{"id":"s","on":"vm","address":"here","by":"","at":"2026-01-01T00:00:00Z"}`, "IP:port"},
+		{"stop without IP address", config.KindStop, "s", `{"id":"s","on":"vm","address":"here","by":"","at":"2026-01-01T00:00:00Z"}`, "IP:port"},
 		{"unknown kind", "thing", "s", `{}`, "kind"},
 	}
 	for _, c := range cases {
