--- a/internal/command/change/rows.go
+++ b/internal/command/change/rows.go
@@ -22,7 +22,7 @@
 	Fingerprint string `json:"fingerprint"`
 }
 
-// headRow is the body of the row at the head; the row's version is the revision.
+// headRow is the body of the row whose version is the current revision.
 type headRow struct {
 	ChangeID string `json:"change_id"`
 }
--- a/internal/command/cost/cost.go
+++ b/internal/command/cost/cost.go
@@ -1,4 +1,4 @@
-// Package cost writes down what requests cost, so that each stage's cost can
+// Package cost records the cost of requests, so that the cost of each stage can
 // be attributed to the customer it served.
 package cost
 
@@ -17,55 +17,56 @@
 	"github.com/vanillagate/vanillagate/internal/query/costs"
 )
 
-// DefaultPeriod is how often a process writes its cost. What it gathered since
-// is lost when it dies.
+// DefaultPeriod is the interval at which a process writes its costs. Costs not
+// yet written are lost if the process dies.
 const DefaultPeriod = 10 * time.Second
 
-// maxEntries bounds a row: 1000 entries of about 250 bytes stay below the
-// table's bound of 400 KB.
-const maxEntries = 1000
+// maxEntriesPerRow limits the size of a row: 1000 entries of about 250 bytes
+// stay below the table's limit of 400 KB.
+const maxEntriesPerRow = 1000
 
-// Recorder gathers cost in memory and writes it in rows. Use New.
+// Recorder accumulates costs in memory and writes them to the table. Use New.
 type Recorder struct {
 	table backing.Table
-	me    peer.Incarnation
+	self  peer.Incarnation
 	now   func() time.Time
 	log   *zap.Logger
 
-	gathering sync.Mutex // guards open; a leaf
-	open      map[costs.Key]*costs.Amount
+	totalsMu sync.Mutex // guards totals; no other lock is taken while it is held
+	totals   map[costs.Key]*costs.Amount
 
-	// flushing is taken before gathering. It guards the fields below.
-	flushing sync.Mutex
-	sealed   []backing.Write
+	// flushMu is taken before totalsMu. It guards the fields below.
+	flushMu  sync.Mutex
+	unsent   []backing.Write
 	sequence uint64
-	indexed  backing.Key // of the last row of the index
+	indexed  backing.Key // key of the last index row written
 }
 
-// New builds a Recorder for one process.
-func New(table backing.Table, me peer.Incarnation, log *zap.Logger) *Recorder {
+// New returns a Recorder for one process.
+func New(table backing.Table, self peer.Incarnation, log *zap.Logger) *Recorder {
 	return &Recorder{
-		table: table,
-		me:    me,
-		now:   time.Now,
-		log:   logging.Part(log, "cost"),
-		open:  map[costs.Key]*costs.Amount{},
+		table:  table,
+		self:   self,
+		now:    time.Now,
+		log:    logging.Part(log, "cost"),
+		totals: map[costs.Key]*costs.Amount{},
 	}
 }
 
-// Add notes what one call at a target cost. It does not wait for the store.
+// Add adds the cost of one call to a target. It does not wait for the store.
 func (r *Recorder) Add(key costs.Key, amount costs.Amount) {
-	r.gathering.Lock()
-	defer r.gathering.Unlock()
-	sum := r.open[key]
+	r.totalsMu.Lock()
+	defer r.totalsMu.Unlock()
+	sum := r.totals[key]
 	if sum == nil {
 		sum = &costs.Amount{}
-		r.open[key] = sum
+		r.totals[key] = sum
 	}
 	sum.Add(amount)
 }
 
-// Run writes every period until the context ends. Call Flush afterwards.
+// Run writes the costs every period until the context ends. Call Flush
+// afterwards.
 func (r *Recorder) Run(ctx context.Context, period time.Duration) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -76,76 +77,76 @@
 		case <-ticker.C:
 		}
 		if err := r.Flush(ctx); err != nil && ctx.Err() == nil {
-			r.log.Warn("cost can't be written and is kept", zap.Error(err))
+			r.log.Warn("Costs could not be written; retrying in the next period.", zap.Error(err))
 		}
 	}
 }
 
-// Flush writes all that was gathered. Rows whose answer was lost are written
-// again unchanged before anything else: the row may stand already, and what
-// was gathered since must go into another one, or it would count twice. Until
-// the store takes them the rest goes on gathering, in memory bounded by the
+// Flush writes all accumulated costs. Rows whose answer was lost are first
+// written again unchanged: the row may have been stored, so costs that were
+// added since must go into another row or would be counted twice. While the
+// store is unavailable further costs accumulate in memory, bounded by the
 // number of customers and stages.
 func (r *Recorder) Flush(ctx context.Context) error {
-	r.flushing.Lock()
-	defer r.flushing.Unlock()
-	if err := r.send(ctx); err != nil {
+	r.flushMu.Lock()
+	defer r.flushMu.Unlock()
+	if err := r.commitUnsent(ctx); err != nil {
 		return err
 	}
-	r.seal()
-	return r.send(ctx)
+	r.encodeTotals()
+	return r.commitUnsent(ctx)
 }
 
-func (r *Recorder) send(ctx context.Context) error {
-	for len(r.sealed) > 0 {
-		next := r.sealed[:min(len(r.sealed), rowsAtOnce)]
+func (r *Recorder) commitUnsent(ctx context.Context) error {
+	for len(r.unsent) > 0 {
+		next := r.unsent[:min(len(r.unsent), maxRowsPerCommit)]
 		if _, err := r.table.Commit(ctx, next); err != nil {
 			return err
 		}
-		r.sealed = r.sealed[len(next):]
+		r.unsent = r.unsent[len(next):]
 	}
 	return nil
 }
 
-// rowsAtOnce keeps a transaction below the table's bound of 4 MB.
-const rowsAtOnce = 10
+// maxRowsPerCommit keeps a transaction below the table's limit of 4 MB.
+const maxRowsPerCommit = 10
 
-// seal turns what was gathered into rows that are not changed any more.
-func (r *Recorder) seal() {
-	r.gathering.Lock()
-	gathered := r.open
-	r.open = map[costs.Key]*costs.Amount{}
-	r.gathering.Unlock()
-	if len(gathered) == 0 {
+// encodeTotals moves the accumulated costs into rows that no longer change.
+func (r *Recorder) encodeTotals() {
+	r.totalsMu.Lock()
+	totals := r.totals
+	r.totals = map[costs.Key]*costs.Amount{}
+	r.totalsMu.Unlock()
+	if len(totals) == 0 {
 		return
 	}
 	at := r.now().UTC()
-	if index := costs.IndexKey(r.me, at); index != r.indexed {
-		r.put(index, costs.IndexRow{Incarnation: r.me})
+	if index := costs.IndexKey(r.self, at); index != r.indexed {
+		r.enqueueWrite(index, costs.IndexRow{Incarnation: r.self})
 		r.indexed = index
 	}
 	row := costs.Row{At: at}
-	for key, amount := range gathered {
+	for key, amount := range totals {
 		row.Entries = append(row.Entries, costs.Entry{Key: key, Amount: *amount})
-		if len(row.Entries) == maxEntries {
-			r.putRow(row)
+		if len(row.Entries) == maxEntriesPerRow {
+			r.enqueueRow(row)
 			row.Entries = nil
 		}
 	}
 	if len(row.Entries) > 0 {
-		r.putRow(row)
+		r.enqueueRow(row)
 	}
 }
 
-func (r *Recorder) putRow(row costs.Row) {
+func (r *Recorder) enqueueRow(row costs.Row) {
 	r.sequence++
-	r.put(costs.RowKey(r.me, r.sequence), row)
+	r.enqueueWrite(costs.RowKey(r.self, r.sequence), row)
 }
 
-func (r *Recorder) put(key backing.Key, body any) {
+func (r *Recorder) enqueueWrite(key backing.Key, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		panic(fmt.Sprintf("cost: encode %T: %v", body, err))
 	}
-	r.sealed = append(r.sealed, backing.Write{Row: backing.Row{Key: key, Body: raw}, If: backing.Always})
+	r.unsent = append(r.unsent, backing.Write{Row: backing.Row{Key: key, Body: raw}, If: backing.Always})
 }
