--- a/internal/command/cost/cost.go
+++ b/internal/command/cost/cost.go
@@ -114,10 +114,10 @@
 // encodeTotals moves the accumulated costs into rows that no longer change.
 func (r *Recorder) encodeTotals() {
 	r.totalsMu.Lock()
-	totals := r.totals
+	collected := r.totals
 	r.totals = map[costs.Key]*costs.Amount{}
 	r.totalsMu.Unlock()
-	if len(totals) == 0 {
+	if len(collected) == 0 {
 		return
 	}
 	at := r.now().UTC()
@@ -126,7 +126,7 @@
 		r.indexed = index
 	}
 	row := costs.Row{At: at}
-	for key, amount := range totals {
+	for key, amount := range collected {
 		row.Entries = append(row.Entries, costs.Entry{Key: key, Amount: *amount})
 		if len(row.Entries) == maxEntriesPerRow {
 			r.enqueueRow(row)
