--- a/internal/command/order/client.go
+++ b/internal/command/order/client.go
@@ -13,55 +13,56 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// Result says what became of an order.
+// Result is the result of an order.
 type Result string
 
-// The results. All but Fenced are followed by another look at the report.
+// The results. After all of them except Fenced the engine's report is read
+// again.
 const (
-	// Done: the engine says that it serves what was ordered.
+	// Done: the engine confirmed that it serves what was ordered.
 	Done Result = "done"
-	// Fenced: the engine has seen a higher fencing token. Another steward
-	// holds the lease.
+	// Fenced: the engine has received a higher fencing token, so another
+	// steward holds the lease.
 	Fenced Result = "fenced"
-	// Refused: the engine did not carry the order out.
+	// Refused: the engine did not execute the order.
 	Refused Result = "refused"
-	// Unknown: no answer. The engine may carry the order out.
+	// Unknown: there was no answer. The engine may execute the order.
 	Unknown Result = "unknown"
 )
 
-// Bounds of the calls.
+// Limits of the calls.
 const (
 	reportTimeout  = time.Second
-	orderTimeout   = 2 * time.Minute // loading weights takes its time
+	orderTimeout   = 2 * time.Minute // includes loading the weights
 	dialTimeout    = 500 * time.Millisecond
 	maxAnswerBytes = 1 << 20
 	maxConnections = 4
 )
 
-// Client sends orders to engines and reads what they report.
+// Client sends orders to engines and reads their reports.
 type Client struct{ http *fasthttp.Client }
 
-// NewClient builds a Client.
+// NewClient returns a Client.
 func NewClient() *Client {
 	dialer := &fasthttp.TCPDialer{Concurrency: 64}
 	return &Client{http: &fasthttp.Client{
 		Dial:                func(addr string) (net.Conn, error) { return dialer.DialTimeout(addr, dialTimeout) },
 		MaxConnsPerHost:     maxConnections,
 		MaxResponseBodySize: maxAnswerBytes,
-		// Each order is preceded by a check of the lease; the library must not
-		// send one again by itself.
+		// Each order is sent only after a check of the lease, so the library
+		// must not resend one by itself.
 		MaxIdemponentCallAttempts: 1,
 	}}
 }
 
-// Report reads what an engine serves.
+// Report returns the models that an engine serves.
 func (c *Client) Report(ctx context.Context, address string) (targetapi.ModelList, error) {
 	var report targetapi.ModelList
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + address + targetapi.PathModels)
-	if err := c.http.DoDeadline(req, resp, deadline(ctx, reportTimeout)); err != nil {
+	if err := c.http.DoDeadline(req, resp, earliestDeadline(ctx, reportTimeout)); err != nil {
 		return report, fmt.Errorf("order: report of %s: %w", address, err)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
@@ -73,10 +74,10 @@
 	return report, nil
 }
 
-// Send gives one order under a fencing token. requestID names the order in the
-// engine's logs.
+// Send sends one order with a fencing token. requestID identifies the order in
+// the engine's logs.
 func (c *Client) Send(ctx context.Context, address string, o Order, token uint64, requestID string) (Result, error) {
-	path, body := o.call()
+	path, body := o.pathAndBody()
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -86,8 +87,8 @@
 	req.Header.Set(targetapi.HeaderRequestID, requestID)
 	req.Header.Set(targetapi.HeaderFencingToken, strconv.FormatUint(token, 10))
 	req.SetBodyRaw(body)
-	if err := c.http.DoDeadline(req, resp, deadline(ctx, orderTimeout)); err != nil {
-		return Unknown, fmt.Errorf("order: to %s: %w", address, err)
+	if err := c.http.DoDeadline(req, resp, earliestDeadline(ctx, orderTimeout)); err != nil {
+		return Unknown, fmt.Errorf("order: send to %s: %w", address, err)
 	}
 	return resultOf(resp.StatusCode()), nil
 }
@@ -105,7 +106,7 @@
 	}
 }
 
-func (o Order) call() (path string, body []byte) {
+func (o Order) pathAndBody() (path string, body []byte) {
 	switch {
 	case o.SetModel != nil:
 		return targetapi.PathSetModel, encode(o.SetModel)
@@ -114,7 +115,7 @@
 	case o.UnloadAdapter != nil:
 		return targetapi.PathUnloadAdapter, encode(o.UnloadAdapter)
 	default:
-		panic("order: nothing to send")
+		panic("order: empty order")
 	}
 }
 
@@ -126,10 +127,10 @@
 	return raw
 }
 
-func deadline(ctx context.Context, limit time.Duration) time.Time {
-	latest := time.Now().Add(limit)
-	if own, ok := ctx.Deadline(); ok && own.Before(latest) {
-		return own
+func earliestDeadline(ctx context.Context, limit time.Duration) time.Time {
+	limitDeadline := time.Now().Add(limit)
+	if ctxDeadline, ok := ctx.Deadline(); ok && ctxDeadline.Before(limitDeadline) {
+		return ctxDeadline
 	}
-	return latest
+	return limitDeadline
 }
--- a/internal/command/order/order_test.go
+++ b/internal/command/order/order_test.go
@@ -25,12 +25,12 @@
 		{"nothing loaded", pool, nil, Order{SetModel: &targetapi.SetModelRequest{Model: "m", Version: "2"}}},
 		{"old version keeps its role", pool, []targetapi.ModelCard{old, quotes}, Order{SetModel: &targetapi.SetModelRequest{Model: "m", Version: "2", Role: "decode"}}},
 		{"adapter is missing", pool, []targetapi.ModelCard{base, other}, Order{LoadAdapter: adapter("quotes")}},
-		{"adapter too many", pool, []targetapi.ModelCard{base, quotes, other}, Order{UnloadAdapter: adapter("other")}},
-		{"all as wanted", pool, []targetapi.ModelCard{base, quotes}, Order{}},
+		{"adapter that is not configured", pool, []targetapi.ModelCard{base, quotes, other}, Order{UnloadAdapter: adapter("other")}},
+		{"report matches the configuration", pool, []targetapi.ModelCard{base, quotes}, Order{}},
 		{"any version", config.Pool{Kind: config.TargetEngine, Model: "m"}, []targetapi.ModelCard{old}, Order{}},
 		{"role", config.Pool{Kind: config.TargetEngine, Model: "m", Role: "prefill"}, []targetapi.ModelCard{old}, Order{SetModel: &targetapi.SetModelRequest{Model: "m", Version: "1", Role: "prefill"}}},
-		{"pool is not steered", config.Pool{Kind: config.TargetEngine}, nil, Order{}},
-		{"no engines", config.Pool{Kind: config.TargetEncoder, Model: "m"}, nil, Order{}},
+		{"pool without a model", config.Pool{Kind: config.TargetEngine}, nil, Order{}},
+		{"pool of encoders", config.Pool{Kind: config.TargetEncoder, Model: "m"}, nil, Order{}},
 	}
 	for _, c := range cases {
 		assert.DeepEqual(t, Next(c.pool, targetapi.ModelList{Data: c.report}), c.want)
--- a/internal/command/order/plan.go
+++ b/internal/command/order/plan.go
@@ -1,7 +1,7 @@
-// Package order has the engines of a pool serve what the configuration wants.
-// Orders are declarative: they are compared with what the engine reports and
-// repeated until the two agree, so an order that was lost, came late or came
-// from an earlier holder of the lease does no lasting harm.
+// Package order makes the engines of a pool serve the configured models. Orders
+// are declarative: the engine's report is compared with the configuration and
+// orders are repeated until the two agree. An order that was lost, arrived late
+// or came from an earlier holder of the lease therefore does no lasting harm.
 package order
 
 import (
@@ -11,32 +11,32 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// Order is one call to an engine. Exactly one field is set, except in the
-// zero value, which orders nothing.
+// Order is one call to an engine. Exactly one field is set, except in the zero
+// value, which is an empty order.
 type Order struct {
 	SetModel      *targetapi.SetModelRequest
 	LoadAdapter   *targetapi.AdapterRequest
 	UnloadAdapter *targetapi.AdapterRequest
 }
 
-// IsEmpty says that nothing is to be ordered.
+// IsEmpty returns whether there is nothing to order.
 func (o Order) IsEmpty() bool { return o == Order{} }
 
-// LoadsWeights says that the order has the engine fetch weights.
+// LoadsWeights returns whether the order makes the engine load weights.
 func (o Order) LoadsWeights() bool { return o.SetModel != nil || o.LoadAdapter != nil }
 
-// IsManaged says whether the pool's engines are to be ordered at all.
+// IsManaged returns whether the pool's engines receive orders at all.
 func IsManaged(pool config.Pool) bool { return pool.Kind == config.TargetEngine && pool.Model != "" }
 
-// Next is the next order that brings an engine from what it reports towards
-// what its pool wants: first the model, version and role, then the adapter,
-// then away with adapters that nobody wants.
+// Next returns the next order that brings an engine from the reported towards
+// the configured state: first the model, version and role, then the adapter,
+// then the removal of adapters that are not configured.
 func Next(pool config.Pool, report targetapi.ModelList) Order {
 	if !IsManaged(pool) {
 		return Order{}
 	}
-	base, adapters := split(report)
-	if wanted := wantedModel(pool, base); base == nil || differs(*base, wanted) {
+	base, adapters := splitModels(report)
+	if wanted := wantedModel(pool, base); base == nil || modelDiffers(*base, wanted) {
 		return Order{SetModel: &wanted}
 	}
 	if pool.Adapter == "" {
@@ -53,7 +53,7 @@
 	return Order{}
 }
 
-func split(report targetapi.ModelList) (base *targetapi.ModelCard, adapters []string) {
+func splitModels(report targetapi.ModelList) (base *targetapi.ModelCard, adapters []string) {
 	for _, card := range report.Data {
 		if card.Parent != "" {
 			adapters = append(adapters, card.ID)
@@ -64,7 +64,8 @@
 	return base, adapters
 }
 
-// wantedModel fills what the pool leaves open with what the engine has.
+// wantedModel returns the pool's model; settings that the pool leaves empty are
+// taken from the engine.
 func wantedModel(pool config.Pool, base *targetapi.ModelCard) targetapi.SetModelRequest {
 	wanted := targetapi.SetModelRequest{Model: pool.Model, Version: pool.Version, Role: pool.Role}
 	if base == nil {
@@ -79,6 +80,6 @@
 	return wanted
 }
 
-func differs(base targetapi.ModelCard, wanted targetapi.SetModelRequest) bool {
+func modelDiffers(base targetapi.ModelCard, wanted targetapi.SetModelRequest) bool {
 	return base.ID != wanted.Model || base.Version != wanted.Version || base.Role != wanted.Role
 }
--- a/internal/command/order/rollout.go
+++ b/internal/command/order/rollout.go
@@ -6,14 +6,15 @@
 type Candidate struct {
 	Address   string
 	NextOrder Order
-	// Busy says that an earlier order to it is still on its way.
+	// Busy is set while an earlier order to the engine is in flight.
 	Busy bool
 }
 
-// Choose picks the engines to order now. The weight store is rate-limited, so
-// at most loadsAtOnce engines fetch weights at a time: a dozen that fetch
-// together would all take as long as the last one, and none would serve the
-// new version until then. Orders that fetch nothing go out at once.
+// Choose selects the engines that receive orders now. The weight store is
+// rate-limited, so at most loadsAtOnce engines load weights at a time: if a
+// dozen loaded together, each would take as long as the last one and none would
+// serve the new version until then. Orders that load nothing are sent
+// immediately.
 func Choose(all []Candidate, loadsAtOnce int) []Candidate {
 	free := loadsAtOnce
 	for _, c := range all {
--- a/internal/command/snapshot/snapshot.go
+++ b/internal/command/snapshot/snapshot.go
@@ -1,5 +1,6 @@
-// Package snapshot writes a copy of the configuration to the object store. A
-// VM that starts while the table service is down begins from it.
+// Package snapshot writes a copy of the configuration to the object store. A VM
+// that starts while the table service is down uses it as its initial
+// configuration.
 package snapshot
 
 import (
@@ -11,33 +12,35 @@
 	query "github.com/vanillagate/vanillagate/internal/query/snapshot"
 )
 
-// Outcome says what became of a snapshot.
+// Outcome is the outcome of Write.
 type Outcome int
 
 // The outcomes.
 const (
-	// Written means that the snapshot stands, or stood for a moment.
+	// Written means that the snapshot was written; another process may have
+	// replaced it since.
 	Written Outcome = iota
-	// Kept means that one of the same or a higher revision stood there.
+	// Kept means that the existing snapshot has the same or a higher revision.
 	Kept
-	// Unavailable means that the store could not be read or written.
+	// Unavailable means that the snapshot could not be read, encoded or
+	// written.
 	Unavailable
 )
 
-// Write puts the state unless a snapshot of the same or a higher revision
-// stands there. The store has no conditional put, so between our read and our
-// put another process may put a higher revision that we then replace by a
-// lower one. That lasts until the next snapshot. It does not bring an old
-// configuration back: a reader takes the highest revision of table, peers and
-// snapshot, a process only ever moves to a higher revision, and who starts from
-// the lower one while table and peers are away goes on as soon as one of them
-// answers.
+// Write stores the state as the snapshot unless the existing one has the same
+// or a higher revision. The store has no conditional put, so between our read
+// and our put another process may write a higher revision, which we then
+// replace with a lower one until the next snapshot is written. That does not
+// restore an old configuration: a reader takes the highest revision of table,
+// peers and snapshot, a process never returns to a lower revision, and a
+// process that starts from the lower one while table and peers are unreachable
+// catches up as soon as one of them answers.
 func Write(ctx context.Context, objects backing.ObjectStore, state *config.State) (Outcome, error) {
-	standing, err := query.Read(ctx, objects)
+	existing, err := query.Read(ctx, objects)
 	if err != nil {
 		return Unavailable, err
 	}
-	if standing.Revision >= state.Revision {
+	if existing.Revision >= state.Revision {
 		return Kept, nil
 	}
 	raw, err := json.Marshal(state)
--- a/internal/command/snapshot/snapshot_test.go
+++ b/internal/command/snapshot/snapshot_test.go
@@ -11,7 +11,7 @@
 	query "github.com/vanillagate/vanillagate/internal/query/snapshot"
 )
 
-func stateAt(t *testing.T, revision config.Revision) *config.State {
+func stateAtRevision(t *testing.T, revision config.Revision) *config.State {
 	state := config.NewState()
 	for r := config.Revision(1); r <= revision; r++ {
 		next, err := state.Apply(config.Change{Revision: r, Kind: config.KindPool, Name: "llm", Body: []byte(`{"name":"llm"}`)})
@@ -21,19 +21,20 @@
 	return state
 }
 
-// A process that was frozen for a minute goes on and writes the configuration
-// that it knows as the snapshot. A VM that starts from it during an outage of
-// the table would serve by an old contract, so the later snapshot must stand.
-func TestOldSnapshotDoesNotReplaceALaterOne(t *testing.T) {
+// A process that was paused for a minute resumes and writes its old
+// configuration as the snapshot. It must not replace the newer one, or a VM
+// that starts from it during an outage of the table would apply an old
+// contract.
+func TestOlderSnapshotIsNotWritten(t *testing.T) {
 	objects := memory.New().Objects()
 	ctx := t.Context()
 	empty, err := query.Read(ctx, objects)
 	assert.NilError(t, err)
 	assert.Equal(t, empty.Revision, config.Revision(0))
-	out, err := Write(ctx, objects, stateAt(t, 3))
+	out, err := Write(ctx, objects, stateAtRevision(t, 3))
 	assert.NilError(t, err)
 	assert.Equal(t, out, Written)
-	out, err = Write(ctx, objects, stateAt(t, 2))
+	out, err = Write(ctx, objects, stateAtRevision(t, 2))
 	assert.NilError(t, err)
 	assert.Equal(t, out, Kept)
 	read, err := query.Read(ctx, objects)
@@ -42,9 +43,9 @@
 	assert.Equal(t, read.Pools["llm"].Name, "llm")
 }
 
-// The object store can't be read. What stands there is not known, and nothing
-// may be put over it.
-func TestSnapshotIsNotWrittenBlindly(t *testing.T) {
+// The object store can't be read, so the revision of the existing snapshot is
+// unknown and it must not be overwritten.
+func TestSnapshotIsNotWrittenIfStoreIsUnreadable(t *testing.T) {
 	store := memory.New()
 	store.SetFaults(func(call memory.Call) memory.Fault {
 		if call.Write {
@@ -52,7 +53,7 @@
 		}
 		return memory.LostCall
 	})
-	out, err := Write(t.Context(), store.Objects(), stateAt(t, 1))
+	out, err := Write(t.Context(), store.Objects(), stateAtRevision(t, 1))
 	assert.ErrorIs(t, err, backing.ErrUnknown)
 	assert.Equal(t, out, Unavailable)
 }
