--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,11 +24,11 @@
 		version string
 		want    bool
 	}{
-		{"pool names none", Pool{}, "1", true},
-		{"target names none", Pool{Version: "2"}, "", true},
-		{"the one in force", Pool{Version: "2"}, "2", true},
-		{"an old one", Pool{Version: "2"}, "1", false},
-		{"an old one while changing over", Pool{Version: "2", AlsoVersions: []string{"1"}}, "1", true},
+		{"pool without version", Pool{}, "1", true},
+		{"target without version", Pool{Version: "2"}, "", true},
+		{"configured version", Pool{Version: "2"}, "2", true},
+		{"old version", Pool{Version: "2"}, "1", false},
+		{"old version during an update", Pool{Version: "2", AlsoVersions: []string{"1"}}, "1", true},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) { assert.Equal(t, tc.pool.Accepts(tc.version), tc.want) })
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// State is the configuration at one revision. A State is never changed after
-// it was built: Apply returns a new one, so readers need no lock.
+// State is the configuration at one revision. It is never modified after it was
+// built: Apply returns a new State, so readers need no lock.
 type State struct {
 	Revision  Revision            `json:"revision"`
 	Contracts map[string]Contract `json:"contracts"`
@@ -14,12 +14,13 @@
 	Pipelines map[string]Pipeline `json:"pipelines"`
 	Services  map[string]Service  `json:"services"`
 	Stops     map[string]Stop     `json:"stops"`
-	// LastChanges is the last change of each item by ItemKey, deletions included, so
-	// that the loser of a race can be told who changed what.
+	// LastChanges holds the last change of each item by ItemKey, including
+	// deletions, so that a writer that lost a race can be told who made which
+	// change.
 	LastChanges map[string]LastChange `json:"last"`
 }
 
-// LastChange says who last changed an item, and at which revision.
+// LastChange describes the last change of an item.
 type LastChange struct {
 	Revision Revision `json:"revision"`
 	ChangeID string   `json:"change_id"`
@@ -27,10 +28,10 @@
 	Deleted  bool     `json:"deleted,omitempty"`
 }
 
-// ItemKey names an item over all kinds.
+// ItemKey returns the key of an item, unique across all kinds.
 func ItemKey(kind Kind, name string) string { return string(kind) + "/" + name }
 
-// NewState is the state before any change.
+// NewState returns the state before any change.
 func NewState() *State {
 	return &State{
 		Contracts:   map[string]Contract{},
@@ -42,9 +43,9 @@
 	}
 }
 
-// Apply returns the state after the changes, which must continue this one's
-// revision without a gap. Changes at or below its revision are passed over: an
-// old change that arrives late must not bring back what it once said.
+// Apply returns the state after the changes, which must follow this state's
+// revision without a gap. Changes at or below its revision are skipped: an old
+// change that arrives late must not restore old content.
 func (s *State) Apply(changes ...Change) (*State, error) {
 	next := s.clone()
 	for _, c := range changes {
@@ -54,26 +55,26 @@
 		if c.Revision != next.Revision+1 {
 			return nil, fmt.Errorf("config: change %d does not follow revision %d", c.Revision, next.Revision)
 		}
-		if err := next.put(c); err != nil {
+		if err := next.applyChange(c); err != nil {
 			return nil, err
 		}
 	}
 	return next, nil
 }
 
-func (s *State) put(c Change) error {
+func (s *State) applyChange(c Change) error {
 	var err error
 	switch c.Kind {
 	case KindContract:
-		err = replace(s.Contracts, c)
+		err = replaceOrDelete(s.Contracts, c)
 	case KindPool:
-		err = replace(s.Pools, c)
+		err = replaceOrDelete(s.Pools, c)
 	case KindPipeline:
-		err = replace(s.Pipelines, c)
+		err = replaceOrDelete(s.Pipelines, c)
 	case KindService:
-		err = replace(s.Services, c)
+		err = replaceOrDelete(s.Services, c)
 	case KindStop:
-		err = replace(s.Stops, c)
+		err = replaceOrDelete(s.Stops, c)
 	default:
 		err = fmt.Errorf("config: change %d has unknown kind %q", c.Revision, c.Kind)
 	}
@@ -85,14 +86,14 @@
 	return nil
 }
 
-func replace[T any](items map[string]T, c Change) error {
+func replaceOrDelete[T any](items map[string]T, c Change) error {
 	if c.Deleted {
 		delete(items, c.Name)
 		return nil
 	}
 	var item T
 	if err := json.Unmarshal(c.Body, &item); err != nil {
-		return fmt.Errorf("config: change %d: %w", c.Revision, err)
+		return fmt.Errorf("config: decode body of change %d: %w", c.Revision, err)
 	}
 	items[c.Name] = item
 	return nil
--- a/internal/config/state_test.go
+++ b/internal/config/state_test.go
@@ -12,7 +12,7 @@
 	return Change{ID: "c", Revision: rev, Kind: KindContract, Name: "a", Body: body, By: "op"}
 }
 
-func TestApplyNeverGoesBack(t *testing.T) {
+func TestApplySkipsOldChanges(t *testing.T) {
 	s, err := NewState().Apply(contractChange(1, 1), contractChange(2, 2))
 	assert.NilError(t, err)
 	s, err = s.Apply(contractChange(1, 1))
