--- a/internal/steward/orders.go
+++ b/internal/steward/orders.go
@@ -15,10 +15,10 @@
 	"github.com/vanillagate/vanillagate/internal/logging"
 )
 
-// maxReports bounds the reports that are asked for at once.
-const maxReports = 16
+// maxConcurrentReports limits the reports that are requested concurrently.
+const maxConcurrentReports = 16
 
-func (s *Steward) steeredPools() []string {
+func (s *Steward) managedPools() []string {
 	var names []string
 	for name, pool := range s.opts.Config().Pools {
 		if order.IsManaged(pool) {
@@ -29,10 +29,11 @@
 	return names
 }
 
-// orderAll looks after the pools whose lease this process holds.
-func (s *Steward) orderAll(ctx context.Context) {
+// orderPools sends orders to the engines of the pools whose lease this process
+// holds.
+func (s *Steward) orderPools(ctx context.Context) {
 	state := s.opts.Config()
-	for _, name := range s.steeredPools() {
+	for _, name := range s.managedPools() {
 		if _, holds := s.leases.Check(name); holds {
 			s.orderPool(ctx, state.Pools[name])
 		}
@@ -42,17 +43,17 @@
 func (s *Steward) orderPool(ctx context.Context, pool config.Pool) {
 	candidates := s.candidates(ctx, pool)
 	for _, c := range order.Choose(candidates, s.opts.MaxConcurrentLoads) {
-		s.begin(ctx, pool.Name, c)
+		s.startOrder(ctx, pool.Name, c)
 	}
 }
 
-// candidates asks each engine what it serves. One that does not answer is left
-// out until it does.
+// candidates requests the report of each engine. An engine that does not answer
+// is left out until it does.
 func (s *Steward) candidates(ctx context.Context, pool config.Pool) []order.Candidate {
 	var mu sync.Mutex // guards all
 	var all []order.Candidate
 	var group errgroup.Group
-	group.SetLimit(maxReports)
+	group.SetLimit(maxConcurrentReports)
 	for _, address := range s.engines(pool.Name) {
 		group.Go(func() error {
 			candidate, ok := s.candidate(ctx, pool, address)
@@ -75,29 +76,29 @@
 	}
 	report, err := s.client.Report(ctx, address)
 	if err != nil {
-		s.log.Debug("engine gives no report", zap.String("target", address), zap.Error(err))
+		s.log.Debug("Engine returned no report.", zap.String("target", address), zap.Error(err))
 		return candidate, false
 	}
 	candidate.NextOrder = order.Next(pool, report)
 	return candidate, true
 }
 
-// engines lists the targets of a pool that are not about to leave.
+// engines returns the live targets of a pool without a planned stop.
 func (s *Steward) engines(pool string) []string {
-	stopping := s.stopping()
+	stoppingSet := s.stoppingTargets()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var addresses []string
 	for _, vm := range s.vms {
-		if vm.Role == backing.RoleTarget && vm.Pool == pool && vm.State == backing.VMLive && !stopping[vm.Address] {
+		if vm.Role == backing.RoleTarget && vm.Pool == pool && vm.State == backing.VMLive && !stoppingSet[vm.Address] {
 			addresses = append(addresses, vm.Address)
 		}
 	}
 	return addresses
 }
 
-// stopping lists the targets whose planned stop is in force.
-func (s *Steward) stopping() map[string]bool {
+// stoppingTargets returns the targets that have a planned stop in force.
+func (s *Steward) stoppingTargets() map[string]bool {
 	addresses := map[string]bool{}
 	for _, stop := range s.opts.Config().Stops {
 		if stop.Subject == config.StopTarget {
@@ -123,12 +124,13 @@
 	}
 }
 
-// begin gives one order. The lease is checked right before it: this process
-// may have been paused since the reports were read, and another may hold the
-// lease by now. What slips through between the check and the sending, the
-// fencing token stops at engines that check it; at the others the new holder's
-// comparison with the engine's report puts it right.
-func (s *Steward) begin(ctx context.Context, pool string, c order.Candidate) {
+// startOrder sends one order in the background. The lease is checked
+// immediately before: this process may have been paused since the reports were
+// read, and another process may hold the lease. An order that becomes outdated
+// between the check and its arrival is refused by engines that check fencing
+// tokens. At other engines the new holder corrects its effect when it compares
+// the engine's report with the configuration.
+func (s *Steward) startOrder(ctx context.Context, pool string, c order.Candidate) {
 	s.setBusy(c.Address, true)
 	s.orders.Go(func() {
 		defer s.setBusy(c.Address, false)
@@ -136,7 +138,7 @@
 		log := s.log.With(logging.RequestID(id), zap.String("pool", pool), zap.String("target", c.Address))
 		token, holds := s.leases.Check(pool)
 		if !holds || ctx.Err() != nil {
-			log.Info("lease lapsed before an order")
+			log.Info("Lease expired before the order was sent.")
 			return
 		}
 		result, err := s.client.Send(context.WithoutCancel(ctx), c.Address, c.NextOrder, token, id)
--- a/internal/steward/program/program.go
+++ b/internal/steward/program/program.go
@@ -1,4 +1,4 @@
-// Package program is the command line of vgsteward.
+// Package program implements the command line of vgsteward.
 package program
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/vanillagate/vanillagate/internal/steward"
 )
 
-// Names of the flags that vgsteward has beside the shared ones.
+// Flags of vgsteward besides those shared with the other programs.
 const (
 	flagLeaseTerm    = "lease-term"
 	flagPeriod       = "period"
@@ -31,7 +31,7 @@
 	flagLoadsAtOnce  = "loads-at-once"
 )
 
-// Bounds and defaults of the settings.
+// Limits and defaults of the settings.
 const (
 	defaultTerm         = 10 * time.Second
 	minTerm             = time.Second
@@ -40,20 +40,21 @@
 	defaultConfigPeriod = 2 * time.Second
 	minPeriod           = 100 * time.Millisecond
 	maxPeriod           = time.Minute
-	defaultLoads        = 4
-	maxLoads            = 1000
+	defaultLoadsAtOnce  = 4
+	maxLoadsAtOnce      = 1000
 	leaveTimeout        = 2 * time.Second
 )
 
-// Command is the whole command line. The settings stay at a reload signal.
+// Command returns the command line of vgsteward. A reload signal does not
+// change its settings.
 func Command(reload <-chan os.Signal) *cli.Command {
 	return &cli.Command{
 		Name:    "vgsteward",
-		Usage:   "have the engines of each pool serve the model, version, adapter and role that the configuration wants",
+		Usage:   "make the engines of each pool serve the configured model, version, adapter and role",
 		Version: buildinfo.Version,
-		Description: "Every entry VM runs this program, all alike. For each pool one of them holds a lease\n" +
-			"and gives the orders. SIGTERM ends it gracefully: it gives no new order, waits for\n" +
-			"those on their way and releases its leases.\n\n" +
+		Description: "Every entry VM runs one instance of this program. For each pool, one instance holds a lease\n" +
+			"and sends the orders. SIGTERM stops it gracefully: it sends no new orders, waits for\n" +
+			"those in flight and releases its leases.\n\n" +
 			"Example:\n" +
 			"  vgsteward --table-url http://10.0.0.5:8000 --objects-url http://10.0.0.5:9000 \\\n" +
 			"    --vm-list-url http://10.0.0.5:7003 --peer-listen 10.0.1.1:7610 --zone a --region r1",
@@ -66,34 +67,35 @@
 
 func flags() []cli.Flag {
 	return []cli.Flag{
-		duration(flagLeaseTerm, defaultTerm, "how long a lease lasts, the same for all vgsteward processes"),
-		duration(flagPeriod, defaultPeriod, "how often VM list and engines are looked at"),
-		duration(flagConfigPeriod, defaultConfigPeriod, "how often the table is read for changes"),
+		durationFlag(flagLeaseTerm, defaultTerm, "how long a lease lasts, the same for all vgsteward processes"),
+		durationFlag(flagPeriod, defaultPeriod, "how often the VM list and the engines' reports are read"),
+		durationFlag(flagConfigPeriod, defaultConfigPeriod, "how often the table is read for changes"),
 		&cli.IntFlag{
-			Name: flagLoadsAtOnce, Value: defaultLoads, Sources: program.Env(flagLoadsAtOnce),
-			Usage: "how many engines of a pool fetch weights at the same time",
+			Name: flagLoadsAtOnce, Value: defaultLoadsAtOnce, Sources: program.Env(flagLoadsAtOnce),
+			Usage: "how many engines of a pool may load weights at the same time",
 		},
 	}
 }
 
-func duration(name string, value time.Duration, usage string) cli.Flag {
+func durationFlag(name string, value time.Duration, usage string) cli.Flag {
 	return &cli.DurationFlag{Name: name, Value: value, Usage: usage, Sources: program.Env(name)}
 }
 
-// run checks the settings all at once and wires the process.
+// run checks all settings, so that all errors are reported together, and then
+// starts the process.
 func run(ctx context.Context, cmd *cli.Command, reload <-chan os.Signal) error {
 	var check settings.Checker
 	shared := vmflags.Check(cmd, &check)
 	check.Between(flagLeaseTerm, cmd.Duration(flagLeaseTerm), minTerm, maxTerm)
 	check.Between(flagPeriod, cmd.Duration(flagPeriod), minPeriod, maxPeriod)
 	check.Between(flagConfigPeriod, cmd.Duration(flagConfigPeriod), minPeriod, maxPeriod)
-	check.IntBetween(flagLoadsAtOnce, cmd.Int(flagLoadsAtOnce), 1, maxLoads)
+	check.IntBetween(flagLoadsAtOnce, cmd.Int(flagLoadsAtOnce), 1, maxLoadsAtOnce)
 	if err := check.Err(); err != nil {
 		return err
 	}
 	log, err := logging.NewBounded(shared.LogLevel, metrics.NewRegistry())
 	if err != nil {
-		return eris.Wrap(err, "logs")
+		return eris.Wrap(err, "set up logging")
 	}
 	defer log.Close()
 	go settings.LogReloads(ctx, logging.Part(log.Logger, "settings"), reload)
@@ -108,33 +110,35 @@
 	peerOptions.Log = log
 	node, err := peer.New(peerOptions)
 	if err != nil {
-		return eris.Wrap(err, "peer")
+		return eris.Wrap(err, "create peer node")
 	}
 	keeper := inforce.New(inforce.Options{
 		Table: shared.Table, Objects: shared.Objects, Network: node, Log: logging.Part(log, "config"),
 		Period: cmd.Duration(flagConfigPeriod),
 	})
 	s := steward.New(steward.Options{
-		OwnIncarnation: me, Table: shared.Table, VMs: shared.VMs, Config: known(keeper), Log: log,
+		OwnIncarnation: me, Table: shared.Table, VMs: shared.VMs, Config: configWhenKnown(keeper), Log: log,
 		LeaseTerm: cmd.Duration(flagLeaseTerm), Period: cmd.Duration(flagPeriod), MaxConcurrentLoads: cmd.Int(flagLoadsAtOnce),
 	})
-	// The network outlives the signal, so that the planned stop is told.
+	// The peer network keeps running after the stop signal, so that the planned
+	// stop can be announced to the peers.
 	if err := node.Start(context.WithoutCancel(ctx)); err != nil {
-		return eris.Wrap(err, "peer")
+		return eris.Wrap(err, "start peer node")
 	}
 	defer node.Close()
 	log.Info("steward: started", zap.String("incarnation", string(me)), zap.String("zone", shared.Zone))
-	err = work(ctx, keeper, s)
+	err = runUntilDone(ctx, keeper, s)
 	leaveCtx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	node.Leave(leaveCtx)
 	return err
 }
 
-// known gives what is in force, or nothing while that isn't known: a steward
-// that stood still for less than its lease would else order by the versions of
-// before, and one that starts by those of an old snapshot.
-func known(keeper *inforce.Keeper) func() *config.State {
+// configWhenKnown returns the configuration in force, or an empty one while it
+// is not known. Otherwise a steward that was paused for less than its lease's
+// term would send orders for outdated versions, and one that just started would
+// send orders for those of an old snapshot.
+func configWhenKnown(keeper *inforce.Keeper) func() *config.State {
 	return func() *config.State {
 		if !keeper.Known() {
 			return config.NewState()
@@ -143,8 +147,9 @@
 	}
 }
 
-// work runs the parts until the context ends.
-func work(ctx context.Context, keeper *inforce.Keeper, s *steward.Steward) error {
+// runUntilDone runs the configuration keeper and the steward until the context
+// ends.
+func runUntilDone(ctx context.Context, keeper *inforce.Keeper, s *steward.Steward) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { keeper.Run(ctx); return nil })
 	group.Go(func() error { return s.Run(ctx) })
--- a/internal/steward/steward.go
+++ b/internal/steward/steward.go
@@ -1,5 +1,5 @@
-// Package steward is what vgsteward runs: it holds the leases of pools and has
-// their engines serve what the configuration wants.
+// Package steward implements vgsteward: it holds the leases of pools and makes
+// their engines serve the configured models.
 package steward
 
 import (
@@ -18,44 +18,46 @@
 	"github.com/vanillagate/vanillagate/internal/peer"
 )
 
-// Options are what a Steward is made of. All are required.
+// Options configure a Steward. All are required.
 type Options struct {
 	OwnIncarnation peer.Incarnation
 	Table          backing.Table
 	VMs            backing.VMList
-	// Config is the configuration in force in this process.
+	// Config returns the configuration in force in this process.
 	Config func() *config.State
 	Log    *zap.Logger
-	// LeaseTerm is the length of a lease.
+	// LeaseTerm is the duration of a lease.
 	LeaseTerm time.Duration
-	// Period is how often VM list and engines are looked at.
+	// Period is the interval at which the VM list and the engines' reports are
+	// read.
 	Period time.Duration
-	// MaxConcurrentLoads bounds how many engines of a pool fetch weights together.
+	// MaxConcurrentLoads limits how many engines of a pool load weights at the
+	// same time.
 	MaxConcurrentLoads int
 }
 
-// drainTime is how long a planned stop waits for orders on their way; an
-// engine finishes an order all the same when its sender has gone.
-const drainTime = 5 * time.Second
+// drainTimeout is how long a planned stop waits for orders in flight. An engine
+// completes an order even if its sender is gone.
+const drainTimeout = 5 * time.Second
 
-// releaseTime bounds giving the leases up.
-const releaseTime = 3 * time.Second
+// releaseTimeout limits how long releasing the leases may take.
+const releaseTimeout = 3 * time.Second
 
-// Steward is one vgsteward process. Use New.
+// Steward runs the work of one vgsteward process. Use New.
 type Steward struct {
 	opts   Options
 	log    *zap.Logger
 	leases *lease.Manager
 	client *order.Client
 
-	mu   sync.Mutex // guards vms and busy; a leaf
+	mu   sync.Mutex // guards vms and busy; no other lock is taken while it is held
 	vms  []backing.VM
-	busy map[string]bool // engines with an order on its way
+	busy map[string]bool // engines with an order in flight
 
 	orders sync.WaitGroup
 }
 
-// New builds a Steward.
+// New returns a Steward.
 func New(opts Options) *Steward {
 	return &Steward{
 		opts:   opts,
@@ -66,19 +68,19 @@
 	}
 }
 
-// Run works until the context ends, then stops gracefully: no new order, wait
-// for those on their way, give up the leases.
+// Run runs until the context ends, then stops gracefully: it sends no new
+// orders, waits for those in flight and releases the leases.
 func (s *Steward) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return every(ctx, s.opts.Period, s.readVMs) })
-	group.Go(func() error { return every(ctx, s.leases.Period(), s.renew) })
-	group.Go(func() error { return every(ctx, s.opts.Period, s.orderAll) })
+	group.Go(func() error { return runPeriodically(ctx, s.opts.Period, s.readVMs) })
+	group.Go(func() error { return runPeriodically(ctx, s.leases.Period(), s.renewLeases) })
+	group.Go(func() error { return runPeriodically(ctx, s.opts.Period, s.orderPools) })
 	err := group.Wait()
 	s.stop()
 	return err
 }
 
-func every(ctx context.Context, period time.Duration, do func(context.Context)) error {
+func runPeriodically(ctx context.Context, period time.Duration, do func(context.Context)) error {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
@@ -94,18 +96,18 @@
 func (s *Steward) stop() {
 	s.log.Info("stopping")
 	if !s.drain() {
-		s.log.Warn("orders are still on their way")
+		s.log.Warn("Orders are still in flight.")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), releaseTime)
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	if err := s.leases.Release(ctx); err != nil {
-		s.log.Warn("leases can't be released and end by themselves", zap.Error(err))
+		s.log.Warn("Leases could not be released and will expire.", zap.Error(err))
 		return
 	}
 	s.log.Info("leases released")
 }
 
-// drain waits for the orders on their way; false if it gave up.
+// drain waits for the orders in flight. It returns false on a timeout.
 func (s *Steward) drain() bool {
 	drained := make(chan struct{})
 	go func() {
@@ -115,23 +117,23 @@
 	select {
 	case <-drained:
 		return true
-	case <-time.After(drainTime):
+	case <-time.After(drainTimeout):
 		return false
 	}
 }
 
-func (s *Steward) renew(ctx context.Context) {
-	if err := s.leases.AcquireOrRenew(ctx, s.steeredPools()); err != nil && ctx.Err() == nil {
-		s.log.Warn("leases can't be renewed", zap.Error(err))
+func (s *Steward) renewLeases(ctx context.Context) {
+	if err := s.leases.AcquireOrRenew(ctx, s.managedPools()); err != nil && ctx.Err() == nil {
+		s.log.Warn("Leases could not be renewed.", zap.Error(err))
 	}
 }
 
 func (s *Steward) readVMs(ctx context.Context) {
 	vms, err := s.opts.VMs.List(ctx)
 	if err != nil {
-		// The list of before goes on to be used: an outage of the list must
-		// not look as if all engines had left.
-		s.log.Warn("VM list can't be read", zap.Error(err))
+		// The previous list remains in use: an outage of the list must not look
+		// as if all engines had left.
+		s.log.Warn("VM list could not be read; the previous list stays in use.", zap.Error(err))
 		return
 	}
 	s.mu.Lock()
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -28,10 +28,10 @@
 	term    = time.Second
 )
 
-var patient = poll.WithTimeout(30 * time.Second)
+var withinTestTimeout = poll.WithTimeout(30 * time.Second)
 
-// engines hosts a pool of engines that serve version 1.
-func engines(t *testing.T, checksFencing bool) *fleet.Fleet {
+// startEngines starts a pool of three engines that serve version 1.
+func startEngines(t *testing.T, checksFencing bool) *fleet.Fleet {
 	f, err := fleet.Open(fleet.File{
 		Seed: 1, Table: anyPort, Objects: anyPort, VMList: anyPort, Control: anyPort,
 		Pools: []fleet.Pool{{
@@ -44,20 +44,20 @@
 	return f
 }
 
-type listed []backing.VM
+type staticVMList []backing.VM
 
-func (l listed) List(context.Context) ([]backing.VM, error) { return l, nil }
+func (l staticVMList) List(context.Context) ([]backing.VM, error) { return l, nil }
 
-func listOf(f *fleet.Fleet) listed {
-	var vms listed
+func vmListOf(f *fleet.Fleet) staticVMList {
+	var vms staticVMList
 	for _, address := range f.Targets["llm"] {
 		vms = append(vms, backing.VM{Address: address, Role: backing.RoleTarget, Pool: "llm", State: backing.VMLive})
 	}
 	return vms
 }
 
-// want has the pool's wanted version accepted.
-func want(t *testing.T, store *memory.Store, version string, expect config.Revision) config.Revision {
+// setWantedVersion submits a change of the pool's version.
+func setWantedVersion(t *testing.T, store *memory.Store, version string, expect config.Revision) config.Revision {
 	body, err := json.Marshal(config.Pool{Name: "llm", Kind: config.TargetEngine, Model: "m", Version: version})
 	assert.NilError(t, err)
 	out := change.New(store, config.NewState).Submit(t.Context(), change.Request{
@@ -67,8 +67,8 @@
 	return out.Revision
 }
 
-// inForce reads the configuration each time.
-func inForce(t *testing.T, store *memory.Store) func() *config.State {
+// currentConfig returns a function that reads the configuration on each call.
+func currentConfig(t *testing.T, store *memory.Store) func() *config.State {
 	return func() *config.State {
 		state, _, err := changes.Follow(context.Background(), store, config.NewState())
 		assert.Check(t, err == nil)
@@ -76,10 +76,10 @@
 	}
 }
 
-// start runs a steward until the returned function is called.
-func start(t *testing.T, me string, store *memory.Store, f *fleet.Fleet) (*Steward, func()) {
+// startSteward runs a steward until the returned function is called.
+func startSteward(t *testing.T, me string, store *memory.Store, f *fleet.Fleet) (*Steward, func()) {
 	s := New(Options{
-		OwnIncarnation: peer.Incarnation(me), Table: store, VMs: listOf(f), Config: inForce(t, store), Log: zap.NewNop(),
+		OwnIncarnation: peer.Incarnation(me), Table: store, VMs: vmListOf(f), Config: currentConfig(t, store), Log: zap.NewNop(),
 		LeaseTerm: term, Period: 50 * time.Millisecond, MaxConcurrentLoads: 2,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -93,8 +93,8 @@
 	return s, stop
 }
 
-// serves waits until each engine reports the version.
-func serves(t *testing.T, f *fleet.Fleet, version string) {
+// waitForVersion waits until each engine reports the version.
+func waitForVersion(t *testing.T, f *fleet.Fleet, version string) {
 	client := order.NewClient()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		for _, address := range f.Targets["llm"] {
@@ -104,43 +104,43 @@
 			}
 		}
 		return poll.Success()
-	}, patient)
+	}, withinTestTimeout)
 }
 
-// Two stewards look after one pool. One is stopped as planned and the other
-// takes over at once; the wanted version is served each time.
-func TestEnginesServeWhatIsWanted(t *testing.T) {
+// Two stewards share one pool. One is stopped as planned and the other takes
+// over at once; the configured version is served each time.
+func TestEnginesServeTheConfiguredVersion(t *testing.T) {
 	store := memory.New()
-	f := engines(t, true)
-	revision := want(t, store, "2", 0)
-	a, stopA := start(t, "a", store, f)
-	b, _ := start(t, "b", store, f)
-	serves(t, f, "2")
+	f := startEngines(t, true)
+	revision := setWantedVersion(t, store, "2", 0)
+	a, stopA := startSteward(t, "a", store, f)
+	b, _ := startSteward(t, "b", store, f)
+	waitForVersion(t, f, "2")
 	_, heldByA := a.leases.Check("llm")
 	_, heldByB := b.leases.Check("llm")
 	assert.Assert(t, !heldByA || !heldByB)
 	stopA()
-	want(t, store, "3", revision)
-	serves(t, f, "3")
+	setWantedVersion(t, store, "3", revision)
+	waitForVersion(t, f, "3")
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if _, holds := b.leases.Check("llm"); !holds {
-			return poll.Continue("b has no lease yet")
+			return poll.Continue("b does not hold the lease yet")
 		}
 		return poll.Success()
-	}, patient)
+	}, withinTestTimeout)
 }
 
-// An order that an earlier holder sent arrives late and loads an old version.
-// Engines that check fencing tokens refuse it. At engines that ignore them it
-// takes effect, and the holder of the lease must notice and put it right, or
-// callers would be served by the wrong version for good.
-func TestLateOrderOfAnEarlierHolder(t *testing.T) {
+// An order of an earlier lease holder arrives late and loads an old version.
+// Engines that check fencing tokens refuse it. Other engines execute it, and
+// the current holder must detect and correct that, or callers would be served
+// by the wrong version permanently.
+func TestLateOrderOfPreviousLeaseHolder(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		store := memory.New()
-		f := engines(t, checks)
-		want(t, store, "2", 0)
-		start(t, "a", store, f)
-		serves(t, f, "2")
+		f := startEngines(t, checks)
+		setWantedVersion(t, store, "2", 0)
+		startSteward(t, "a", store, f)
+		waitForVersion(t, f, "2")
 		late := order.Order{SetModel: &targetapi.SetModelRequest{Model: "m", Version: "1"}}
 		result, err := order.NewClient().Send(t.Context(), f.Targets["llm"][0], late, 0, "late")
 		assert.NilError(t, err)
@@ -149,17 +149,17 @@
 		} else {
 			assert.Equal(t, result, order.Done)
 		}
-		serves(t, f, "2")
+		waitForVersion(t, f, "2")
 	}
 }
 
-// A target whose planned stop was announced gets no orders: a model loaded
-// into a VM that is about to go is time of the weight store lost.
-func TestStoppingEngineGetsNoOrder(t *testing.T) {
-	f := engines(t, true)
+// A target with an announced planned stop gets no orders: loading a model into
+// a VM that is about to stop wastes bandwidth of the weight store.
+func TestStoppingEngineReceivesNoOrder(t *testing.T) {
+	f := startEngines(t, true)
 	state := config.NewState()
 	state.Stops["s"] = config.Stop{ID: "s", Subject: config.StopTarget, Address: f.Targets["llm"][0]}
 	s := New(Options{OwnIncarnation: "a", Table: memory.New(), Config: func() *config.State { return state }, Log: zap.NewNop(), LeaseTerm: term})
-	s.vms = listOf(f)
+	s.vms = vmListOf(f)
 	assert.DeepEqual(t, s.engines("llm"), f.Targets["llm"][1:])
 }
