--- a/internal/command/change/change_test.go
+++ b/internal/command/change/change_test.go
@@ -30,8 +30,9 @@
 }
 
 // Two operators read the same contract and change it concurrently. The second
-// one must not overwrite a change that he has not seen: he is told who changed
-// the contract and at which revision, and nothing of his change is written.
+// change must not overwrite the first, which its operator has not seen: the
+// answer names who changed the contract and at which revision, and nothing of
+// the second change is written.
 func TestConflictNamesTheLastChange(t *testing.T) {
 	store := memory.New()
 	ctx := withTimeout(t)
--- a/internal/command/change/model_test.go
+++ b/internal/command/change/model_test.go
@@ -65,7 +65,7 @@
 
 func (m *machine) Commit(ctx context.Context, writes []backing.Write) ([]backing.Conflict, error) {
 	m.maybeInterleave("before a write")
-	switch rapid.SampledFrom([]string{"answered", "answered", "lost", "late", "refused"}).Draw(m.t, "fate") {
+	switch rapid.SampledFrom([]string{"answered", "answered", "lost", "late", "refused"}).Draw(m.t, "result") {
 	case "lost":
 		_, _ = m.store.Commit(ctx, writes)
 		return nil, backing.ErrUnknown
--- a/internal/command/claim/model_test.go
+++ b/internal/command/claim/model_test.go
@@ -141,7 +141,7 @@
 
 // write sends one write with a randomly drawn result.
 func (m *machine) write(t *rapid.T, w backing.Write) writeResult {
-	switch rapid.SampledFrom([]string{"answered", "answered", "answered", "lost", "late", "late", "refused"}).Draw(t, "fate") {
+	switch rapid.SampledFrom([]string{"answered", "answered", "answered", "lost", "late", "late", "refused"}).Draw(t, "result") {
 	case "lost":
 		m.apply(w)
 		return writeResult{err: backing.ErrUnknown}
@@ -298,7 +298,7 @@
 	if len(m.inTransit) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.inTransit)-1).Draw(t, "letter")
+	i := rapid.IntRange(0, len(m.inTransit)-1).Draw(t, "request in transit")
 	l := m.inTransit[i]
 	m.inTransit = append(m.inTransit[:i:i], m.inTransit[i+1:]...)
 	if m.checksFencing && l.token < m.highest {
--- a/internal/command/cost/estimator.go
+++ b/internal/command/cost/estimator.go
@@ -78,14 +78,14 @@
 	if r.byPool == nil {
 		r.byPool = map[string]*poolSums{}
 	}
-	known := r.byPool[pool]
-	if known == nil {
-		known = &poolSums{}
-		r.byPool[pool] = known
+	sums := r.byPool[pool]
+	if sums == nil {
+		sums = &poolSums{}
+		r.byPool[pool] = sums
 	}
-	known.addCall(s)
+	sums.addCall(s)
 	if s.GeneratedTokens == 0 {
-		known.recordTargetTime(s.Target, s.ReportedTime)
+		sums.recordTargetTime(s.Target, s.ReportedTime)
 	}
 }
 
@@ -111,15 +111,15 @@
 func (r *Estimator) Estimate(pool string, s Sample) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.byPool[pool]
+	sums := r.byPool[pool]
 	switch {
-	case known == nil:
+	case sums == nil:
 		return 0
-	case known.g == 0:
-		return known.estimateFromTime(s)
+	case sums.g == 0:
+		return sums.estimateFromTime(s)
 	}
-	prompt, generated := known.timesPerToken()
-	ns := prompt*known.p/known.calls + generated*float64(s.GeneratedTokens)
+	prompt, generated := sums.timesPerToken()
+	ns := prompt*sums.p/sums.calls + generated*float64(s.GeneratedTokens)
 	return min(time.Duration(ns), s.Took)
 }
 
@@ -149,11 +149,11 @@
 func (r *Estimator) PromptTokenTime(pool string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.byPool[pool]
-	if known == nil || known.g == 0 {
+	sums := r.byPool[pool]
+	if sums == nil || sums.g == 0 {
 		return 0
 	}
-	prompt, _ := known.timesPerToken()
+	prompt, _ := sums.timesPerToken()
 	return time.Duration(prompt)
 }
 
--- a/internal/command/lease/model_test.go
+++ b/internal/command/lease/model_test.go
@@ -133,7 +133,7 @@
 func (t modelTable) Commit(ctx context.Context, writes []backing.Write) ([]backing.Conflict, error) {
 	m := t.p.m
 	m.interleave("before a write")
-	switch rapid.SampledFrom([]string{"answered", "answered", "lost", "delayed", "refused"}).Draw(m.t, "fate") {
+	switch rapid.SampledFrom([]string{"answered", "answered", "lost", "delayed", "refused"}).Draw(m.t, "result") {
 	case "lost":
 		_, _ = m.store.Commit(ctx, writes)
 		m.interleave("after a lost answer")
