--- a/internal/command/claim/background.go
+++ b/internal/command/claim/background.go
@@ -9,8 +9,8 @@
 // Limits of the work that waits for the store in the background.
 const (
 	// backgroundTimeout is how long recording an outcome is retried while the
-	// store is down. A claim whose outcome is not recorded by then stays held,
-	// and callers that repeat the request are told "unknown".
+	// store is down. A claim whose outcome is not recorded by then stays held
+	// forever, and callers that repeat the request are told "unknown".
 	backgroundTimeout = 15 * time.Minute
 	// maxJobs and maxJobBytes limit the background jobs and the size of their
 	// bodies. Above them the request itself waits, up to inlineTimeout; the
--- a/internal/command/cost/estimator.go
+++ b/internal/command/cost/estimator.go
@@ -124,9 +124,8 @@
 }
 
 // estimateFromTime estimates a call from its duration. The estimate also counts
-// as a call of its target: if a target is slow, hedged calls win almost every
-// race against it, and the few calls that it reports come too rarely to adapt
-// to.
+// as a call of its target: if a target is slow, hedges win nearly all of its
+// calls, and the few engine times that it reports come too late to rely on.
 func (k *poolSums) estimateFromTime(s Sample) time.Duration {
 	worked := max(0, s.Took-time.Duration(k.overhead/k.calls))
 	estimate := min(worked, maxTypicalFactor*k.typicalTime(s.Target))
--- a/internal/command/cost/estimator_test.go
+++ b/internal/command/cost/estimator_test.go
@@ -29,7 +29,7 @@
 		{"stream that broke", "llm", Sample{Took: time.Second, GeneratedTokens: 20}, 31 * time.Millisecond},
 		{"never more than the call's duration", "llm", Sample{Took: 5 * time.Millisecond, GeneratedTokens: 20}, 5 * time.Millisecond},
 		{"calls that are all alike", "alike", Sample{Took: time.Second, GeneratedTokens: 5}, 5 * time.Millisecond},
-		{"slow call that lost to a hedged call", "encoder", Sample{Took: 30 * time.Millisecond}, 28 * time.Millisecond},
+		{"slow call that lost to a hedge", "encoder", Sample{Took: 30 * time.Millisecond}, 28 * time.Millisecond},
 		{"call that waited for a long time", "encoder", Sample{Took: time.Second}, 32 * time.Millisecond},
 		{"duration shorter than the overhead", "encoder", Sample{Took: time.Millisecond}, 0},
 		{"targets that report no engine time", "silent", Sample{Took: time.Second}, 0},
@@ -61,10 +61,10 @@
 	return Sample{Target: address, ReportedTime: testEngineTime, Took: testEngineTime + testOverhead}
 }
 
-// A target becomes many times slower than the others of its pool. Hedged calls
-// win almost every race against it, so it reports no cost, but it works on each
-// call until the hedge has won. An estimate based only on the pool's average
-// would leave most of that work off the bill.
+// A target becomes many times slower than the others of its pool. Hedges win
+// nearly all of its calls, so it reports no cost, but it works on each call
+// until the hedge has won. An estimate based only on the pool's average would
+// leave most of that work off the bill.
 func TestEstimateAdaptsToSlowTarget(t *testing.T) {
 	r := trainedEstimator("retriever", "a")
 	for i, want := range []time.Duration{8, 8, 32, 32, 40, 40} {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -44,8 +44,9 @@
 	Share int `json:"share,omitempty"`
 	// Priority is passed to the engines: 0 (most urgent, the default) to 9.
 	Priority int `json:"priority,omitempty"`
-	// Balance weighs cost (0) against attainment of deadlines (1); any value in
-	// between is allowed. Nil means 1.
+	// Balance weighs cost (0) against attainment (1), the share of requests
+	// answered completely and in time; any value in between is allowed. Nil
+	// means 1.
 	Balance *float64 `json:"balance,omitempty"`
 }
 
