--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,4 +1,4 @@
-// Package accept takes connections in whatever trouble the system has with it.
+// Package accept provides a listener that keeps accepting connections after temporary errors.
 package accept
 
 import (
@@ -10,17 +10,17 @@
 )
 
 const (
-	// firstPause and lastPause are how long after a failure the next connection is
-	// taken in, twice as long each time. Callers wait for a second.
-	firstPause = 5 * time.Millisecond
-	lastPause  = 100 * time.Millisecond
+	// minRetryDelay and maxRetryDelay limit the delay after a failed accept; it doubles with
+	// each failure. Callers wait for a connection for one second.
+	minRetryDelay = 5 * time.Millisecond
+	maxRetryDelay = 100 * time.Millisecond
 )
 
-// Listener fails only once it is closed. The system has no descriptor or no memory
-// left for a moment, or the network reports an error of a connection that has
-// gone; fasthttp ends its server at that. The port would be closed to all, and
-// those who are being served would lose their process. Here whoever is at the
-// door waits until it is over.
+// Listener returns an error from Accept only once it is closed. Accept can fail temporarily:
+// the system is out of file descriptors or memory, or the network reports an error of a
+// connection that is gone. fasthttp ends its server at any error, which would close the port
+// to all callers and end the process under the requests in progress. Listener retries instead,
+// and new callers wait until the problem is over.
 type Listener struct {
 	net.Listener
 	Log *zap.Logger
@@ -28,16 +28,16 @@
 
 // Accept waits for the next connection.
 func (l *Listener) Accept() (net.Conn, error) {
-	pause := firstPause
+	delay := minRetryDelay
 	for {
 		conn, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return conn, err
 		}
-		if pause == firstPause {
+		if delay == minRetryDelay {
 			l.Log.Warn("Connections can't be taken in for now.", zap.Stringer("address", l.Addr()), zap.Error(err))
 		}
-		time.Sleep(pause)
-		pause = min(2*pause, lastPause)
+		time.Sleep(delay)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,6 +1,6 @@
-// Package hangup notices callers that hang up while they wait. A fasthttp
-// handler doesn't learn of it, and without this the targets would work for
-// nobody.
+// Package hangup detects callers that close their connection while they wait for an answer. A
+// fasthttp handler isn't told about it, and without this package the targets would go on
+// working on answers that nobody reads.
 package hangup
 
 import (
@@ -15,42 +15,42 @@
 	"github.com/vanillagate/vanillagate/internal/wait"
 )
 
-// period is how often the connections of waiting callers are looked at.
-const period = 50 * time.Millisecond
+// checkPeriod is how often the connections of waiting callers are checked.
+const checkPeriod = 50 * time.Millisecond
 
-// Watcher cancels the work of callers that hung up: the cancelled context closes
-// the connection to the target, which frees its place.
+// Watcher cancels the work for callers that hung up. The cancelled context closes the
+// connection to the target, which frees its slot.
 type Watcher struct {
-	// left is the cause with which the contexts end.
-	left error
+	// cause is the cancellation cause of the contexts.
+	cause error
 
-	// begun has a place for one signal that somebody waits.
-	begun chan struct{}
+	// wake tells Run that a caller waits. It buffers one signal.
+	wake chan struct{}
 
-	mu      sync.Mutex // guards waiting; a leaf
+	mu      sync.Mutex // guards waiting; no other lock is taken while it is held
 	waiting map[*caller]struct{}
 }
 
 type caller struct {
-	conn net.Conn
-	end  context.CancelCauseFunc
+	conn       net.Conn
+	cancelWork context.CancelCauseFunc
 }
 
-// New makes a watcher whose contexts end with the given cause.
-func New(left error) *Watcher {
-	return &Watcher{left: left, begun: make(chan struct{}, 1), waiting: map[*caller]struct{}{}}
+// New creates a watcher that cancels contexts with the given cause.
+func New(cause error) *Watcher {
+	return &Watcher{cause: cause, wake: make(chan struct{}, 1), waiting: map[*caller]struct{}{}}
 }
 
-// Watch gives a context that ends when the caller hangs up. Call the returned
-// function once the answer is about to be written.
+// Watch returns a context that is cancelled when the caller hangs up. Call the returned
+// function just before the answer is written.
 func (h *Watcher) Watch(ctx context.Context, conn net.Conn) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	c := &caller{conn: conn, end: cancel}
+	c := &caller{conn: conn, cancelWork: cancel}
 	h.mu.Lock()
 	h.waiting[c] = struct{}{}
 	h.mu.Unlock()
 	select {
-	case h.begun <- struct{}{}:
+	case h.wake <- struct{}{}:
 	default:
 	}
 	return ctx, func() {
@@ -61,28 +61,29 @@
 	}
 }
 
-// Run looks at the connections until the context ends. While nobody waits it does nothing:
-// on hundreds of VMs that are mostly idle each wake-up counts.
+// Run checks the connections until ctx ends. It sleeps while no caller waits, to avoid
+// needless wake-ups on hundreds of VMs that are mostly idle.
 func (h *Watcher) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-h.begun:
+		case <-h.wake:
 		}
-		for wait.For(ctx, period) && h.look() {
+		for wait.For(ctx, checkPeriod) && h.checkConnections() {
 		}
 	}
 }
 
-// look ends the contexts of callers that hung up, and tells whether anybody waits.
-func (h *Watcher) look() bool {
+// checkConnections cancels the contexts of callers that hung up, and reports whether any
+// caller was waiting.
+func (h *Watcher) checkConnections() bool {
 	h.mu.Lock()
 	list := slices.Collect(maps.Keys(h.waiting))
 	h.mu.Unlock()
 	for _, c := range list {
 		if socket.Peek(c.conn) == socket.Closed {
-			c.end(h.left)
+			c.cancelWork(h.cause)
 		}
 	}
 	return len(list) > 0
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -10,10 +10,10 @@
 	"gotest.tools/v3/assert"
 )
 
-var errLeft = errors.New("left")
+var errCallerLeft = errors.New("caller left")
 
-// connected gives both ends of a connection.
-func connected(t *testing.T) (caller, server net.Conn) {
+// connPair returns both ends of a connection.
+func connPair(t *testing.T) (caller, server net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -26,21 +26,21 @@
 	return caller, server
 }
 
-// The watcher sleeps while nobody waits. It must wake for each caller that comes after.
-func TestACallerThatHangsUpAfterAnIdleTimeIsNoticed(t *testing.T) {
-	h := New(errLeft)
+// The watcher sleeps while no caller waits. It must wake up for each later caller.
+func TestHangUpIsNoticedAfterTheWatcherWasIdle(t *testing.T) {
+	h := New(errCallerLeft)
 	go h.Run(t.Context())
 	for range 3 {
-		caller, server := connected(t)
+		caller, server := connPair(t)
 		ctx, stop := h.Watch(context.Background(), server)
 		assert.NilError(t, caller.Close())
 		select {
 		case <-ctx.Done():
 		case <-time.After(10 * time.Second):
-			t.Fatal("not noticed")
+			t.Fatal("the hang-up wasn't noticed")
 		}
-		assert.ErrorIs(t, context.Cause(ctx), errLeft)
+		assert.ErrorIs(t, context.Cause(ctx), errCallerLeft)
 		stop()
-		time.Sleep(3 * period)
+		time.Sleep(3 * checkPeriod)
 	}
 }
--- /dev/null
+++ b/internal/idle/listener.go
@@ -0,0 +1,258 @@
+// Package idle limits how long connections of callers may stay unused, by a timeout that may
+// change while the server runs. fasthttp reads its timeout only at its start.
+package idle
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/vanillagate/vanillagate/internal/socket"
+	"github.com/vanillagate/vanillagate/internal/wait"
+)
+
+const (
+	// DynamicTimeout is the idle timeout to configure in fasthttp, which wants a fixed one; it
+	// stands for the current timeout of the Listener. It is longer than any other time that
+	// fasthttp waits to read.
+	DynamicTimeout = 1000 * time.Hour
+	// pendingReadTime is how long reading a request that has already been received may take.
+	// It needs no waiting for the network, but the process may stall once more.
+	pendingReadTime = time.Second
+	// firstRequestTime is how long after it was accepted a connection may wait for its first
+	// request while the listener drains: callers send it one round trip after they have
+	// connected.
+	firstRequestTime = 250 * time.Millisecond
+	// drainPoll is how often Drain checks whether unused connections are left.
+	drainPoll = time.Millisecond
+)
+
+// Listener accepts connections whose idle timeout follows the configuration. Callers reuse
+// their connections until shortly before that timeout, so closing one sooner fails a request.
+type Listener struct {
+	net.Listener
+	// Time returns the current idle timeout.
+	Time func() time.Duration
+
+	closeOnce sync.Once
+	closeErr  error // set by closeOnce
+	// draining is set once unused connections are to be closed.
+	draining atomic.Bool
+	mu       sync.Mutex // guards open; locked before the mu of a connection
+	open     map[*callerConn]struct{}
+}
+
+// Accept waits for the next connection.
+func (l *Listener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	tcp, isTCP := conn.(*net.TCPConn)
+	if !isTCP {
+		return conn, nil
+	}
+	c := &callerConn{TCPConn: tcp, listener: l, accepted: time.Now(), nothingRead: true}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.open == nil {
+		l.open = map[*callerConn]struct{}{}
+	}
+	l.open[c] = struct{}{}
+	return c, nil
+}
+
+// Close closes the port. It may be called more than once: the shutdown of fasthttp closes the
+// port again after Drain.
+func (l *Listener) Close() error {
+	l.closeOnce.Do(func() { l.closeErr = l.Listener.Close() })
+	return l.closeErr
+}
+
+// Drain closes the port, closes connections that are unused or become so, and waits until none
+// is left or the context ends. Call it before the shutdown of fasthttp, which decides by its
+// own bookkeeping which connections to close: it would drop a request that is already in the
+// socket or has just been read, and serve the first request of a connection seconds later.
+// Here the goroutine that reads a connection checks it, and serves a request that has arrived.
+func (l *Listener) Drain(ctx context.Context) {
+	l.draining.Store(true)
+	_ = l.Close() // fails only if it is already closed
+	for _, c := range l.unusedConns() {
+		c.expireIfUnused()
+	}
+	for len(l.unusedConns()) > 0 && wait.For(ctx, drainPoll) {
+		continue
+	}
+}
+
+func (l *Listener) unusedConns() []*callerConn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var list []*callerConn
+	for c := range l.open {
+		if c.isUnused() {
+			list = append(list, c)
+		}
+	}
+	return list
+}
+
+func (l *Listener) remove(c *callerConn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.open, c)
+}
+
+// callerConn is a connection from a caller.
+type callerConn struct {
+	*net.TCPConn
+	listener *Listener
+	accepted time.Time
+
+	mu sync.Mutex // guards the fields below and the read deadline; no other lock is taken while it is held
+	// nothingRead is set until the first bytes are read, idle while the idle timeout runs. In
+	// both cases the connection waits for a request.
+	nothingRead, idle bool
+	// idleSince is when the idle time began. minIdleTime is the idle timeout at the time of
+	// the previous request: its answer may have announced that timeout to the caller.
+	idleSince   time.Time
+	minIdleTime time.Duration
+	// deadline is the read deadline that fasthttp set.
+	deadline time.Time
+}
+
+// SetReadDeadline sets the read deadline. It replaces DynamicTimeout by the current idle
+// timeout.
+func (c *callerConn) SetReadDeadline(t time.Time) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.idle = time.Until(t) > DynamicTimeout/2
+	if c.idle {
+		c.idleSince = time.Now()
+		t = c.idleEnd()
+	} else {
+		c.minIdleTime = c.listener.Time()
+	}
+	c.deadline = t
+	if c.unusedLocked() && c.listener.draining.Load() {
+		t = c.drainDeadline()
+	}
+	return c.TCPConn.SetReadDeadline(t)
+}
+
+// idleEnd returns when the idle timeout ends. The caller holds mu.
+func (c *callerConn) idleEnd() time.Time {
+	return c.idleSince.Add(max(c.minIdleTime, c.listener.Time()))
+}
+
+// drainDeadline returns until when an unused connection waits for a request while the listener
+// drains. The caller holds mu.
+func (c *callerConn) drainDeadline() time.Time {
+	now := time.Now()
+	if first := c.accepted.Add(firstRequestTime); c.nothingRead && first.After(now) {
+		return first
+	}
+	return now
+}
+
+// Read also reads a request that arrived in time if the idle timeout has passed since.
+// Otherwise a process that was stalled meanwhile would close the connection with a complete
+// request in it, and its caller couldn't tell whether it ran. If the idle timeout has become
+// longer since the connection became idle, Read waits for the rest of it.
+func (c *callerConn) Read(p []byte) (int, error) {
+	for {
+		n, err := c.TCPConn.Read(p)
+		if n > 0 {
+			return n, errors.Join(err, c.noteBytesRead())
+		}
+		if !errors.Is(err, os.ErrDeadlineExceeded) {
+			return n, err
+		}
+		if !c.extendForPendingData() && !c.extendIdleWait() {
+			return n, c.timeoutError(err)
+		}
+	}
+}
+
+// timeoutError returns the error of a read that timed out. If draining ended the wait for a
+// first request, it is io.EOF, because fasthttp answers a timeout even if there is no request.
+func (c *callerConn) timeoutError(err error) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.nothingRead && c.listener.draining.Load() {
+		return io.EOF
+	}
+	return err
+}
+
+// noteBytesRead records that bytes have been read. fasthttp doesn't set another deadline
+// during the first request of a connection, so the one it set before is restored.
+func (c *callerConn) noteBytesRead() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.nothingRead {
+		return nil
+	}
+	c.nothingRead = false
+	return c.TCPConn.SetReadDeadline(c.deadline)
+}
+
+// extendForPendingData extends the deadline to read data that has arrived on an unused
+// connection. It returns false if there is no data, the connection isn't unused, or the time
+// for its first request is over.
+func (c *callerConn) extendForPendingData() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.unusedLocked() || !c.idle && !time.Now().Before(c.deadline) {
+		return false
+	}
+	if socket.Peek(c.TCPConn) != socket.Readable {
+		return false
+	}
+	return c.TCPConn.SetReadDeadline(time.Now().Add(pendingReadTime)) == nil
+}
+
+// extendIdleWait extends the deadline to the rest of an idle timeout that has become longer.
+// It returns false if that is over or the connection isn't idle.
+func (c *callerConn) extendIdleWait() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.idle || c.listener.draining.Load() {
+		return false
+	}
+	end := c.idleEnd()
+	if !time.Now().Before(end) {
+		return false
+	}
+	c.deadline = end
+	return c.TCPConn.SetReadDeadline(end) == nil
+}
+
+// unusedLocked reports whether the connection waits for a request. The caller holds mu.
+func (c *callerConn) unusedLocked() bool { return c.nothingRead || c.idle }
+
+func (c *callerConn) isUnused() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.unusedLocked()
+}
+
+// expireIfUnused ends the wait for a request that hasn't arrived.
+func (c *callerConn) expireIfUnused() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.unusedLocked() {
+		_ = c.TCPConn.SetReadDeadline(c.drainDeadline()) // fails only on a closed connection
+	}
+}
+
+// Close closes the connection.
+func (c *callerConn) Close() error {
+	c.listener.remove(c)
+	return c.TCPConn.Close()
+}
--- a/internal/idle/idle_test.go
+++ b/internal/idle/listener_test.go
@@ -14,15 +14,15 @@
 	"gotest.tools/v3/poll"
 )
 
-// pair gives a connection as the server has it, with an idle time, and the
-// caller's end of it.
-func pair(t *testing.T, idleTime time.Duration) (server, caller net.Conn) {
+// connPair returns the server end of a connection with the given idle timeout, and the
+// caller's end.
+func connPair(t *testing.T, idleTime time.Duration) (server, caller net.Conn) {
 	t.Helper()
-	return pairWith(t, func() time.Duration { return idleTime })
+	return connPairWithIdleTime(t, func() time.Duration { return idleTime })
 }
 
-// pairWith is pair with an idle time that may change.
-func pairWith(t *testing.T, idleTime func() time.Duration) (server, caller net.Conn) {
+// connPairWithIdleTime is connPair with an idle timeout that may change.
+func connPairWithIdleTime(t *testing.T, idleTime func() time.Duration) (server, caller net.Conn) {
 	t.Helper()
 	opened, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -37,24 +37,23 @@
 	return server, caller
 }
 
-// The process stands still for a moment: it was frozen, or has used up its share of
-// the processor. A request comes on a kept connection in time, and the idle time
-// passes before anybody reads it. It is there and has to be served; closed, its
-// caller would wait for an answer and get none.
-func TestARequestThatCameInTimeIsReadAfterTheIdleTime(t *testing.T) {
-	server, caller := pair(t, 20*time.Millisecond)
+// The process stalls: it is frozen or has used up its CPU share. A request arrives on an idle
+// connection in time, and the idle timeout passes before the process reads it. The request
+// must be served; if the connection were closed, the caller would get no answer.
+func TestRequestReceivedInTimeIsReadAfterTheIdleTime(t *testing.T) {
+	server, caller := connPair(t, 20*time.Millisecond)
 	assert.NilError(t, server.SetReadDeadline(time.Now().Add(DynamicTimeout)))
 	_, err := caller.Write([]byte("GET"))
 	assert.NilError(t, err)
-	time.Sleep(60 * time.Millisecond) // nobody reads
+	time.Sleep(60 * time.Millisecond) // the connection isn't read meanwhile
 	buffer := make([]byte, 16)
 	n, err := server.Read(buffer)
 	assert.NilError(t, err)
 	assert.Equal(t, string(buffer[:n]), "GET")
 }
 
-func TestAnUnusedConnectionEndsWithItsIdleTime(t *testing.T) {
-	server, _ := pair(t, 20*time.Millisecond)
+func TestUnusedConnectionTimesOut(t *testing.T) {
+	server, _ := connPair(t, 20*time.Millisecond)
 	assert.NilError(t, server.SetReadDeadline(time.Now().Add(DynamicTimeout)))
 	begun := time.Now()
 	_, err := server.Read(make([]byte, 16))
@@ -62,11 +61,12 @@
 	assert.Assert(t, time.Since(begun) < time.Second)
 }
 
-// A connection closed by a shorter idle time of before crosses the request of a caller that goes by the new one.
-func TestALongerIdleTimeHoldsForConnectionsAlreadyUnused(t *testing.T) {
+// If a connection were closed by the previous, shorter idle timeout, it could be closed just
+// as a caller that relies on the new one sends a request.
+func TestLongerIdleTimeAppliesToUnusedConnections(t *testing.T) {
 	var idleTime atomic.Int64
 	idleTime.Store(int64(50 * time.Millisecond))
-	server, caller := pairWith(t, func() time.Duration { return time.Duration(idleTime.Load()) })
+	server, caller := connPairWithIdleTime(t, func() time.Duration { return time.Duration(idleTime.Load()) })
 	assert.NilError(t, server.SetReadDeadline(time.Now().Add(DynamicTimeout)))
 	idleTime.Store(int64(time.Hour))
 	time.AfterFunc(200*time.Millisecond, func() { _, _ = caller.Write([]byte("GET")) })
@@ -76,11 +76,12 @@
 	assert.Equal(t, string(buffer[:n]), "GET")
 }
 
-// A connection that was armed anew at its old end would be kept for the sum of both idle times.
-func TestALongerIdleTimeCountsFromTheLastAnswer(t *testing.T) {
+// If the deadline were extended from its old end, the connection would be kept for the sum of
+// both idle timeouts.
+func TestLongerIdleTimeCountsFromTheLastAnswer(t *testing.T) {
 	var idleTime atomic.Int64
 	idleTime.Store(int64(100 * time.Millisecond))
-	server, _ := pairWith(t, func() time.Duration { return time.Duration(idleTime.Load()) })
+	server, _ := connPairWithIdleTime(t, func() time.Duration { return time.Duration(idleTime.Load()) })
 	begun := time.Now()
 	assert.NilError(t, server.SetReadDeadline(begun.Add(DynamicTimeout)))
 	idleTime.Store(int64(600 * time.Millisecond))
@@ -90,18 +91,19 @@
 	assert.Assert(t, kept >= 590*time.Millisecond && kept < 690*time.Millisecond, "%v", kept)
 }
 
-// An answer that has told its caller the idle time of before would be followed by a close that the caller doesn't expect.
-func TestAShorterIdleTimeWaitsForTheNextRequest(t *testing.T) {
+// An answer may have announced the previous idle timeout to the caller, so the connection must
+// not be closed before that.
+func TestShorterIdleTimeAppliesAfterTheNextRequest(t *testing.T) {
 	var idleTime atomic.Int64
 	idleTime.Store(int64(400 * time.Millisecond))
-	server, caller := pairWith(t, func() time.Duration { return time.Duration(idleTime.Load()) })
-	assert.NilError(t, server.SetReadDeadline(time.Now().Add(time.Hour))) // for a first request
+	server, caller := connPairWithIdleTime(t, func() time.Duration { return time.Duration(idleTime.Load()) })
+	assert.NilError(t, server.SetReadDeadline(time.Now().Add(time.Hour))) // waiting for the first request
 	_, err := caller.Write([]byte("GET"))
 	assert.NilError(t, err)
 	buffer := make([]byte, 16)
 	_, err = server.Read(buffer)
 	assert.NilError(t, err)
-	idleTime.Store(int64(20 * time.Millisecond)) // while it is answered
+	idleTime.Store(int64(20 * time.Millisecond)) // while the request is answered
 	begun := time.Now()
 	assert.NilError(t, server.SetReadDeadline(begun.Add(DynamicTimeout)))
 	_, err = server.Read(buffer)
@@ -109,11 +111,12 @@
 	assert.Assert(t, time.Since(begun) >= 390*time.Millisecond, "%v", time.Since(begun))
 }
 
-// A connection that waits on by a longer idle time outlasts the drain, and its next request is cut when the process ends.
-func TestADrainEndsAConnectionThatWaitsOnByALongerIdleTime(t *testing.T) {
+// A connection whose idle wait was extended must not outlast the drain, or its next request
+// would be cut when the process ends.
+func TestDrainEndsExtendedIdleWait(t *testing.T) {
 	var idleTime atomic.Int64
 	idleTime.Store(int64(20 * time.Millisecond))
-	server, caller := pairWith(t, func() time.Duration { return time.Duration(idleTime.Load()) })
+	server, caller := connPairWithIdleTime(t, func() time.Duration { return time.Duration(idleTime.Load()) })
 	_, err := caller.Write([]byte("GET"))
 	assert.NilError(t, err)
 	buffer := make([]byte, 16)
@@ -126,20 +129,20 @@
 		_, err := server.Read(buffer)
 		read <- err
 	}()
-	time.Sleep(60 * time.Millisecond) // past the old idle time
+	time.Sleep(60 * time.Millisecond) // past the old idle timeout
 	go server.(*callerConn).listener.Drain(t.Context())
 	select {
 	case err := <-read:
 		assert.Assert(t, errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
 	case <-time.After(2 * time.Second):
-		t.Fatal("the connection waits on")
+		t.Fatal("the connection still waits for a request")
 	}
 }
 
-// A caller sends half a request and waits. The time for reading it bounds that,
-// however much of it is there.
-func TestTheTimeForReadingARequestHolds(t *testing.T) {
-	server, caller := pair(t, time.Hour)
+// A caller sends part of a request and stops. The read timeout applies even if some of it has
+// arrived.
+func TestReadTimeoutOfPartialRequest(t *testing.T) {
+	server, caller := connPair(t, time.Hour)
 	assert.NilError(t, server.SetReadDeadline(time.Now().Add(DynamicTimeout)))
 	assert.NilError(t, server.SetReadDeadline(time.Now().Add(20*time.Millisecond)))
 	_, err := caller.Write([]byte("GET"))
@@ -149,10 +152,11 @@
 	assert.Assert(t, errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
 }
 
-// A connection that never carried a request outlasts the drain, and its first one is cut at the end.
-func TestADrainEndsAConnectionThatNeverCarriedARequest(t *testing.T) {
-	server, _ := pair(t, time.Hour)
-	assert.NilError(t, server.SetReadDeadline(time.Now().Add(time.Hour))) // for a first request
+// A connection that never carried a request must not outlast the drain, or its first request
+// would be cut when the process ends.
+func TestDrainEndsConnectionWithoutRequest(t *testing.T) {
+	server, _ := connPair(t, time.Hour)
+	assert.NilError(t, server.SetReadDeadline(time.Now().Add(time.Hour))) // waiting for the first request
 	read := make(chan error, 1)
 	go func() {
 		_, err := server.Read(make([]byte, 16))
@@ -161,15 +165,16 @@
 	go server.(*callerConn).listener.Drain(t.Context())
 	select {
 	case err := <-read:
-		assert.Equal(t, err, io.EOF) // a timeout would be answered
+		assert.Equal(t, err, io.EOF) // fasthttp would answer a timeout
 	case <-time.After(2 * time.Second):
 		t.Fatal("the connection still waits for its first request")
 	}
 }
 
-// A first request that is in the socket when the drain begins is dropped without an answer.
-func TestADrainReadsAFirstRequestThatHasCome(t *testing.T) {
-	server, caller := pair(t, time.Hour)
+// A first request that is already in the socket when the drain begins must not be dropped
+// without an answer.
+func TestDrainReadsReceivedFirstRequest(t *testing.T) {
+	server, caller := connPair(t, time.Hour)
 	assert.NilError(t, server.SetReadDeadline(time.Now().Add(time.Hour)))
 	_, err := caller.Write([]byte("GET"))
 	assert.NilError(t, err)
@@ -178,21 +183,22 @@
 		server.(*callerConn).listener.Drain(t.Context())
 		close(drained)
 	}()
-	time.Sleep(20 * time.Millisecond) // the drain looks at it before anybody reads
+	time.Sleep(20 * time.Millisecond) // the drain checks the connection before it is read
 	buffer := make([]byte, 16)
 	n, err := server.Read(buffer)
 	assert.NilError(t, err)
 	assert.Equal(t, string(buffer[:n]), "GET")
 	<-drained
-	// The rest has the time that reading a request has.
+	// The rest of the request may take as long as the read timeout allows.
 	time.AfterFunc(1500*time.Millisecond, func() { _, _ = caller.Write([]byte(" /")) })
 	n, err = server.Read(buffer)
 	assert.NilError(t, err)
 	assert.Equal(t, string(buffer[:n]), " /")
 }
 
-// A port that stays open until unused connections have ended accepts what can't be finished.
-func TestADrainClosesThePortAtOnce(t *testing.T) {
+// If the port stayed open until unused connections have ended, it would accept connections
+// that can't be served any more.
+func TestDrainClosesThePortAtOnce(t *testing.T) {
 	opened, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	listener := &Listener{Listener: opened, Time: func() time.Duration { return time.Hour }}
@@ -202,7 +208,7 @@
 	server, err := listener.Accept()
 	assert.NilError(t, err)
 	defer func() { _ = server.Close() }()
-	assert.NilError(t, server.SetReadDeadline(time.Now().Add(DynamicTimeout))) // unused, and nobody reads
+	assert.NilError(t, server.SetReadDeadline(time.Now().Add(DynamicTimeout))) // unused and not read
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go listener.Drain(ctx)
@@ -212,13 +218,14 @@
 			return poll.Success()
 		}
 		_ = late.Close()
-		return poll.Continue("the port is open")
+		return poll.Continue("the port is still open")
 	}, poll.WithDelay(5*time.Millisecond), poll.WithTimeout(2*time.Second))
 }
 
-// The first request of a caller that connected just before the port closed is dropped.
-func TestADrainWaitsForTheFirstRequestOfANewConnection(t *testing.T) {
-	server, caller := pair(t, time.Hour)
+// The first request of a caller that connected just before the port closed must not be
+// dropped.
+func TestDrainWaitsForFirstRequestOfNewConnection(t *testing.T) {
+	server, caller := connPair(t, time.Hour)
 	assert.NilError(t, server.SetReadDeadline(time.Now().Add(time.Hour)))
 	go server.(*callerConn).listener.Drain(t.Context())
 	time.AfterFunc(firstRequestTime/2, func() { _, _ = caller.Write([]byte("GET")) })
--- a/internal/member/digest.go
+++ b/internal/member/digest.go
@@ -1,7 +1,7 @@
 package member
 
-// VersionStamp names a record and its version in few bytes: Hash of the incarnation,
-// then Seq and State together.
+// VersionStamp identifies a record and its version in few bytes: the Hash of the incarnation,
+// then Seq and State combined.
 type VersionStamp [2]uint64
 
 const stateBits = 2
@@ -10,11 +10,11 @@
 
 func version(r Record) uint64 { return r.Seq<<stateBits | uint64(r.State) }
 
-// mark is what a record adds to its zone's digest. Suspicion is left out: it
-// passes by itself within seconds, and two processes that differ in it alone
-// need not compare their zones. The dead are left out because each process
-// forgets them at another time.
-func mark(r Record) uint64 {
+// digestTerm is what a record contributes to the digest of its zone. A suspected record counts
+// as alive: suspicion ends by itself within seconds, so two processes that differ only in it
+// needn't compare their zones. Dead records are left out because each process forgets them at
+// a different time.
+func digestTerm(r Record) uint64 {
 	if r.State == Dead {
 		return 0
 	}
@@ -24,8 +24,8 @@
 	return MixBits(Hash(r.ID) + version(r))
 }
 
-// Digest gives one number for each zone that has members: the same at two
-// processes that believe the same.
+// Digest returns one number for each zone that has members. Two processes with the same view
+// of a zone have the same digest of it.
 func (t *Table) Digest() map[string]uint64 {
 	digest := make(map[string]uint64, len(t.digests))
 	for zone, sum := range t.digests {
@@ -36,7 +36,7 @@
 	return digest
 }
 
-// DifferingStamps lists the stamps of each zone where another's digest isn't ours.
+// DifferingStamps lists the stamps of each zone whose digest differs from the other process's.
 func (t *Table) DifferingStamps(theirs map[string]uint64) map[string][]VersionStamp {
 	differing := map[string][]VersionStamp{}
 	for zone, sum := range t.Digest() {
@@ -49,7 +49,7 @@
 			differing[zone] = []VersionStamp{}
 		}
 	}
-	t.each(func(r *row) {
+	t.forEach(func(r *row) {
 		if stamps, found := differing[r.ZoneKey()]; found && r.State != Dead {
 			differing[r.ZoneKey()] = append(stamps, stampOf(r))
 		}
@@ -57,8 +57,9 @@
 	return differing
 }
 
-// CompareStamps tells from another's stamps of differing zones which of our records
-// it lacks and which of its records we want.
+// CompareStamps compares the stamps that another process sent of differing zones with the
+// local records. It returns the records that the other process lacks and the hashes of those
+// that this process wants from it.
 func (t *Table) CompareStamps(theirs map[string][]VersionStamp) (give []Record, want []uint64) {
 	for zone, stamps := range theirs {
 		seen := make(map[uint64]bool, len(stamps))
@@ -72,7 +73,7 @@
 				give = append(give, ours.Record)
 			}
 		}
-		t.each(func(r *row) {
+		t.forEach(func(r *row) {
 			if r.ZoneKey() == zone && r.State != Dead && !seen[r.hash] {
 				give = append(give, r.Record)
 			}
@@ -81,12 +82,12 @@
 	return give, want
 }
 
-// RecordsByHash gives the records that another asked for by hash.
+// RecordsByHash returns the records that another process requested.
 func (t *Table) RecordsByHash(hashes []uint64) []Record {
 	var records []Record
 	for _, hash := range hashes {
-		if held := t.find(hash); held != nil {
-			records = append(records, held.Record)
+		if known := t.find(hash); known != nil {
+			records = append(records, known.Record)
 		}
 	}
 	return records
@@ -101,10 +102,10 @@
 
 func (t *Table) selfRow() *row { return &row{Record: t.self, hash: Hash(t.self.ID)} }
 
-// each visits this process too.
-func (t *Table) each(visit func(*row)) {
+// forEach visits all records, including that of this process.
+func (t *Table) forEach(visit func(*row)) {
 	visit(t.selfRow())
-	for _, held := range t.rows {
-		visit(held)
+	for _, known := range t.rows {
+		visit(known)
 	}
 }
--- a/internal/member/links.go
+++ b/internal/member/links.go
@@ -5,62 +5,64 @@
 	"slices"
 )
 
-// LinkCounts says how many links a process opens by itself. About as many are
-// opened towards it by others.
+// LinkCounts configures how many links a process opens. The others open about as many to it.
 type LinkCounts struct {
-	// All is the number of others up to which a process links to all.
+	// All is the largest number of other members at which a process links to every one of
+	// them.
 	All int
-	// Ring is the number of links within the zone.
+	// Ring is the number of links that a process opens within its zone.
 	Ring int
-	// Across is the most links that others of one neighbouring zone or region
-	// open to a process.
+	// Across limits the links to one process from each neighbouring zone or region.
 	Across int
 }
 
-// DefaultLinkCounts gives about 4 links in the zone, 2 to 4 to other zones of the
-// region and up to 2 to other regions.
+// DefaultLinkCounts results in about 4 links per process within the zone, 2 to 4 to other
+// zones of the region and up to 2 to other regions.
 var DefaultLinkCounts = LinkCounts{All: 8, Ring: 2, Across: 2}
 
-// Links lists the members to which this process should hold links that it
-// opens itself. Members that are not dead are given as others.
+// Links lists the members to which this process should open links. others are the other
+// members that aren't dead.
 //
-// The graph of all links is connected by construction when all processes know
-// the same members: each zone is a ring by hash, each zone has a link to the
-// next zone of its region in the order of names, each region one to the next.
-func Links(self Record, others []Record, bounds LinkCounts) []Record {
-	if len(others) <= bounds.All {
+// The graph of all links is connected as long as all processes know the same members: each
+// zone is a ring ordered by hash, each zone has a link to the next zone of its region in the
+// order of names, and each region has a link to the next region.
+func Links(self Record, others []Record, counts LinkCounts) []Record {
+	if len(others) <= counts.All {
 		return others
 	}
-	groups := group(append(slices.Clone(others), self))
+	groups := groupMembers(append(slices.Clone(others), self))
 	var chosen []Record
 	zone := groups.zones[self.ZoneKey()]
-	chosen = append(chosen, ringLinks(zone, self, bounds.Ring)...)
+	chosen = append(chosen, ringLinks(zone, self, counts.Ring)...)
 	for _, next := range groups.nextZones(self) {
-		chosen = append(chosen, across(zone, groups.zones[next], self, bounds.Across)...)
+		chosen = append(chosen, crossLink(zone, groups.zones[next], self, counts.Across)...)
 	}
-	if next := after(groups.regionNames, self.Region); next != self.Region {
-		chosen = append(chosen, across(groups.regions[self.Region], groups.regions[next], self, bounds.Across)...)
+	if next := nextName(groups.regionNames, self.Region); next != self.Region {
+		chosen = append(chosen, crossLink(groups.regions[self.Region], groups.regions[next], self, counts.Across)...)
 	}
-	return distinct(chosen)
+	return deduplicate(chosen)
 }
 
-type point struct {
+// ringPoint is a member at its position on a hash ring.
+type ringPoint struct {
 	hash uint64
 	Record
 }
 
+// grouping holds all members by zone and by region, each group as a ring.
 type grouping struct {
-	zones       map[string][]point
-	regions     map[string][]point
-	zoneNames   map[string][]string // of each region, sorted
+	zones       map[string][]ringPoint
+	regions     map[string][]ringPoint
+	zoneNames   map[string][]string // by region, sorted
 	regionNames []string
 }
 
-func group(all []Record) grouping {
-	g := grouping{zones: map[string][]point{}, regions: map[string][]point{}, zoneNames: map[string][]string{}}
+func groupMembers(all []Record) grouping {
+	g := grouping{zones: map[string][]ringPoint{}, regions: map[string][]ringPoint{}, zoneNames: map[string][]string{}}
 	for _, r := range all {
-		p := point{Hash(r.ID), r}
-		// By the names of this region: another one's zone may have the same key.
+		p := ringPoint{Hash(r.ID), r}
+		// The names are kept per region, because a zone of another region may have the same
+		// key.
 		if !slices.Contains(g.zoneNames[r.Region], r.ZoneKey()) {
 			g.zoneNames[r.Region] = append(g.zoneNames[r.Region], r.ZoneKey())
 		}
@@ -83,17 +85,17 @@
 	return g
 }
 
-func sortRing(points []point) {
-	slices.SortFunc(points, func(a, b point) int {
+func sortRing(points []ringPoint) {
+	slices.SortFunc(points, func(a, b ringPoint) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.ID, b.ID))
 	})
 }
 
-// nextZones are the one or two zones that follow in the region's order.
+// nextZones returns the one or two zones that follow the zone of self in its region.
 func (g grouping) nextZones(self Record) []string {
 	names := g.zoneNames[self.Region]
-	first := after(names, self.ZoneKey())
-	second := after(names, first)
+	first := nextName(names, self.ZoneKey())
+	second := nextName(names, first)
 	switch self.ZoneKey() {
 	case first:
 		return nil
@@ -104,24 +106,24 @@
 	}
 }
 
-// after is the name that follows in a sorted circle of names.
-func after(names []string, name string) string {
+// nextName returns the name that follows in a sorted list; the first follows the last.
+func nextName(names []string, name string) string {
 	at, _ := slices.BinarySearch(names, name)
 	return names[(at+1)%len(names)]
 }
 
-// ringLinks are the follower in a ring and chords to n-1 other points of it.
-// The follower makes the ring connected, the chords make it short: with
-// followers alone news would take tens of hops around a big zone.
-func ringLinks(ring []point, self Record, n int) []Record {
+// ringLinks returns the successor of self in the ring and chords to n-1 other points. The
+// successors connect the ring and the chords shorten it: with successors alone, gossip would
+// take tens of hops around a large zone.
+func ringLinks(ring []ringPoint, self Record, n int) []Record {
 	if len(ring) == 1 {
 		return nil
 	}
 	own := Hash(self.ID)
-	at := follower(ring, own)
+	at := successorIndex(ring, own)
 	chosen := []Record{ring[(at+1)%len(ring)].Record}
 	for chord := 1; chord < n; chord++ {
-		target := ring[follower(ring, MixBits(own+uint64(chord)))]
+		target := ring[successorIndex(ring, MixBits(own+uint64(chord)))]
 		if target.ID != self.ID {
 			chosen = append(chosen, target.Record)
 		}
@@ -129,19 +131,19 @@
 	return chosen
 }
 
-// follower is the index of the first point at or behind hash.
-func follower(ring []point, hash uint64) int {
-	at, _ := slices.BinarySearchFunc(ring, hash, func(p point, h uint64) int { return cmp.Compare(p.hash, h) })
+// successorIndex returns the index of the first point at or after hash.
+func successorIndex(ring []ringPoint, hash uint64) int {
+	at, _ := slices.BinarySearchFunc(ring, hash, func(p ringPoint, h uint64) int { return cmp.Compare(p.hash, h) })
 	return at % len(ring)
 }
 
-// across links self to its follower in another ring, if self is one of the
-// few nearest before it. Without that bound all of a big zone would link to
-// the one member of a small zone.
-func across(own, other []point, self Record, most int) []Record {
-	target := other[follower(other, Hash(self.ID))]
-	at := follower(own, target.hash)
-	for back := 1; back <= min(most, len(own)); back++ {
+// crossLink links self to its successor in another ring if self is one of the few points
+// nearest before it. Without that limit, all members of a large zone would link to the one
+// member of a small zone.
+func crossLink(own, other []ringPoint, self Record, limit int) []Record {
+	target := other[successorIndex(other, Hash(self.ID))]
+	at := successorIndex(own, target.hash)
+	for back := 1; back <= min(limit, len(own)); back++ {
 		if own[(at-back+len(own))%len(own)].ID == self.ID {
 			return []Record{target.Record}
 		}
@@ -149,11 +151,11 @@
 	return nil
 }
 
-func distinct(records []Record) []Record {
+func deduplicate(records []Record) []Record {
 	seen := map[string]bool{}
 	return slices.DeleteFunc(records, func(r Record) bool {
-		was := seen[r.ID]
+		duplicate := seen[r.ID]
 		seen[r.ID] = true
-		return was
+		return duplicate
 	})
 }
--- a/internal/member/links_test.go
+++ b/internal/member/links_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func population(regions, zones, perZone int) []Record {
+func newPopulation(regions, zones, perZone int) []Record {
 	var all []Record
 	for i := range regions * zones * perZone {
 		r := record(fmt.Sprint("m", i), 1)
@@ -20,18 +20,18 @@
 	return all
 }
 
-func others(all []Record, one Record) []Record {
+func without(all []Record, one Record) []Record {
 	return slices.DeleteFunc(slices.Clone(all), func(r Record) bool { return r.ID == one.ID })
 }
 
-// graph gives each member's links, those that others opened too.
-func graph(all []Record, bounds LinkCounts) map[string]map[string]bool {
+// linkGraph returns the links of each member, including those that others opened.
+func linkGraph(all []Record, counts LinkCounts) map[string]map[string]bool {
 	links := map[string]map[string]bool{}
 	for _, r := range all {
 		links[r.ID] = map[string]bool{}
 	}
 	for _, r := range all {
-		for _, to := range Links(r, others(all, r), bounds) {
+		for _, to := range Links(r, without(all, r), counts) {
 			links[r.ID][to.ID] = true
 			links[to.ID][r.ID] = true
 		}
@@ -39,9 +39,9 @@
 	return links
 }
 
-// hops is the most links between the first member and any other; -1 if one
-// can't be reached.
-func hops(all []Record, links map[string]map[string]bool) int {
+// maxHops returns the largest distance between the first member and any other; -1 if one can't
+// be reached.
+func maxHops(all []Record, links map[string]map[string]bool) int {
 	far := map[string]int{all[0].ID: 0}
 	queue := []string{all[0].ID}
 	last := 0
@@ -62,7 +62,7 @@
 	return last
 }
 
-func TestLinksConnectAnyPopulation(t *testing.T) {
+func TestLinksConnectAllMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Record
 		for i := range rapid.IntRange(1, 80).Draw(t, "members") {
@@ -71,12 +71,12 @@
 			r.Zone = fmt.Sprint("z", rapid.IntRange(0, 4).Draw(t, "zone"))
 			all = append(all, r)
 		}
-		bounds := LinkCounts{All: rapid.IntRange(0, 8).Draw(t, "all"), Ring: rapid.IntRange(1, 3).Draw(t, "ring"), Across: rapid.IntRange(1, 2).Draw(t, "across")}
-		assert.Assert(t, hops(all, graph(all, bounds)) >= 0, "not connected")
+		counts := LinkCounts{All: rapid.IntRange(0, 8).Draw(t, "all"), Ring: rapid.IntRange(1, 3).Draw(t, "ring"), Across: rapid.IntRange(1, 2).Draw(t, "across")}
+		assert.Assert(t, maxHops(all, linkGraph(all, counts)) >= 0, "not connected")
 	})
 }
 
-func TestLinksAreFewAndShort(t *testing.T) {
+func TestLinkCountAndPathLength(t *testing.T) {
 	cases := []struct {
 		regions, zones, perZone int
 		mostMean                float64
@@ -87,32 +87,32 @@
 		{3, 3, 71, 11, 9},
 	}
 	for _, c := range cases {
-		all := population(c.regions, c.zones, c.perZone)
-		links := graph(all, DefaultLinkCounts)
+		all := newPopulation(c.regions, c.zones, c.perZone)
+		links := linkGraph(all, DefaultLinkCounts)
 		sum := 0
 		for _, of := range links {
 			sum += len(of)
 			assert.Assert(t, len(of) <= 24, "%d links", len(of))
 		}
 		mean := float64(sum) / float64(len(all))
-		far := hops(all, links)
+		far := maxHops(all, links)
 		t.Logf("%d members: %.1f links each, %d hops", len(all), mean, far)
 		assert.Assert(t, mean <= c.mostMean, "%f", mean)
 		assert.Assert(t, far <= c.mostHops, "%d hops", far)
 	}
 }
 
-func TestASmallZoneIsNotOverrun(t *testing.T) {
-	all := population(1, 1, 100)
+func TestSmallZoneGetsFewLinks(t *testing.T) {
+	all := newPopulation(1, 1, 100)
 	lone := record("lone", 1)
 	lone.Region, lone.Zone = "r0", "other"
-	links := graph(append(all, lone), DefaultLinkCounts)
+	links := linkGraph(append(all, lone), DefaultLinkCounts)
 	assert.Assert(t, len(links["lone"]) >= 1 && len(links["lone"]) <= 6, "%d", len(links["lone"]))
 }
 
-// Names of regions and zones have slashes, and two pairs of them look alike when they
-// are put together. Every process plans its links by them; none may end at that.
-func TestNamesThatLookAlikeTogetherHaveLinksAllTheSame(t *testing.T) {
+// Names of regions and zones may contain slashes, so different pairs can have the same zone
+// key. Every process plans its links by these keys and must not fail on such names.
+func TestZonesWithEqualKeysInTwoRegions(t *testing.T) {
 	self := record("self", 1)
 	self.Region, self.Zone = "a", "b/c"
 	var others []Record
--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -1,12 +1,12 @@
-// Package member decides who is a member of the system: which of two claims
-// about a process stands, when a suspected process is held to be dead, and to
-// whom a process keeps links. It does no I/O and reads no clock.
+// Package member maintains the membership of the system: which of two claims about a process
+// wins, when a suspected process is declared dead, and to which members a process keeps links.
+// It does no I/O and reads no clock.
 package member
 
 import "hash/fnv"
 
-// State is what is claimed of one incarnation. Of two claims with the same
-// Seq the greater State stands.
+// State is the claimed state of one incarnation. Of two claims with the same Seq, the one with
+// the greater State wins.
 type State uint8
 
 // The states. The zero value is Alive.
@@ -17,53 +17,55 @@
 	Dead
 )
 
-// Record is a claim about one incarnation, short on the wire because every
-// process holds and sends hundreds of them.
+// Record is a claim about one incarnation. It is short when encoded because every process
+// holds and sends hundreds of them.
 type Record struct {
-	// ID is the incarnation: one run of one process.
+	// ID identifies the incarnation: one run of one process.
 	ID string `json:"i"`
-	// Start orders the incarnations at one address: the highest is the one
-	// that runs, all others are dead. Unix microseconds of the start, raised
-	// by the process when it hears of a higher one at its own address.
-	Start      uint64 `json:"s"`
+	// Start orders the incarnations at one address: the one with the highest Start is running,
+	// all others are dead. It is the start time in Unix microseconds, raised by the process
+	// when it hears of a higher one at its own address.
+	Start uint64 `json:"s"`
+	// PeerAddr is the address for other processes, CallerAddr the one for callers.
 	PeerAddr   string `json:"p"`
 	CallerAddr string `json:"c,omitempty"`
 	Zone       string `json:"z"`
 	Region     string `json:"r"`
-	// CPUShare is the VM's share of a core in percent, 0 where it isn't told.
+	// CPUShare is the VM's share of one core in percent, 0 if unknown.
 	CPUShare int `json:"w,omitempty"`
-	// Seq grows each time the process contradicts a claim about itself.
+	// Seq is incremented each time the process refutes a claim about itself.
 	Seq   uint64 `json:"q,omitempty"`
 	State State  `json:"t,omitempty"`
 }
 
-// ZoneKey names the zone of a record within the whole system.
+// ZoneKey identifies the zone of a record within the whole system.
 func (r Record) ZoneKey() string { return r.Region + "/" + r.Zone }
 
-// stands tells whether claim a replaces claim b about the same incarnation.
-func stands(a, b Record) bool {
+// supersedes reports whether claim a replaces claim b about the same incarnation.
+func supersedes(a, b Record) bool {
 	if a.Seq != b.Seq {
 		return a.Seq > b.Seq
 	}
 	return a.State > b.State
 }
 
-// later tells whether a is the later run of two at the same address.
-func later(a, b Record) bool {
+// isLaterRun reports whether a is the later of two runs at the same address.
+func isLaterRun(a, b Record) bool {
 	if a.Start != b.Start {
 		return a.Start > b.Start
 	}
 	return a.ID > b.ID
 }
 
-// Hash places an incarnation on the ring. All processes compute the same.
+// Hash returns the position of an incarnation on the hash ring. It is the same in all
+// processes.
 func Hash(id string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id)) // a hash.Hash never fails
 	return MixBits(h.Sum64())
 }
 
-// MixBits spreads the bits of x, so that similar names don't lie side by side.
+// MixBits spreads the bits of x, so that similar names get distant hashes.
 func MixBits(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -72,5 +74,6 @@
 	return x ^ x>>33
 }
 
-// RendezvousScore ranks a holder for an item by rendezvous, both given by their hashes.
+// RendezvousScore returns the rendezvous hashing score of a holder for an item, both given by
+// their hashes.
 func RendezvousScore(item, holder uint64) uint64 { return MixBits(item ^ holder) }
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -2,19 +2,18 @@
 
 import "time"
 
-// Limits are the times that a Table keeps to.
+// Limits are the timeouts of a Table.
 type Limits struct {
-	// SuspectFor is how long a suspected process has to contradict.
+	// SuspectFor is how long a suspected process has to refute the suspicion.
 	SuspectFor time.Duration
 	// LeavingFor is how long a process that announced its leave is kept.
 	LeavingFor time.Duration
-	// TombstoneFor is how long the dead are remembered, so that a late claim
-	// that they live is known to be old.
+	// TombstoneFor is how long dead processes are remembered, so that a late claim that one is
+	// alive is recognized as old.
 	TombstoneFor time.Duration
 }
 
-// Table is what one process believes of all others. It isn't safe for
-// concurrent use.
+// Table is the view that one process has of all others. It isn't safe for concurrent use.
 type Table struct {
 	limits Limits
 	self   Record
@@ -22,23 +21,25 @@
 	byHash map[uint64]*row
 	// newest is the incarnation with the highest Start at each address.
 	newest map[string]*row
-	// digests is the XOR of the marks of a zone's rows that are not dead.
+	// digests is, for each zone, the XOR of the digest terms of its records.
 	digests map[string]uint64
-	// version grows with every change of what is believed, population with every one of
-	// who isn't dead; alive is how many others aren't.
-	version    uint64
-	population uint64
-	alive      int
+	// version is incremented by every change of the view, membershipVersion only when an
+	// incarnation becomes dead or is no longer dead. liveCount is the number of others that
+	// aren't dead.
+	version           uint64
+	membershipVersion uint64
+	liveCount         int
 }
 
+// row is the record of another incarnation and what this process keeps with it.
 type row struct {
 	Record
 	hash uint64
-	// since is when State was taken on here, by this process's clock.
+	// since is when State was set in this table, by the clock of this process.
 	since time.Time
 }
 
-// NewTable knows only this process itself.
+// NewTable creates a table that contains only this process.
 func NewTable(self Record, limits Limits) *Table {
 	t := &Table{limits: limits, self: self}
 	t.clear()
@@ -47,19 +48,19 @@
 
 func (t *Table) clear() {
 	t.version++
-	t.population++
-	t.alive = 0
+	t.membershipVersion++
+	t.liveCount = 0
 	t.rows = map[string]*row{}
 	t.byHash = map[uint64]*row{}
 	t.newest = map[string]*row{}
 	t.digests = map[string]uint64{}
-	t.digests[t.self.ZoneKey()] ^= mark(t.self)
+	t.digests[t.self.ZoneKey()] ^= digestTerm(t.self)
 }
 
-// Self is the record of this process.
+// Self returns the record of this process.
 func (t *Table) Self() Record { return t.self }
 
-// Leave marks this process as leaving and gives the record to spread.
+// Leave marks this process as leaving and returns the record to announce.
 func (t *Table) Leave() Record {
 	t.setSelf(func(r *Record) {
 		r.Seq++
@@ -68,8 +69,8 @@
 	return t.self
 }
 
-// IncrementSeq gives this process a new Seq, so that what it says from now on stands
-// over every older claim about it.
+// IncrementSeq increments the Seq of this process, so that its own record supersedes every
+// older claim about it.
 func (t *Table) IncrementSeq() Record {
 	t.setSelf(func(r *Record) { r.Seq++ })
 	return t.self
@@ -77,49 +78,49 @@
 
 func (t *Table) setSelf(change func(*Record)) {
 	t.version++
-	t.digests[t.self.ZoneKey()] ^= mark(t.self)
+	t.digests[t.self.ZoneKey()] ^= digestTerm(t.self)
 	change(&t.self)
-	t.digests[t.self.ZoneKey()] ^= mark(t.self)
+	t.digests[t.self.ZoneKey()] ^= digestTerm(t.self)
 }
 
-// Apply takes in a claim and gives the records that changed by it and should
-// be spread; none if the claim is old.
+// Apply processes a claim and returns the records that it changed, which should be passed on
+// to the peers; none if the claim is old.
 func (t *Table) Apply(claim Record, now time.Time) []Record {
 	if claim.ID == t.self.ID {
-		return t.answer(claim)
+		return t.refute(claim)
 	}
 	if claim.PeerAddr == t.self.PeerAddr && claim.State != Dead {
-		return t.replaced(claim, now)
+		return t.rejectAtOwnAddress(claim, now)
 	}
-	if newest := t.newest[claim.PeerAddr]; newest != nil && newest.ID != claim.ID && later(newest.Record, claim) {
-		// An older run at an address where a newer one was seen: whoever says
-		// that it lives hasn't heard of the replacement. Taking it in would
-		// send calls for the new process to an identity that is gone.
-		return t.bury(claim, now)
+	if newest := t.newest[claim.PeerAddr]; newest != nil && newest.ID != claim.ID && isLaterRun(newest.Record, claim) {
+		// This is an older run at an address where a newer one was seen; whoever claims that
+		// it is alive hasn't heard of the replacement. Accepting the claim would send calls
+		// for the new process to an incarnation that is gone.
+		return t.declareDead(claim, now)
 	}
 	if claim.State > Dead {
-		return nil // a later version's; what is known of the member stays
+		return nil // a state of a later software version; the known record stays
 	}
-	held := t.rows[claim.ID]
-	if held == nil {
+	known := t.rows[claim.ID]
+	if known == nil {
 		return t.add(claim, now)
 	}
-	held.Start = max(held.Start, claim.Start)
-	changed := t.crown(held, now)
-	if !stands(claim, held.Record) {
+	known.Start = max(known.Start, claim.Start)
+	changed := t.setNewest(known, now)
+	if !supersedes(claim, known.Record) {
 		return changed
 	}
-	return append(changed, t.update(held, claim, now)...)
+	return append(changed, t.update(known, claim, now)...)
 }
 
-// crown makes a row the newest at its address, if it is, and holds the one
-// that was newest before it dead.
-func (t *Table) crown(held *row, now time.Time) []Record {
-	old := t.newest[held.PeerAddr]
-	if old == held || old != nil && !later(held.Record, old.Record) {
+// setNewest makes a row the newest at its address if its run is the latest there, and declares
+// the previous one dead.
+func (t *Table) setNewest(known *row, now time.Time) []Record {
+	old := t.newest[known.PeerAddr]
+	if old == known || old != nil && !isLaterRun(known.Record, old.Record) {
 		return nil
 	}
-	t.newest[held.PeerAddr] = held
+	t.newest[known.PeerAddr] = known
 	if old == nil || old.State == Dead {
 		return nil
 	}
@@ -127,24 +128,24 @@
 	return []Record{old.Record}
 }
 
-// answer contradicts a claim that this process is suspect or dead.
-func (t *Table) answer(claim Record) []Record {
-	if !stands(claim, t.self) {
+// refute refutes a claim that this process is suspect or dead.
+func (t *Table) refute(claim Record) []Record {
+	if !supersedes(claim, t.self) {
 		return nil
 	}
 	t.setSelf(func(r *Record) { r.Seq = claim.Seq + 1 })
 	return []Record{t.self}
 }
 
-// replaced deals with another incarnation that is said to live at the address
-// of this process. It can't: this process holds the address.
-func (t *Table) replaced(claim Record, now time.Time) []Record {
-	changed := t.bury(claim, now)
+// rejectAtOwnAddress handles a claim that another incarnation is alive at the address of this
+// process. It can't be: this process holds the address.
+func (t *Table) rejectAtOwnAddress(claim Record, now time.Time) []Record {
+	changed := t.declareDead(claim, now)
 	if claim.Start < t.self.Start {
 		return changed
 	}
-	// The old VM's clock ran ahead of ours, so others would take us for the
-	// older run and hold us dead. A higher Start puts that right.
+	// The clock of the old VM was ahead of this one's, so others would consider this process
+	// the older run and declare it dead. A higher Start corrects that.
 	t.setSelf(func(r *Record) {
 		r.Start = claim.Start + 1
 		r.Seq++
@@ -152,22 +153,22 @@
 	return append(changed, t.self)
 }
 
-// bury holds an incarnation dead whatever is claimed of it.
-func (t *Table) bury(claim Record, now time.Time) []Record {
-	held := t.rows[claim.ID]
-	if held == nil {
+// declareDead marks an incarnation as dead regardless of the claimed state.
+func (t *Table) declareDead(claim Record, now time.Time) []Record {
+	known := t.rows[claim.ID]
+	if known == nil {
 		claim.State = Dead
 		return t.insert(claim, now)
 	}
-	if held.State == Dead {
-		held.Seq = max(held.Seq, claim.Seq)
+	if known.State == Dead {
+		known.Seq = max(known.Seq, claim.Seq)
 		return nil
 	}
-	t.change(held, now, func(r *Record) {
+	t.change(known, now, func(r *Record) {
 		r.Seq = max(r.Seq, claim.Seq)
 		r.State = Dead
 	})
-	return []Record{held.Record}
+	return []Record{known.Record}
 }
 
 func (t *Table) add(claim Record, now time.Time) []Record {
@@ -177,119 +178,122 @@
 	return append(t.insert(claim, now), claim)
 }
 
-func (t *Table) update(held *row, claim Record, now time.Time) []Record {
-	if claim.State == Dead && !t.mayBury(held, now) {
+func (t *Table) update(known *row, claim Record, now time.Time) []Record {
+	if claim.State == Dead && !t.acceptsDeath(known, now) {
 		claim.State = Suspect
-		if held.State == Suspect {
-			held.Seq = claim.Seq
+		if known.State == Suspect {
+			known.Seq = claim.Seq
 			return nil
 		}
 	}
-	t.change(held, now, func(r *Record) {
+	t.change(known, now, func(r *Record) {
 		r.Seq = claim.Seq
 		r.State = claim.State
 		r.CallerAddr = claim.CallerAddr
 	})
-	return []Record{held.Record}
+	return []Record{known.Record}
 }
 
-// mayBury tells whether a claim of death is taken at its word. When regions
-// that lost each other meet again, each holds the other's members dead; taken
-// at its word that would empty a whole region's view of itself at once. One
-// that is held alive here gets the time to contradict first.
-func (t *Table) mayBury(held *row, now time.Time) bool {
-	switch held.State {
+// acceptsDeath reports whether a claim that a member is dead is accepted. When regions that
+// were separated reconnect, each considers the members of the other dead; accepting that would
+// remove a whole region from the view of its own members at once. A member that is alive in
+// this table therefore gets time to refute the claim first.
+func (t *Table) acceptsDeath(known *row, now time.Time) bool {
+	switch known.State {
 	case Alive:
 		return false
 	case Suspect:
-		return now.Sub(held.since) >= t.limits.SuspectFor/2
+		return now.Sub(known.since) >= t.limits.SuspectFor/2
 	default:
 		return true
 	}
 }
 
-// Suspect notes that this process could not reach a member in any way. It
-// gives the record to spread, if that is news.
+// Suspect marks a member that this process could not reach in any way as suspect. It returns
+// the record to pass on, if it changed.
 func (t *Table) Suspect(id string, now time.Time) []Record {
-	held := t.rows[id]
-	if held == nil || held.State != Alive {
+	known := t.rows[id]
+	if known == nil || known.State != Alive {
 		return nil
 	}
-	t.change(held, now, func(r *Record) { r.State = Suspect })
-	return []Record{held.Record}
+	t.change(known, now, func(r *Record) { r.State = Suspect })
+	return []Record{known.Record}
 }
 
-// Expire lets time pass: suspects that didn't contradict and members that left
-// are held dead, old tombstones are forgotten. It gives the records to spread.
+// Expire applies the timeouts: it declares suspects that didn't refute and members that left
+// dead, and removes old tombstones. It returns the records to pass on.
 func (t *Table) Expire(now time.Time) []Record {
 	var changed []Record
-	for id, held := range t.rows {
-		age := now.Sub(held.since)
+	for id, known := range t.rows {
+		age := now.Sub(known.since)
 		switch {
-		case held.State == Suspect && age >= t.limits.SuspectFor,
-			held.State == Leaving && age >= t.limits.LeavingFor:
-			t.change(held, now, func(r *Record) { r.State = Dead })
-			changed = append(changed, held.Record)
-		case held.State == Dead && age >= t.limits.TombstoneFor:
+		case known.State == Suspect && age >= t.limits.SuspectFor,
+			known.State == Leaving && age >= t.limits.LeavingFor:
+			t.change(known, now, func(r *Record) { r.State = Dead })
+			changed = append(changed, known.Record)
+		case known.State == Dead && age >= t.limits.TombstoneFor:
 			t.remove(id)
 		}
 	}
 	return changed
 }
 
-// Reset drops all that is believed of others and gives the addresses where
-// members that weren't dead could be asked anew.
+// Reset removes all records of others and returns the addresses of those that weren't dead,
+// from which membership can be learned again.
 func (t *Table) Reset() []string {
 	var addresses []string
-	for _, held := range t.rows {
-		if held.State != Dead {
-			addresses = append(addresses, held.PeerAddr)
+	for _, known := range t.rows {
+		if known.State != Dead {
+			addresses = append(addresses, known.PeerAddr)
 		}
 	}
 	t.clear()
 	return addresses
 }
 
-// Version grows with every change of what Self, Get and Living give.
+// Version is incremented by every change of the results of Self, Get and LiveMembers.
 func (t *Table) Version() uint64 { return t.version }
 
-// MembershipVersion grows with every change of whom Living lists, whatever is believed of them.
-func (t *Table) MembershipVersion() uint64 { return t.population }
+// MembershipVersion is incremented when the set of incarnations that LiveMembers lists
+// changes, not by other changes of their records.
+func (t *Table) MembershipVersion() uint64 { return t.membershipVersion }
 
-// MemberCount is how many Living lists.
-func (t *Table) MemberCount() int { return t.alive }
+// MemberCount returns the number of members that LiveMembers lists.
+func (t *Table) MemberCount() int { return t.liveCount }
 
-// AnyMember gives one of those that Living lists, drawn by lot; false where there is none.
+// AnyMember returns an arbitrary one of the members that LiveMembers lists; false if there is
+// none.
 func (t *Table) AnyMember() (Record, bool) {
-	for _, held := range t.rows {
-		if held.State != Dead {
-			return held.Record, true
+	for _, known := range t.rows {
+		if known.State != Dead {
+			return known.Record, true
 		}
 	}
 	return Record{}, false
 }
 
-// Get is what is believed of one incarnation.
+// Get returns the record of one incarnation.
 func (t *Table) Get(id string) (Record, bool) {
-	held := t.rows[id]
-	if held == nil {
+	known := t.rows[id]
+	if known == nil {
 		return Record{}, false
 	}
-	return held.Record, true
+	return known.Record, true
 }
 
-// LiveMembers lists the others that are not dead, in no order.
+// LiveMembers lists the others that aren't dead, including suspected and leaving ones, in no
+// particular order.
 func (t *Table) LiveMembers() []Record {
-	living := make([]Record, 0, t.alive)
-	for _, held := range t.rows {
-		if held.State != Dead {
-			living = append(living, held.Record)
+	living := make([]Record, 0, t.liveCount)
+	for _, known := range t.rows {
+		if known.State != Dead {
+			living = append(living, known.Record)
 		}
 	}
 	return living
 }
 
-// HasMemberAt tells whether a member that isn't dead is known at an address.
+// HasMemberAt reports whether a member that isn't dead is known at an address.
 func (t *Table) HasMemberAt(address string) bool {
 	newest := t.newest[address]
 	return newest != nil && newest.State != Dead
@@ -300,41 +304,42 @@
 	added := &row{Record: r, hash: Hash(r.ID), since: now}
 	t.rows[r.ID] = added
 	t.byHash[added.hash] = added
-	t.digests[r.ZoneKey()] ^= mark(r)
-	t.count(Dead, r.State)
-	return t.crown(added, now)
+	t.digests[r.ZoneKey()] ^= digestTerm(r)
+	t.updateLiveCount(Dead, r.State)
+	return t.setNewest(added, now)
 }
 
-func (t *Table) change(held *row, now time.Time, apply func(*Record)) {
+func (t *Table) change(known *row, now time.Time, apply func(*Record)) {
 	t.version++
-	before := held.State
-	t.digests[held.ZoneKey()] ^= mark(held.Record)
-	apply(&held.Record)
-	t.digests[held.ZoneKey()] ^= mark(held.Record)
-	if held.State != before {
-		held.since = now
-		t.count(before, held.State)
+	before := known.State
+	t.digests[known.ZoneKey()] ^= digestTerm(known.Record)
+	apply(&known.Record)
+	t.digests[known.ZoneKey()] ^= digestTerm(known.Record)
+	if known.State != before {
+		known.since = now
+		t.updateLiveCount(before, known.State)
 	}
 }
 
-// count keeps the number of those that aren't dead when one goes from a state to another.
-func (t *Table) count(from, to State) {
+// updateLiveCount updates liveCount and membershipVersion when a record changes from one state
+// to another.
+func (t *Table) updateLiveCount(from, to State) {
 	if (from == Dead) == (to == Dead) {
 		return
 	}
-	t.population++
+	t.membershipVersion++
 	if to == Dead {
-		t.alive--
+		t.liveCount--
 		return
 	}
-	t.alive++
+	t.liveCount++
 }
 
 func (t *Table) remove(id string) {
 	t.version++
 	gone := t.rows[id]
-	t.count(gone.State, Dead)
-	t.digests[gone.ZoneKey()] ^= mark(gone.Record)
+	t.updateLiveCount(gone.State, Dead)
+	t.digests[gone.ZoneKey()] ^= digestTerm(gone.Record)
 	delete(t.rows, id)
 	delete(t.byHash, gone.hash)
 	if t.newest[gone.PeerAddr] == gone {
--- a/internal/serve/gauges.go
+++ b/internal/serve/gauges.go
@@ -6,15 +6,16 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// gauges shows what this process believes.
+// gauges writes the state of this process to a metrics registry.
 type gauges struct{ registry metrics.Registry }
 
 func (g gauges) set(name string, value int64) {
 	metrics.GetOrRegisterGauge(name, g.registry).Update(value)
 }
 
-// UpdateGauges sets the gauges. It looks at every target, so it is called for those who read
-// them, not regularly. Series by service are as many as the configuration has services.
+// UpdateGauges sets all gauges to their current values. It visits every target, so it is
+// called when metrics are read, not periodically. There is one set of per-service series for
+// each service of the configuration.
 func (s *Server) UpdateGauges(now time.Time) {
 	g := gauges{registry: s.metrics}
 	g.set("plan.version", int64(s.plans.Version()))
@@ -22,8 +23,8 @@
 	g.set("members", int64(1+len(s.network.View().Members)))
 	g.set("requests.in_flight", s.inFlight.Load())
 	g.set("targets.connections_opened", s.client.Dialed())
-	orders, targets := s.follower.FailingFor()
-	g.set("store.configuration_silent_ms", orders.Milliseconds())
+	configuration, targets := s.follower.FailingFor()
+	g.set("store.configuration_silent_ms", configuration.Milliseconds())
 	g.set("store.targets_silent_ms", targets.Milliseconds())
 	stages := s.stages.Gatherer().Stats()
 	g.set("stages.calls", int64(stages.Calls))
@@ -32,18 +33,19 @@
 	g.set("stages.items_late", int64(stages.Late))
 	g.set("stages.items_repeated", int64(stages.Retried))
 	g.set("stages.results_in_vain", int64(stages.Discarded))
-	s.observeZones(g)
+	s.updateZoneGauges(g)
 	p := s.plans.Current()
 	if p == nil {
 		return
 	}
 	for i := range p.Services {
-		s.observeService(g, p.Services[i].Name, now)
+		s.updateServiceGauges(g, p.Services[i].Name, now)
 	}
 }
 
-// observeZones shows which zones are evacuated, and what is still under way there.
-func (s *Server) observeZones(g gauges) {
+// updateZoneGauges reports which zones are evacuated and how many calls are still running in
+// each zone.
+func (s *Server) updateZoneGauges(g gauges) {
 	list, newest, _ := s.table.Evacuations()
 	g.set("evacuations.revision", int64(newest))
 	g.set("evacuations.zones", int64(len(list)))
@@ -59,7 +61,7 @@
 	}
 }
 
-func (s *Server) observeService(g gauges, service string, now time.Time) {
+func (s *Server) updateServiceGauges(g gauges, service string, now time.Time) {
 	label := `{service="` + service + `"}`
 	count := s.table.Count(service, now)
 	g.set("vanillagate_service_targets"+label, int64(count.Usable))
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,7 +1,7 @@
-// Package serve is the serving core of one process: it wires what follows the
-// configuration, knows the targets, gathers stages, and runs requests. A front
-// reads requests from callers and writes the replies; a codec speaks to the
-// targets.
+// Package serve is the serving core of one process. It connects the components that follow the
+// configuration, track the targets, run pipeline stages and execute requests. A front end
+// reads requests from callers and writes the replies; a codec translates between requests and
+// the targets' protocol.
 package serve
 
 import (
@@ -30,26 +30,26 @@
 	"github.com/vanillagate/vanillagate/internal/wait"
 )
 
-// Options are what a Server is made from.
+// Options configures a Server.
 type Options struct {
 	Log     *zap.Logger
 	Metrics metrics.Registry
-	// Zone of this VM.
+	// Zone is the availability zone of this VM.
 	Zone string
-	// Peers is how this process takes part in the network of processes.
+	// Peers configures the network between the entry processes.
 	Peers  peer.Options
 	Source follow.Source
 	Codec  run.Codec
-	// Stager makes the calls of stage targets over the given client.
+	// Stager creates the client that calls stage targets. It sends over the given HTTP client.
 	Stager func(*upstream.Client) gather.StageClient
-	// Budget bounds the repeats of all processes together.
+	// Budget limits the retries of all processes together.
 	Budget quota.Rule
-	// ChangeBound is within what time changes in the store are in force; 0 is
+	// ChangeBound is the maximum time until a change in the store takes effect; 0 means
 	// follow.DefaultPropagationBound.
 	ChangeBound follow.PropagationBound
-	// Again means that another process may have run in this one's place.
+	// Again is set if another process may have run in place of this one before.
 	Again bool
-	// LeaveOut switches mechanisms off, for measurements.
+	// LeaveOut disables mechanisms, to measure their effect.
 	LeaveOut leaveout.Set
 }
 
@@ -72,20 +72,20 @@
 	follower *follow.Follower
 	stages   *gather.Requester
 	budget   *quota.Budget
-	warmup   *warmup.Limiter  // nil where it is left out
-	engines  *engines.Tracker // nil where it is left out
+	warmup   *warmup.Limiter  // nil if disabled by LeaveOut
+	engines  *engines.Tracker // nil if disabled by LeaveOut
 	executor *run.Executor
 
 	started  time.Time
 	inFlight atomic.Int64
-	// leavingSince is when the shutdown began; nil before.
-	leavingSince atomic.Pointer[time.Time]
-	tasks        sync.WaitGroup
-	life         context.Context
-	stop         context.CancelFunc
+	// shutdownSince is when the shutdown began; nil before it.
+	shutdownSince atomic.Pointer[time.Time]
+	tasks         sync.WaitGroup
+	baseCtx       context.Context
+	cancel        context.CancelFunc
 }
 
-// New wires a server. Nothing runs before Start.
+// New creates a server and its components. No background work runs before Start.
 func New(o Options) (*Server, error) {
 	network, err := peer.New(o.Peers)
 	if err != nil {
@@ -95,7 +95,7 @@
 		log: logging.Part(o.Log, "serve"), metrics: o.Metrics, zone: o.Zone, network: network,
 		plans: &plan.Holder{}, client: &upstream.Client{}, budget: o.budget(time.Now()), started: time.Now(),
 	}
-	s.life, s.stop = context.WithCancel(context.Background())
+	s.baseCtx, s.cancel = context.WithCancel(context.Background())
 	s.table = pool.New(logging.Part(o.Log, "targets"))
 	s.table.OnLeave(func(t *pool.Target) { s.client.Drop(t.Address) })
 	s.follower = follow.New(logging.Part(o.Log, "follow"), o.Source, s.plans, s.table)
@@ -114,12 +114,12 @@
 	}
 	s.stages = gather.New(gather.Options{
 		Log: logging.Part(o.Log, "stages"), Network: network, Table: s.table, LeaveOut: o.LeaveOut,
-		Gatherer: gather.NewGatherer(s.life, logging.Part(o.Log, "gather"), s.table, s.plans, o.Stager(s.client)),
+		Gatherer: gather.NewGatherer(s.baseCtx, logging.Part(o.Log, "gather"), s.table, s.plans, o.Stager(s.client)),
 	})
 	s.executor = &run.Executor{
 		Log: logging.Part(o.Log, "request"), Plans: s.plans, Table: s.table, Client: s.client, Codec: o.Codec,
 		Stages: s.stages, Budget: s.budget, Zone: o.Zone, Metrics: &run.Metrics{Registry: o.Metrics},
-		LeaveOut: o.LeaveOut, TimeToReady: s.starting,
+		LeaveOut: o.LeaveOut, TimeToReady: s.timeToReady,
 	}
 	if !o.LeaveOut.Has(leaveout.EngineAccounts) {
 		s.engines = engines.New(logging.Part(o.Log, "engines"), network)
@@ -130,54 +130,56 @@
 		s.executor.Warmup = s.warmup
 	}
 	if !o.LeaveOut.Has(leaveout.Containment) {
-		s.executor.Suspicion = newSuspicion(s.life, logging.Part(o.Log, "suspicion"), network)
+		s.executor.Suspicion = newCrashDetector(s.baseCtx, logging.Part(o.Log, "suspicion"), network)
 	}
 	return s, nil
 }
 
-// seeds gives the peer addresses of the processes that others meet first.
+// seeds returns the peer addresses of the seed processes, which new processes contact first.
 func (s *Server) seeds(read func(context.Context) ([]string, error)) []string {
-	list, err := read(s.life)
+	list, err := read(s.baseCtx)
 	if err != nil {
-		s.log.Warn("Seeds aren't known.", zap.Error(err))
+		s.log.Warn("Failed to read the seed addresses.", zap.Error(err))
 	}
 	return list
 }
 
 const (
-	// aloneStart is about how long a process takes after its start to know the configuration
-	// and the targets, memberStart by how much longer for each member: at a start of all the
-	// list goes from one to the other.
-	aloneStart  = 300 * time.Millisecond
-	memberStart = 2500 * time.Microsecond
+	// baseStartTime is about how long a process needs after its start to load the
+	// configuration and the targets. startTimePerMember is added for each member: when all
+	// processes start at once, the target list is passed on from one to the next.
+	baseStartTime      = 300 * time.Millisecond
+	startTimePerMember = 2500 * time.Microsecond
 )
 
-// starting is in about what time this process knows what it needs: as reckoned from the
-// members known, or, when that is over, as long again as it has taken so far.
-func (s *Server) starting(now time.Time) time.Duration {
+// timeToReady estimates how long it takes until this process has loaded the configuration and
+// the targets. The estimate grows with the number of known members. Once the estimated time
+// has passed, it is as long again as the process has run so far.
+func (s *Server) timeToReady(now time.Time) time.Duration {
 	age := now.Sub(s.started)
-	expected := aloneStart + time.Duration(len(s.network.View().Members))*memberStart
+	expected := baseStartTime + time.Duration(len(s.network.View().Members))*startTimePerMember
 	if age < expected {
 		return expected - age
 	}
 	return age
 }
 
-// Start joins the other processes and begins to follow the configuration.
+// Start joins the peer network and starts following the configuration.
 func (s *Server) Start() error {
-	if err := s.network.Start(s.life); err != nil {
+	if err := s.network.Start(s.baseCtx); err != nil {
 		return eris.Wrap(err, "serve")
 	}
-	s.tasks.Go(func() { s.follower.Run(s.life) })
-	s.tasks.Go(s.housekeep)
+	s.tasks.Go(func() { s.follower.Run(s.baseCtx) })
+	s.tasks.Go(s.runMaintenance)
 	return nil
 }
 
-// housekeepPeriod is how often unused connections are closed and members counted.
-const housekeepPeriod = time.Second
+// maintenancePeriod is how often unused connections are closed and the member count of the
+// retry budget is updated.
+const maintenancePeriod = time.Second
 
-func (s *Server) housekeep() {
-	for wait.For(s.life, housekeepPeriod) {
+func (s *Server) runMaintenance() {
+	for wait.For(s.baseCtx, maintenancePeriod) {
 		now := time.Now()
 		s.client.Prune(now)
 		s.budget.SetMemberCount(1+len(s.network.View().Members), now)
@@ -190,16 +192,16 @@
 	}
 }
 
-// Plans gives the configuration in force.
+// Plans returns the holder of the configuration in force.
 func (s *Server) Plans() *plan.Holder { return s.plans }
 
-// UpdateRetryBudget puts another bound on the repeats of all processes together.
+// UpdateRetryBudget replaces the limit on the retries of all processes together.
 func (s *Server) UpdateRetryBudget(rule quota.Rule) { s.budget.SetRule(rule, time.Now()) }
 
-// UpdatePropagationBound puts another bound on the time until changes are in force.
+// UpdatePropagationBound replaces the maximum time until changes in the store take effect.
 func (s *Server) UpdatePropagationBound(b follow.PropagationBound) { s.follower.SetPropagationBound(b) }
 
-// Run answers one request; see run.Executor.
+// Run executes one request; see run.Executor.
 func (s *Server) Run(ctx context.Context, r *run.Request) *run.Reply { return s.executor.Run(ctx, r) }
 
 // TrackRequest counts a request as in flight until the returned function is called.
@@ -209,23 +211,24 @@
 	return func() { once.Do(func() { s.inFlight.Add(-1) }) }
 }
 
-// ShuttingDown tells whether this process is shutting down, and for how long.
+// ShuttingDown reports whether this process is shutting down, and for how long it has been.
 func (s *Server) ShuttingDown() (time.Duration, bool) {
-	since := s.leavingSince.Load()
+	since := s.shutdownSince.Load()
 	if since == nil {
 		return 0, false
 	}
 	return time.Since(*since), true
 }
 
-// Ready tells whether callers should come here.
+// Ready reports whether this process can serve callers: it isn't shutting down and has loaded
+// the configuration and the targets.
 func (s *Server) Ready() bool {
-	return s.leavingSince.Load() == nil && s.plans.Current() != nil && s.table.Loaded()
+	return s.shutdownSince.Load() == nil && s.plans.Current() != nil && s.table.Loaded()
 }
 
-// EntryAddresses lists the addresses that a caller in a zone should use, its zone's
-// first by lot. Those of other zones are left out while the zone has its part
-// of the VMs: what crosses zones costs.
+// EntryAddresses lists the addresses of the entry VMs that a caller in the given zone should
+// use: first those of its zone, in random order. VMs of other zones are left out as long as
+// the zone has its share of the VMs, because traffic between zones is charged.
 func (s *Server) EntryAddresses(zone string) []string {
 	var near, far []string
 	add := func(m peer.Member) {
@@ -243,45 +246,49 @@
 			zones[m.Zone] = true
 		}
 	}
-	if s.leavingSince.Load() == nil {
+	if s.shutdownSince.Load() == nil {
 		add(view.Self)
 		zones[view.Self.Zone] = true
 	}
 	shuffle(near)
 	shuffle(far)
-	if enough(len(near), len(near)+len(far), len(zones)) {
+	if hasFairShare(len(near), len(near)+len(far), len(zones)) {
 		return near
 	}
 	return append(near, far...)
 }
 
-// enough tells whether a zone has at least half of an even part of the VMs. One
-// that has less would be overloaded by its own callers.
-func enough(near, all, zones int) bool { return zones > 0 && 2*near*zones >= all && near > 0 }
+// hasFairShare reports whether a zone has at least half of an even share of the VMs. The
+// callers of a zone with fewer VMs would overload them.
+func hasFairShare(near, all, zones int) bool { return zones > 0 && 2*near*zones >= all && near > 0 }
 
 func shuffle(list []string) {
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 }
 
-// BeginShutdown takes this process out of what callers and peers are told. It
-// goes on serving those that come all the same, for as long as the shutdown allows.
-func (s *Server) BeginShutdown(d run.ShutdownSchedule) {
+// BeginShutdown withdraws this process from the addresses given to callers and announces its
+// leave to the peers. Requests that still arrive are served for as long as the shutdown
+// schedule allows.
+func (s *Server) BeginShutdown(schedule run.ShutdownSchedule) {
 	now := time.Now()
-	s.leavingSince.Store(&now)
-	s.executor.StartShutdown(d)
+	s.shutdownSince.Store(&now)
+	s.executor.StartShutdown(schedule)
 	s.stages.Leave()
 	s.network.AnnounceLeave()
 }
 
-// AcceptFor is how long this process may go on accepting requests if it ends after a time.
-func (s *Server) AcceptFor(left time.Duration) time.Duration { return s.executor.AcceptFor(left) }
+// AcceptFor returns how long this process may go on accepting requests if it ends after the
+// given time.
+func (s *Server) AcceptFor(timeLeft time.Duration) time.Duration {
+	return s.executor.AcceptFor(timeLeft)
+}
 
-// InFlight is how many requests are being answered.
+// InFlight returns the number of requests in progress.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Stop ends everything.
+// Stop stops all background work and leaves the peer network.
 func (s *Server) Stop() {
-	s.stop()
+	s.cancel()
 	s.network.Close()
 	s.tasks.Wait()
 }
--- a/internal/serve/servetest/stages.go
+++ b/internal/serve/servetest/fake_targets.go
@@ -12,75 +12,75 @@
 	"github.com/vanillagate/vanillagate/internal/serve/pool"
 )
 
-// FakeTargets is a model of stage targets: one call at a time, a call time that
-// hardly depends on the batch, and little space for results. It implements
+// FakeTargets simulates stage targets. Each runs one call at a time, the time of a call hardly
+// depends on the batch size, and the buffer for results is small. It implements
 // gather.StageClient.
 type FakeTargets struct {
 	Services map[string]*plan.Batch
-	// Slow multiplies the time of a target's calls, by ID.
+	// Slow multiplies the time of the calls of a target, by target ID.
 	Slow map[string]float64
-	// Stall is how long a call takes to be written: the caller's VM stands still.
+	// Stall is how long it takes to write a call, as if the VM of the caller were stalled.
 	Stall time.Duration
-	// Fail is called for each item; true makes it fail. nil fails none.
+	// Fail reports whether an item fails. nil fails none.
 	Fail func(item gather.Item) bool
 
-	mu      sync.Mutex // guards what follows
-	targets map[string]*target
-	next    int
-	called  map[string]time.Time // when a zone's targets were called last
-	made    map[gather.Key]bool
+	mu         sync.Mutex // guards the fields below
+	targets    map[string]*fakeTarget
+	lastHandle int
+	lastCalls  map[string]time.Time // time of the last call by zone
+	completed  map[gather.Key]bool
 	// Calls and Items count by service.
 	Calls map[string]int
 	Items map[string]int
-	// Crossed counts the bytes of inputs that crossed zones.
+	// Crossed counts the bytes of inputs that were read from another zone.
 	Crossed int
-	// Gone counts the items whose inputs were gone, by request. Second copies of
-	// items that had been made aren't counted: their result is there.
+	// Gone counts, by request, the items that failed because an input was gone. Retries of
+	// items that had already been completed aren't counted, since their result exists.
 	Gone map[string]int
 }
 
 var _ gather.StageClient = (*FakeTargets)(nil)
 
-// target is the model of one.
-type target struct {
-	busy    bool
-	used    int
-	results map[string]result
+// fakeTarget is the state of one simulated target.
+type fakeTarget struct {
+	busy      bool
+	usedBytes int
+	results   map[string]result
 }
 
 type result struct {
-	bytes int
-	zone  string
-	gone  time.Time
+	bytes     int
+	zone      string
+	expiresAt time.Time
 }
 
-func (p *FakeTargets) of(id string) *target {
+func (p *FakeTargets) targetAt(id string) *fakeTarget {
 	if p.targets == nil {
-		p.made, p.called = map[gather.Key]bool{}, map[string]time.Time{}
-		p.targets, p.Calls, p.Items, p.Gone = map[string]*target{}, map[string]int{}, map[string]int{}, map[string]int{}
+		p.completed, p.lastCalls = map[gather.Key]bool{}, map[string]time.Time{}
+		p.targets, p.Calls, p.Items, p.Gone = map[string]*fakeTarget{}, map[string]int{}, map[string]int{}, map[string]int{}
 	}
 	t := p.targets[id]
 	if t == nil {
-		t = &target{results: map[string]result{}}
+		t = &fakeTarget{results: map[string]result{}}
 		p.targets[id] = t
 	}
 	return t
 }
 
-// LastCall is when a target in a zone was called last.
+// LastCall returns when a target in the zone was last called.
 func (p *FakeTargets) LastCall(zone string) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.called[zone]
+	return p.lastCalls[zone]
 }
 
-// Run makes one call.
+// Run simulates one call.
 func (p *FakeTargets) Run(ctx context.Context, at *pool.Target, items []gather.Item, sent func()) ([]gather.Result, error) {
 	batch := p.Services[at.Service]
 	if err := sleep(ctx, p.Stall); err != nil {
 		return nil, err
 	}
-	results, took, err := p.begin(at, batch, items)
+	results, took, err := p.startCall(at, batch, items)
 	if err != nil {
 		return nil, err
 	}
@@ -88,22 +88,22 @@
 	err = sleep(ctx, took)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.of(at.Address).busy = false
+	p.targetAt(at.Address).busy = false
 	if err != nil {
 		return nil, err
 	}
 	return results, nil
 }
 
-func (p *FakeTargets) begin(at *pool.Target, batch *plan.Batch, items []gather.Item) ([]gather.Result, time.Duration, error) {
+func (p *FakeTargets) startCall(at *pool.Target, batch *plan.Batch, items []gather.Item) ([]gather.Result, time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t := p.of(at.Address)
+	t := p.targetAt(at.Address)
 	if t.busy || len(items) > batch.Size {
 		return nil, 0, gather.ErrFull
 	}
 	t.busy = true
-	p.called[at.Zone] = time.Now()
+	p.lastCalls[at.Zone] = time.Now()
 	p.Calls[at.Service]++
 	took := batch.CallTime + time.Duration(len(items))*batch.ItemTime
 	if slow := p.Slow[at.ID]; slow > 0 {
@@ -116,19 +116,19 @@
 	return results, took, nil
 }
 
-// make makes one item. The caller holds mu.
-func (p *FakeTargets) make(t *target, at *pool.Target, batch *plan.Batch, item gather.Item, gone time.Time) gather.Result {
+// make processes one item. The caller holds mu.
+func (p *FakeTargets) make(t *fakeTarget, at *pool.Target, batch *plan.Batch, item gather.Item, expiresAt time.Time) gather.Result {
 	p.Items[at.Service]++
-	p.sweep(t)
+	p.removeExpired(t)
 	out := gather.Result{Key: item.Key, Zone: at.Zone}
 	for _, handle := range item.Inputs {
 		address, _, _ := strings.Cut(handle, "/")
-		from := p.of(address)
-		p.sweep(from)
+		from := p.targetAt(address)
+		p.removeExpired(from)
 		input, found := from.results[handle]
 		if !found {
 			out.Reason = gather.InputGone
-			if !p.made[item.Key] {
+			if !p.completed[item.Key] {
 				p.Gone[item.Request]++
 			}
 			return out
@@ -137,7 +137,7 @@
 			p.Crossed += input.bytes
 		}
 	}
-	if t.used+item.Bytes > batch.BufferBytes {
+	if t.usedBytes+item.Bytes > batch.BufferBytes {
 		out.Reason = gather.NoSpace
 		return out
 	}
@@ -145,51 +145,51 @@
 		out.Reason = gather.TargetFailed
 		return out
 	}
-	p.made[item.Key] = true
-	p.next++
-	out.Handle = fmt.Sprintf("%s/%d", at.Address, p.next)
-	t.used += item.Bytes
-	t.results[out.Handle] = result{bytes: item.Bytes, zone: at.Zone, gone: gone}
+	p.completed[item.Key] = true
+	p.lastHandle++
+	out.Handle = fmt.Sprintf("%s/%d", at.Address, p.lastHandle)
+	t.usedBytes += item.Bytes
+	t.results[out.Handle] = result{bytes: item.Bytes, zone: at.Zone, expiresAt: expiresAt}
 	return out
 }
 
-func (p *FakeTargets) sweep(t *target) {
+func (p *FakeTargets) removeExpired(t *fakeTarget) {
 	now := time.Now()
 	for handle, r := range t.results {
-		if now.After(r.gone) {
-			t.used -= r.bytes
+		if now.After(r.expiresAt) {
+			t.usedBytes -= r.bytes
 			delete(t.results, handle)
 		}
 	}
 }
 
-// Free gives back results.
+// Free releases results.
 func (p *FakeTargets) Free(_ context.Context, at *pool.Target, handles []string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t := p.of(at.Address)
+	t := p.targetAt(at.Address)
 	for _, handle := range handles {
-		t.used -= t.results[handle].bytes
+		t.usedBytes -= t.results[handle].bytes
 		delete(t.results, handle)
 	}
 	return nil
 }
 
-// CallCount counts the calls of a service so far.
+// CallCount returns how many calls a service has received.
 func (p *FakeTargets) CallCount(service string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.Calls[service]
 }
 
-// HeldBytes is how many bytes of results lie at all targets.
+// HeldBytes returns the total size of the results that all targets hold.
 func (p *FakeTargets) HeldBytes() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	total := 0
 	for _, t := range p.targets {
-		p.sweep(t)
-		total += t.used
+		p.removeExpired(t)
+		total += t.usedBytes
 	}
 	return total
 }
--- a/internal/serve/servetest/network.go
+++ b/internal/serve/servetest/network.go
@@ -1,6 +1,5 @@
-// Package servetest has models for tests of the serving core: a network of
-// processes and pools of stage targets that live in memory, so that a load can
-// be played in virtual time.
+// Package servetest has in-memory models for tests of the serving core: a network of
+// processes, and stage targets. With them, a test can simulate load in virtual time.
 package servetest
 
 import (
@@ -14,51 +13,51 @@
 	"github.com/vanillagate/vanillagate/internal/peer"
 )
 
-// Cluster is the processes of a system. The zero value is empty.
+// Cluster is a simulated network of processes. The zero value is an empty network.
 type Cluster struct {
-	// Delay of a message one way.
+	// Delay is the one-way latency of a message.
 	Delay time.Duration
 
-	mu    sync.Mutex // guards nodes and their states
+	mu    sync.Mutex // guards nodes, their states and the counters
 	nodes []*Node
-	// version grows with every change of them.
+	// version is incremented by every change of a node.
 	version uint64
-	// published and calls count what processes told each other.
+	// published and calls count the published items and the calls between processes.
 	published int
 	calls     int
 }
 
 type handler = func(context.Context, json.RawMessage) (any, error)
 
-// Node is one process's side of the network. It implements peer.Network.
+// Node is the network of one simulated process. It implements peer.Network.
 type Node struct {
 	cluster  *Cluster
 	self     peer.Member
 	handlers map[string]handler
-	// subscribed are the functions to call with published items.
-	subscribed map[peer.Topic][]func(peer.Item)
-	state      peer.MemberState
-	// silent nodes take messages and never answer, as a frozen process does.
-	silent bool
+	// subscriptions are the functions to call with published items, by topic.
+	subscriptions map[peer.Topic][]func(peer.Item)
+	state         peer.MemberState
+	// frozen nodes receive messages and never answer.
+	frozen bool
 	// dead nodes refuse connections.
 	dead bool
-	// rate of its link in bytes a second, 0 for one without bound; free is when it has
-	// sent all that was to be sent.
-	rate int
-	free time.Time
-	// view was made of the cluster's version viewed.
-	view   *peer.View
-	viewed uint64
+	// sendRate is the bandwidth of the node's link in bytes per second, 0 for no limit.
+	// linkFreeAt is when all queued messages have been sent.
+	sendRate   int
+	linkFreeAt time.Time
+	// view caches the members as of version viewVersion of the cluster.
+	view        *peer.View
+	viewVersion uint64
 }
 
 var _ peer.Network = (*Node)(nil)
 
-// Add adds a process.
+// Add adds a process to the network.
 func (c *Cluster) Add(name, zone string) *Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := &Node{
-		cluster: c, state: peer.Alive, handlers: map[string]handler{}, subscribed: map[peer.Topic][]func(peer.Item){},
+		cluster: c, state: peer.Alive, handlers: map[string]handler{}, subscriptions: map[peer.Topic][]func(peer.Item){},
 		self: peer.Member{Incarnation: peer.Incarnation(name), PeerAddress: name, Zone: zone, State: peer.Alive},
 	}
 	c.nodes = append(c.nodes, n)
@@ -66,75 +65,74 @@
 	return n
 }
 
-// Freeze makes a process silent while its peers still take it for alive.
-func (n *Node) Freeze() { n.set(func() { n.silent = true }) }
+// Freeze stops a process from answering; its peers still consider it alive.
+func (n *Node) Freeze() { n.update(func() { n.frozen = true }) }
 
 // Thaw lets a frozen process answer again.
-func (n *Node) Thaw() { n.set(func() { n.silent = false }) }
+func (n *Node) Thaw() { n.update(func() { n.frozen = false }) }
 
 // Kill ends a process; its peers learn of it at once.
 func (n *Node) Kill() {
-	n.set(func() {
+	n.update(func() {
 		n.dead = true
 		n.state = peer.Dead
 	})
 }
 
-// SetSendRate bounds what the process sends, in bytes a second. What is to be sent waits in a
-// queue.
-func (n *Node) SetSendRate(rate int) { n.set(func() { n.rate = rate }) }
+// SetSendRate limits the bandwidth at which the process sends, in bytes per second. Messages
+// above the limit are queued.
+func (n *Node) SetSendRate(sendRate int) { n.update(func() { n.sendRate = sendRate }) }
 
-// SetCPUPercent sets the VM's share of a core, in percent.
-func (n *Node) SetCPUPercent(power int) { n.set(func() { n.self.CPUPercent = power }) }
+// SetCPUPercent sets the VM's share of one core, in percent.
+func (n *Node) SetCPUPercent(power int) { n.update(func() { n.self.CPUPercent = power }) }
 
-// queue puts a message into the sender's queue and gives the time until it is there.
-func (n *Node) queue(bytes int) time.Duration {
+// enqueue adds a message to the sender's queue and returns the time until it is delivered.
+func (n *Node) enqueue(bytes int) time.Duration {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
-	if n.rate == 0 {
+	if n.sendRate == 0 {
 		return n.cluster.Delay
 	}
 	now := time.Now()
-	if n.free.Before(now) {
-		n.free = now
+	if n.linkFreeAt.Before(now) {
+		n.linkFreeAt = now
 	}
-	n.free = n.free.Add(time.Duration(float64(bytes) / float64(n.rate) * float64(time.Second)))
-	return n.free.Sub(now) + n.cluster.Delay
+	n.linkFreeAt = n.linkFreeAt.Add(time.Duration(float64(bytes) / float64(n.sendRate) * float64(time.Second)))
+	return n.linkFreeAt.Sub(now) + n.cluster.Delay
 }
 
-// Running tells whether the process wasn't killed.
+// Running reports whether the process hasn't been killed.
 func (n *Node) Running() bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return !n.dead
 }
 
-func (n *Node) set(change func()) {
+func (n *Node) update(change func()) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	change()
 	n.cluster.version++
 }
 
-// Self is this process.
+// Self returns this process.
 func (n *Node) Self() peer.Member { return n.self }
 
 // Members lists the other processes that aren't dead.
 func (n *Node) Members() []peer.Member { return slices.Clone(n.View().Members) }
 
-// View is part of peer.Network.
+// View returns this process and its peers; it implements peer.Network.
 func (n *Node) View() *peer.View {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
-	if n.view == nil || n.viewed != n.cluster.version {
+	if n.view == nil || n.viewVersion != n.cluster.version {
 		n.view = &peer.View{Self: n.self, Members: n.others()}
-		n.viewed = n.cluster.version
+		n.viewVersion = n.cluster.version
 	}
 	return n.view
 }
 
-// others lists the other processes that aren't dead. The caller holds the
-// cluster's mu.
+// others lists the other processes that aren't dead. The caller holds cluster.mu.
 func (n *Node) others() []peer.Member {
 	var list []peer.Member
 	for _, other := range n.cluster.nodes {
@@ -147,15 +145,15 @@
 	return list
 }
 
-// Publish hands an item to the subscribers at all other processes that live.
+// Publish passes an item to the subscribers of all other live processes.
 func (n *Node) Publish(topic peer.Topic, key string, version uint64, ttl time.Duration, body any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
 	item := peer.Item{Topic: topic, Origin: n.self.Incarnation, Key: key, Version: version, TTL: ttl, Body: encoded}
-	for _, hear := range n.cluster.subscribers(topic, n) {
-		hear(item)
+	for _, deliver := range n.cluster.subscribers(topic, n) {
+		deliver(item)
 	}
 	return nil
 }
@@ -167,55 +165,55 @@
 	var list []func(peer.Item)
 	for _, n := range c.nodes {
 		if n != except && !n.dead {
-			list = append(list, n.subscribed[topic]...)
+			list = append(list, n.subscriptions[topic]...)
 		}
 	}
 	return list
 }
 
-// PublishedCount counts the items that all processes have published.
+// PublishedCount returns how many items all processes have published.
 func (c *Cluster) PublishedCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.published
 }
 
-// CallCount counts the calls between processes.
+// CallCount returns how many calls the processes have made.
 func (c *Cluster) CallCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.calls
 }
 
-// Items is always empty.
+// Items always returns nil: the model doesn't store items.
 func (n *Node) Items(peer.Topic) []peer.Item { return nil }
 
-// Subscribe has fn called with the items of a topic that others publish.
+// Subscribe registers fn to be called with the items of a topic that others publish.
 func (n *Node) Subscribe(topic peer.Topic, fn func(peer.Item)) {
-	n.set(func() { n.subscribed[topic] = append(n.subscribed[topic], fn) })
+	n.update(func() { n.subscriptions[topic] = append(n.subscriptions[topic], fn) })
 }
 
-// Handle answers calls of a method.
+// Handle registers fn to answer calls of a method.
 func (n *Node) Handle(method string, fn func(context.Context, json.RawMessage) (any, error)) {
-	n.set(func() { n.handlers[method] = fn })
+	n.update(func() { n.handlers[method] = fn })
 }
 
-var errDead = errors.New("connection refused")
+var errConnectionRefused = errors.New("connection refused")
 
-// Call asks one process.
+// Call calls a method of another process.
 func (n *Node) Call(ctx context.Context, to peer.Incarnation, method string, params, result any) error {
 	data, err := json.Marshal(params)
 	if err != nil {
 		return err
 	}
-	if err := sleep(ctx, n.queue(len(data))); err != nil {
+	if err := sleep(ctx, n.enqueue(len(data))); err != nil {
 		return err
 	}
-	other, handle, silent := n.cluster.find(to, method)
+	other, handle, frozen := n.cluster.findHandler(to, method)
 	if handle == nil {
-		return errDead
+		return errConnectionRefused
 	}
-	if silent {
+	if frozen {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -227,7 +225,7 @@
 	if err != nil {
 		return err
 	}
-	if err := sleep(ctx, other.queue(len(data))); err != nil {
+	if err := sleep(ctx, other.enqueue(len(data))); err != nil {
 		return err
 	}
 	if result == nil {
@@ -236,24 +234,24 @@
 	return json.Unmarshal(data, result)
 }
 
-// find gives a process and what answers a method there; nil where nothing does.
-func (c *Cluster) find(id peer.Incarnation, method string) (node *Node, handle handler, silent bool) {
+// findHandler returns a process and its handler of a method; nil if there is none.
+func (c *Cluster) findHandler(id peer.Incarnation, method string) (node *Node, handle handler, frozen bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
 	for _, n := range c.nodes {
 		if n.self.Incarnation == id && !n.dead {
-			return n, n.handlers[method], n.silent
+			return n, n.handlers[method], n.frozen
 		}
 	}
 	return nil, nil, false
 }
 
-// sleep waits for a time. No time is no timer: one that is due when its channel
-// is read runs in the reader's goroutine, and in virtual time all goroutines
-// that do so, and the clock, use one context of the race detector. Two at once
-// break it: the test ends in a failed check of ThreadSanitizer or a
-// segmentation fault, without a race and without the test's name.
+// sleep waits for d or the end of ctx. It uses no timer if d isn't positive. A timer that is
+// already due when its channel is read fires in the goroutine that reads it, and in virtual
+// time (synctest) all such goroutines and the clock share one context of the race detector.
+// Two of them at once corrupt it: the test ends in a failed ThreadSanitizer check or a
+// segmentation fault, without a reported race and without the name of the test.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/serve/servetest/network_test.go
+++ b/internal/serve/servetest/network_test.go
@@ -10,24 +10,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// A model of a pool that answers at once is asked by many goroutines while the
-// virtual clock wakes others. If each waited for a timer that is due already,
-// the race detector would break in one run of some, and whoever runs the tests
-// would see an error that names no test and no race.
-func TestNoTimeIsWaitedForWithoutATimer(t *testing.T) {
+// Many goroutines call a model target that answers at once while the virtual clock wakes
+// others. If each waited on a timer that is already due, the race detector would occasionally
+// crash with an error that names neither a test nor a race.
+func TestZeroSleepUsesNoTimer(t *testing.T) {
 	const (
-		// With timers, the race detector broke in each of twelve runs of so many:
-		// four on two cores, four on four, four on twelve.
-		sleepers = 8
-		rounds   = 5_000
-		atOnce   = 10
+		// With timers, the race detector crashed in each of twelve runs of this size: four
+		// runs each on 2, 4 and 12 cores.
+		sleepers   = 8
+		rounds     = 5_000
+		zeroSleeps = 10
 	)
 	synctest.Test(t, func(t *testing.T) {
 		var all sync.WaitGroup
 		for range sleepers {
 			all.Go(func() {
 				for range rounds {
-					for range atOnce {
+					for range zeroSleeps {
 						assert.Check(t, sleep(t.Context(), 0))
 					}
 					assert.Check(t, sleep(t.Context(), time.Millisecond))
@@ -38,9 +37,10 @@
 	})
 }
 
-// A caller that has left isn't served because nothing had to be waited for.
-func TestNoTimeIsNotWaitedForAfterTheEnd(t *testing.T) {
-	// Where a timer that is due and the end are both at hand, either is taken.
+// A zero sleep must still report that its context is cancelled.
+func TestZeroSleepReportsCancellation(t *testing.T) {
+	// If a due timer and the cancelled context were both ready, select would pick either at
+	// random; several tries detect that.
 	const tries = 50
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/serve/upstream/answer.go
+++ b/internal/serve/upstream/answer.go
@@ -15,62 +15,63 @@
 	"github.com/vanillagate/vanillagate/internal/conns"
 )
 
-// Answer is a target's answer; its body is read as it comes.
+// Answer is the answer of a target. Its body is streamed: Read returns data as it arrives.
 type Answer struct {
 	Status int
 	Header fasthttp.ResponseHeader
-	// Length of the body, -1 where the target didn't say.
+	// Length is the length of the body, -1 if the target didn't announce it.
 	Length int
 
-	client  *Client
-	address string
-	conn    *conns.Conn
-	stop    func() bool
-	body    io.Reader
-	chunked bool
-	// keepNone is Request.KeepNone.
-	keepNone bool
-	whole    bool
-	closed   bool
-	reuse    bool
-	// written is closed when the request's body has been written; cut tells
-	// that it could not be.
-	written chan struct{}
-	cut     atomic.Bool
+	client       *Client
+	address      string
+	conn         *conns.Conn
+	stopCtxWatch func() bool
+	body         io.Reader
+	chunked      bool
+	// neverReuse is Request.KeepNone.
+	neverReuse bool
+	complete   bool
+	closed     bool
+	reusable   bool
+	// written is closed when writing the request body has ended; writeFailed is set if it
+	// failed.
+	written     chan struct{}
+	writeFailed atomic.Bool
 }
 
-// errFraming means that the end of the body can't be told.
-var errFraming = errors.New("answer's body has no framing")
+// errFraming means that the end of the body can't be determined.
+var errFraming = errors.New("answer body has no usable framing")
 
 func (a *Answer) readHeader(r *Request) error {
 	a.Header.DisableNormalizing()
 	a.Header.SetNoDefaultContentType(true)
-	for stray := 0; stray <= maxStray; {
+	for skipped := 0; skipped <= maxUnrelatedAnswers; {
 		if err := a.Header.Read(a.conn.R); err != nil {
 			return err
 		}
 		a.Status = a.Header.StatusCode()
 		if a.Status < fasthttp.StatusOK {
-			continue // an interim answer
+			continue // an interim (1xx) answer
 		}
-		a.frame(r.Method)
+		a.setFraming(r.Method)
 		if r.IsOurs == nil || r.IsOurs(&a.Header) {
 			return nil
 		}
-		stray++
-		if err := a.skip(); err != nil {
+		skipped++
+		if err := a.discardBody(); err != nil {
 			return err
 		}
 	}
 	return ErrUnrelatedAnswers
 }
 
-// frame finds out how the body's end is told.
-func (a *Answer) frame(method string) {
+// setFraming determines how the end of the body is marked: by a length, by chunked encoding or
+// by the end of the connection.
+func (a *Answer) setFraming(method string) {
 	a.Length = a.Header.ContentLength()
 	a.chunked = false
-	a.whole = false
-	a.reuse = !a.Header.ConnectionClose()
+	a.complete = false
+	a.reusable = !a.Header.ConnectionClose()
 	switch {
 	case method == fasthttp.MethodHead, a.Status == fasthttp.StatusNoContent, a.Status == fasthttp.StatusNotModified:
 		a.Length = 0
@@ -82,23 +83,23 @@
 		a.body = httputil.NewChunkedReader(a.conn.R)
 	default:
 		a.Length = -1
-		a.reuse = false
+		a.reusable = false
 		a.body = a.conn.R
 	}
 }
 
-// skip reads away an answer that belongs to an earlier request.
-func (a *Answer) skip() error {
+// discardBody reads and discards the body of an answer to an earlier request.
+func (a *Answer) discardBody() error {
 	if a.Length < 0 && !a.chunked {
 		return errFraming
 	}
 	_, err := io.Copy(io.Discard, a)
-	a.whole = false
+	a.complete = false
 	return err
 }
 
-// Read gives the body as it comes. io.EOF means that it is whole; a body that
-// was cut ends with another error.
+// Read returns body data as it arrives. io.EOF means that the body is complete; a truncated
+// body ends with another error.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if !errors.Is(err, io.EOF) {
@@ -107,19 +108,20 @@
 	if limited, ok := a.body.(*io.LimitedReader); ok && limited.N > 0 {
 		return n, io.ErrUnexpectedEOF
 	}
-	if a.chunked && !a.whole {
-		// Without its empty line the body was cut, however the connection ended.
+	if a.chunked && !a.complete {
+		// A chunked body without the final empty line was truncated, however the connection
+		// ended.
 		if err := readTrailer(a.conn.R); errors.Is(err, io.EOF) {
 			return n, io.ErrUnexpectedEOF
 		} else if err != nil {
 			return n, err
 		}
 	}
-	a.whole = true
+	a.complete = true
 	return n, io.EOF
 }
 
-// maxTrailerLines bounds the lines after a chunked body.
+// maxTrailerLines limits the trailer lines after a chunked body.
 const maxTrailerLines = 16
 
 func readTrailer(r *bufio.Reader) error {
@@ -135,42 +137,42 @@
 	return errFraming
 }
 
-// Close ends the exchange. The connection is kept if the body was read to its
-// end and the request was written whole; else it is closed, which also ends
-// the target's work on it.
+// Close ends the exchange. The connection is kept for reuse if the body was read to its end
+// and the request was written completely. Otherwise it is closed, which also tells the target
+// to stop its work on the request.
 func (a *Answer) Close() {
 	if a.closed {
 		return
 	}
 	a.closed = true
-	inTime := a.stop()
-	if a.whole && a.reuse && !a.keepNone && inTime && a.conn.R.Buffered() == 0 && a.bodyWritten() {
+	inTime := a.stopCtxWatch()
+	if a.complete && a.reusable && !a.neverReuse && inTime && a.conn.R.Buffered() == 0 && a.requestWritten() {
 		a.conn.IdleTimeout = idleTime(&a.Header)
 		a.client.idle.Put(a.address, a.conn, time.Now())
 		return
 	}
-	_ = a.conn.Close() // given up: nothing is lost with it
+	_ = a.conn.Close() // the connection is discarded, an error changes nothing
 }
 
-// bodyWritten tells whether the whole request is out. A target that answered
-// early may still wait for the rest; another request's bytes in its place
-// would be taken for it.
-func (a *Answer) bodyWritten() bool {
+// requestWritten reports whether the whole request has been written. A target that answered
+// early may still expect the rest of the body and would take the bytes of another request for
+// it.
+func (a *Answer) requestWritten() bool {
 	select {
 	case <-a.written:
-		return !a.cut.Load()
+		return !a.writeFailed.Load()
 	default:
 		return false
 	}
 }
 
-// idleMargin is how much sooner than the target we drop an unused connection:
-// a request written as the target closes is lost. A second covers timers that
-// fire late on a busy VM.
+// idleMargin is how much sooner than the target an unused connection is closed here: a request
+// written just as the target closes the connection is lost. One second covers timers that fire
+// late on a busy VM.
 const idleMargin = time.Second
 
-// idleTime reads how long the target keeps an unused connection, 0 where it
-// doesn't say.
+// idleTime reads from the Keep-Alive header how long the target keeps an unused connection; 0
+// if it doesn't say.
 func idleTime(h *fasthttp.ResponseHeader) time.Duration {
 	for _, part := range strings.Split(string(h.Peek("Keep-Alive")), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/internal/serve/upstream/conn_test.go
+++ b/internal/serve/upstream/conn_test.go
@@ -7,6 +7,6 @@
 	"github.com/vanillagate/vanillagate/internal/conns"
 )
 
-func connOf(c net.Conn) *conns.Conn {
+func wrapConn(c net.Conn) *conns.Conn {
 	return &conns.Conn{Conn: c, R: bufio.NewReader(c), W: bufio.NewWriter(c)}
 }
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -1,7 +1,6 @@
-// Package upstream sends a caller's request on to a target, byte for byte, and
-// reads the target's answer as it comes. One Send is at most one attempt: no
-// request is ever written twice, since only the caller of this package knows
-// whether it may run again.
+// Package upstream sends a caller's request to a target, byte for byte, and streams the answer
+// of the target. One Send is at most one attempt. A request is never written twice, because
+// only the user of this package knows whether it may run again.
 package upstream
 
 import (
@@ -25,30 +24,29 @@
 	// Address is the target's IP:port.
 	Address string
 	Method  string
-	// URI is path and query as the caller sent them.
+	// URI is the path and query exactly as the caller sent them.
 	URI    string
 	Host   string
 	Header []Header
 	Body   []byte
-	// MaxAge bounds how long a kept connection may have been unused; 0 is no
-	// bound beyond the pool's.
+	// MaxAge limits how long a reused connection may have been unused; 0 means no limit beyond
+	// that of the connection pool.
 	MaxAge time.Duration
-	// MaxKept is how many unused connections to the address are kept at most;
-	// 0 is no bound beyond the pool's. KeepNone closes the connection after the
-	// answer.
+	// MaxKept limits the unused connections that are kept to the address; 0 means no limit
+	// beyond that of the connection pool. KeepNone closes the connection after the answer.
 	MaxKept  int
 	KeepNone bool
-	// IsOurs tells whether an answer's header belongs to this request. Others
-	// are late answers to earlier ones: they are read away.
+	// IsOurs reports whether an answer with this header belongs to this request. Any other
+	// answer is a late one to an earlier request and is discarded.
 	IsOurs func(*fasthttp.ResponseHeader) bool
-	// Sent is called when the request has been written; nil for nothing.
+	// Sent is called when the whole request has been written. It may be nil.
 	Sent func()
 }
 
-// Failure is an attempt that gave no answer.
+// Failure is the error of an attempt that got no answer.
 type Failure struct {
-	// Sent tells that a byte of the request may have reached the target; it
-	// may have run, or run still.
+	// Sent is set if any byte of the request may have reached the target. The request may then
+	// have run or still be running.
 	Sent bool
 	Err  error
 }
@@ -61,69 +59,72 @@
 	return fmt.Sprintf("upstream: not sent: %v", f.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// NotSent tells whether an attempt failed before a byte of it was sent.
+// NotSent reports whether an attempt failed before any byte of it was sent.
 func NotSent(err error) bool {
 	var failure *Failure
 	return errors.As(err, &failure) && !failure.Sent
 }
 
-// ErrUnrelatedAnswers means that the target sent answers to other requests only.
-var ErrUnrelatedAnswers = errors.New("answers of other requests in place of ours")
+// ErrUnrelatedAnswers means that the target only sent answers to other requests.
+var ErrUnrelatedAnswers = errors.New("target sent only answers to other requests")
 
-// maxStray is how many answers to earlier requests are read away before ours.
-const maxStray = 2
+// maxUnrelatedAnswers is how many answers to earlier requests are discarded before the attempt
+// fails.
+const maxUnrelatedAnswers = 2
 
-// asideBytes is from which size on a body is written beside the reading of the
-// answer: a target may answer before it has read a long body, and both sides
-// would wait for each other. Shorter ones fit into the sockets' buffers.
-const asideBytes = 8 << 10
+// concurrentWriteBytes is the size from which a body is written concurrently with reading the
+// answer. A target may answer before it has read a long body, and both sides would wait for
+// each other. Shorter bodies fit into the socket buffers.
+const concurrentWriteBytes = 8 << 10
 
-// Client sends requests. It is safe for concurrent use; the zero value works.
+// Client sends requests and keeps unused connections for reuse. It is safe for concurrent use,
+// and its zero value is ready to use.
 type Client struct {
 	idle   conns.Pool
 	dialed atomic.Int64
 }
 
-// Dialed counts the connections that were opened.
+// Dialed returns the number of connections opened so far.
 func (c *Client) Dialed() int64 { return c.dialed.Load() }
 
-// Prune closes connections that have stayed unused.
+// Prune closes connections that have been unused for too long.
 func (c *Client) Prune(now time.Time) { c.idle.Prune(now) }
 
-// Drop closes the unused connections to an address that another target may get.
+// Drop closes the unused connections to an address, because another target may get it.
 func (c *Client) Drop(address string) { c.idle.CloseIdle(address) }
 
-// Send makes one attempt and reads the answer's header. Every error is a
-// *Failure. The context's end closes the connection, also while the body is
-// read. Close the answer always.
+// Send makes one attempt and reads the header of the answer. Every error is a *Failure. When
+// ctx ends, the connection is closed, also while the body is being read. The caller must
+// always close the answer.
 func (c *Client) Send(ctx context.Context, r *Request) (*Answer, error) {
 	conn, err := c.connect(ctx, r)
 	if err != nil {
 		return nil, &Failure{Err: err}
 	}
 	conn.MaxIdle = r.MaxKept
-	a := &Answer{client: c, address: r.Address, conn: conn, keepNone: r.KeepNone, written: make(chan struct{})}
-	a.stop = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
+	a := &Answer{client: c, address: r.Address, conn: conn, neverReuse: r.KeepNone, written: make(chan struct{})}
+	a.stopCtxWatch = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	if err := ctx.Err(); err != nil {
 		a.Close()
 		return nil, &Failure{Err: err}
 	}
 	if err := a.write(r); err != nil {
 		a.Close()
-		return nil, &Failure{Sent: true, Err: cause(ctx, err)}
+		return nil, &Failure{Sent: true, Err: preferContextCause(ctx, err)}
 	}
 	if err := a.readHeader(r); err != nil {
 		a.Close()
-		return nil, &Failure{Sent: true, Err: cause(ctx, err)}
+		return nil, &Failure{Sent: true, Err: preferContextCause(ctx, err)}
 	}
 	return a, nil
 }
 
-// cause prefers the context's reason to the broken connection it led to.
-func cause(ctx context.Context, err error) error {
+// preferContextCause returns the cause of the context's end, if it has ended, instead of the
+// connection error that resulted from it.
+func preferContextCause(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
@@ -138,13 +139,12 @@
 	return conns.Dial(ctx, r.Address)
 }
 
-// write sends the request. A long body goes on being written beside the
-// reading of the answer.
+// write sends the request. A long body is written in the background while the answer is read.
 func (a *Answer) write(r *Request) error {
-	writeHead(a.conn, r)
-	if len(r.Body) < asideBytes {
+	writeRequestHeader(a.conn, r)
+	if len(r.Body) < concurrentWriteBytes {
 		defer close(a.written)
-		_, _ = a.conn.W.Write(r.Body) // a bufio.Writer keeps its error for Flush
+		_, _ = a.conn.W.Write(r.Body) // Flush returns the error of any earlier write
 		err := a.conn.W.Flush()
 		if err == nil && r.Sent != nil {
 			r.Sent()
@@ -158,7 +158,7 @@
 	go func() {
 		defer close(a.written)
 		_, err := a.conn.Conn.Write(r.Body)
-		a.cut.Store(err != nil)
+		a.writeFailed.Store(err != nil)
 		if err == nil && r.Sent != nil {
 			r.Sent()
 		}
@@ -166,25 +166,25 @@
 	return nil
 }
 
-func writeHead(conn *conns.Conn, r *Request) {
+func writeRequestHeader(conn *conns.Conn, r *Request) {
 	w := conn.W
 	put := func(parts ...string) {
 		for _, part := range parts {
-			_, _ = w.WriteString(part) // a bufio.Writer keeps its error for Flush
+			_, _ = w.WriteString(part) // Flush returns the error of any earlier write
 		}
 	}
 	put(r.Method, " ", r.URI, " HTTP/1.1\r\nHost: ", r.Host, "\r\n")
 	for _, h := range r.Header {
 		put(h.Name, ": ", h.Value, "\r\n")
 	}
-	if len(r.Body) > 0 || hasBody(r.Method) {
+	if len(r.Body) > 0 || alwaysSendsLength(r.Method) {
 		put("Content-Length: ", strconv.Itoa(len(r.Body)), "\r\n")
 	}
 	put("\r\n")
 }
 
-// hasBody tells whether a request of this method states its length even when
-// it is 0.
-func hasBody(method string) bool {
+// alwaysSendsLength reports whether requests of this method have a Content-Length header even
+// if the body is empty.
+func alwaysSendsLength(method string) bool {
 	return method == fasthttp.MethodPost || method == fasthttp.MethodPut || method == fasthttp.MethodPatch
 }
--- a/internal/serve/upstream/upstream_test.go
+++ b/internal/serve/upstream/upstream_test.go
@@ -16,8 +16,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// target listens and hands each connection to serve.
-func target(t *testing.T, serve func(net.Conn)) string {
+// startTarget listens on a local port and calls serve for each connection.
+func startTarget(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -37,7 +37,7 @@
 	return listener.Addr().String()
 }
 
-// readRequest reads one request off a connection; nil at its end.
+// readRequest reads one request from a connection; nil at its end.
 func readRequest(r *bufio.Reader) *http.Request {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -47,8 +47,8 @@
 	return req
 }
 
-// answering gives the same answer to each request on a connection.
-func answering(answer string) func(net.Conn) {
+// alwaysAnswer sends the same answer to each request on a connection.
+func alwaysAnswer(answer string) func(net.Conn) {
 	return func(conn net.Conn) {
 		r := bufio.NewReader(conn)
 		for readRequest(r) != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-func get(address string) *Request {
+func newRequest(address string) *Request {
 	return &Request{
 		Address: address, Method: "GET", URI: "/a%2Fb//c?x=%20&y", Host: "h.example",
 		Header: []Header{{"X-Attempt", "id-1"}, {"x-lower", "v"}},
@@ -68,7 +68,7 @@
 	}
 }
 
-const plain = "HTTP/1.1 200 OK\r\nX-Attempt: id-1\r\nContent-Length: 5\r\n\r\nhello"
+const plainAnswer = "HTTP/1.1 200 OK\r\nX-Attempt: id-1\r\nContent-Length: 5\r\n\r\nhello"
 
 func readAll(t *testing.T, a *Answer) string {
 	t.Helper()
@@ -77,25 +77,25 @@
 	return string(body)
 }
 
-// exchange sends a request and reads its whole answer.
+// exchange sends a request and returns the body of its answer.
 func exchange(t *testing.T, c *Client, address string) string {
 	t.Helper()
-	a, err := c.Send(context.Background(), get(address))
+	a, err := c.Send(context.Background(), newRequest(address))
 	assert.NilError(t, err)
 	defer a.Close()
 	return readAll(t, a)
 }
 
-func TestTheRequestArrivesByteForByte(t *testing.T) {
+func TestRequestIsSentByteForByte(t *testing.T) {
 	got := make(chan string, 1)
-	address := target(t, func(conn net.Conn) {
+	address := startTarget(t, func(conn net.Conn) {
 		buffer := make([]byte, 4096)
 		n, _ := conn.Read(buffer)
 		got <- string(buffer[:n])
-		_, _ = io.WriteString(conn, plain)
+		_, _ = io.WriteString(conn, plainAnswer)
 	})
 	var c Client
-	r := get(address)
+	r := newRequest(address)
 	r.Method, r.Body = "POST", []byte("{}")
 	a, err := c.Send(context.Background(), r)
 	assert.NilError(t, err)
@@ -105,13 +105,13 @@
 		"Content-Length: 2\r\n\r\n{}")
 }
 
-func TestAWholeAnswersConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReusedAfterCompleteAnswer(t *testing.T) {
 	for name, answer := range map[string]string{
-		"length":  plain,
+		"length":  plainAnswer,
 		"chunks":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
-		"interim": "HTTP/1.1 100 Continue\r\n\r\n" + plain,
+		"interim": "HTTP/1.1 100 Continue\r\n\r\n" + plainAnswer,
 	} {
-		address := target(t, answering(answer))
+		address := startTarget(t, alwaysAnswer(answer))
 		var c Client
 		for range 3 {
 			assert.Equal(t, exchange(t, &c, address), "hello", name)
@@ -120,20 +120,20 @@
 	}
 }
 
-// A target accepts so many connections from all processes together. If each
-// keeps as many as its busiest moment needed, the target resets new ones, and
-// bookings sent on them have an unknown outcome.
-func TestNoMoreUnusedConnectionsAreKeptThanAllowed(t *testing.T) {
+// A target accepts a limited number of connections from all processes together. If each
+// process keeps as many as it needed at its busiest moment, the target resets new connections,
+// and requests sent on those have an unknown outcome.
+func TestIdleConnectionLimit(t *testing.T) {
 	for name, tc := range map[string]struct {
 		most int
 		none bool
 		kept int
 	}{"no bound": {0, false, 4}, "two": {2, false, 2}, "none": {0, true, 0}} {
-		address := target(t, answering(plain))
+		address := startTarget(t, alwaysAnswer(plainAnswer))
 		var c Client
 		var together []*Answer
 		for range 4 {
-			r := get(address)
+			r := newRequest(address)
 			r.MaxKept, r.KeepNone = tc.most, tc.none
 			a, err := c.Send(context.Background(), r)
 			assert.NilError(t, err)
@@ -151,8 +151,8 @@
 	}
 }
 
-func TestATargetThatClosesIsDialedAnew(t *testing.T) {
-	address := target(t, answering("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
+func TestClosedConnectionIsRedialed(t *testing.T) {
+	address := startTarget(t, alwaysAnswer("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"))
 	var c Client
 	for range 2 {
 		assert.Equal(t, exchange(t, &c, address), "")
@@ -160,22 +160,21 @@
 	assert.Equal(t, c.Dialed(), int64(2))
 }
 
-// A target breaks off in the middle of its answer, in each of the ways in which
-// an answer's end is told. A caller that took it for whole would get half a
-// tender.
-func TestACutAnswerNeverLooksWhole(t *testing.T) {
+// A target closes the connection in the middle of its answer, for each way of marking the end
+// of a body. The caller must not take a partial answer for a complete one.
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	for name, answer := range map[string]string{
 		"length":         "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello",
 		"chunk":          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel",
 		"between chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
 		"last chunk":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n",
 	} {
-		address := target(t, func(conn net.Conn) {
+		address := startTarget(t, func(conn net.Conn) {
 			readRequest(bufio.NewReader(conn))
 			_, _ = io.WriteString(conn, answer)
 		})
 		var c Client
-		a, err := c.Send(context.Background(), get(address))
+		a, err := c.Send(context.Background(), newRequest(address))
 		assert.NilError(t, err, name)
 		_, err = io.ReadAll(a)
 		assert.Assert(t, err != nil, name)
@@ -183,10 +182,10 @@
 	}
 }
 
-// An answer without a length ends with its connection. One that is reset is cut.
-func TestAnAnswerWithoutALengthIsCutByAReset(t *testing.T) {
+// The end of the connection completes an answer without a length, but a reset truncates it.
+func TestResetTruncatesAnswerWithoutLength(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		address := target(t, func(conn net.Conn) {
+		address := startTarget(t, func(conn net.Conn) {
 			readRequest(bufio.NewReader(conn))
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\nhello")
 			time.Sleep(20 * time.Millisecond)
@@ -195,7 +194,7 @@
 			}
 		})
 		var c Client
-		a, err := c.Send(context.Background(), get(address))
+		a, err := c.Send(context.Background(), newRequest(address))
 		assert.NilError(t, err)
 		_, err = io.ReadAll(a)
 		assert.Equal(t, err != nil, reset)
@@ -203,27 +202,27 @@
 	}
 }
 
-// A target sends a second answer after a whole one. Whoever uses the connection
-// next would take it for their own.
-func TestAnExtraAnswerIsNobodys(t *testing.T) {
-	address := target(t, answering(plain+"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen"))
+// A target sends a second answer after a complete one. The next request on the connection must
+// not get it.
+func TestExtraAnswerIsNotReadByNextRequest(t *testing.T) {
+	address := startTarget(t, alwaysAnswer(plainAnswer+"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen"))
 	var c Client
 	for range 3 {
 		assert.Equal(t, exchange(t, &c, address), "hello")
 	}
 }
 
-// The second answer comes late, where the next request's is due. It says whose
-// it is and is read away.
-func TestALateAnswerToAnEarlierRequestIsReadAway(t *testing.T) {
+// An answer to an earlier request arrives when the answer to the next one is due. Its header
+// identifies the request, and it is discarded.
+func TestLateAnswerToEarlierRequestIsDiscarded(t *testing.T) {
 	var n atomic.Int32
-	address := target(t, func(conn net.Conn) {
+	address := startTarget(t, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
 		for readRequest(r) != nil {
 			if n.Add(1) == 2 {
 				_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nX-Attempt: id-0\r\nContent-Length: 4\r\n\r\nlate")
 			}
-			_, _ = io.WriteString(conn, plain)
+			_, _ = io.WriteString(conn, plainAnswer)
 		}
 	})
 	var c Client
@@ -232,17 +231,17 @@
 	}
 }
 
-// A target refuses a long request before it has read it, keeps the connection
-// and reads on later. Bytes of another request in place of the rest would be
-// taken for it.
-func TestAfterAnEarlyAnswerTheRestIsStillSent(t *testing.T) {
+// A target refuses a long request before it has read the body, keeps the connection open and
+// reads the rest later. It would take bytes of another request on the connection for the rest
+// of the body.
+func TestEarlyAnswerDoesNotCorruptTheConnection(t *testing.T) {
 	body := strings.Repeat("x", 4<<20)
 	type seen struct {
 		bytes int64
 		err   error
 	}
 	got := make(chan seen, 4)
-	address := target(t, func(conn net.Conn) {
+	address := startTarget(t, func(conn net.Conn) {
 		r := bufio.NewReader(conn)
 		req, err := http.ReadRequest(r)
 		if err != nil {
@@ -256,42 +255,42 @@
 		}
 	})
 	var c Client
-	r := get(address)
+	r := newRequest(address)
 	r.Method, r.Body = "POST", []byte(body)
 	a, err := c.Send(context.Background(), r)
 	assert.NilError(t, err)
 	assert.Equal(t, a.Status, 503)
 	assert.Equal(t, readAll(t, a), "")
 	a.Close()
-	again, err := c.Send(context.Background(), get(address))
+	again, err := c.Send(context.Background(), newRequest(address))
 	if err == nil {
 		again.Close()
 	}
 	first := <-got
-	// The connection was closed, or the whole body was sent: nothing else came.
+	// Either the connection was closed or the whole body was sent; no other bytes arrived.
 	assert.Assert(t, first.err != nil || first.bytes == int64(len(body)), "%+v", first)
 }
 
-func TestWhatWasNotSentIsSaidToBe(t *testing.T) {
+func TestNotSentReportsUnsentRequests(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
 	var c Client
-	_, err = c.Send(context.Background(), get(address))
+	_, err = c.Send(context.Background(), newRequest(address))
 	assert.Assert(t, NotSent(err))
 
-	cut := target(t, func(conn net.Conn) { readRequest(bufio.NewReader(conn)) })
-	_, err = c.Send(context.Background(), get(cut))
+	cut := startTarget(t, func(conn net.Conn) { readRequest(bufio.NewReader(conn)) })
+	_, err = c.Send(context.Background(), newRequest(cut))
 	assert.Assert(t, err != nil && !NotSent(err))
 }
 
-// A kept connection was closed by its target while it lay unused. A request
-// written to it would be lost, and nobody could say whether it ran.
-func TestAClosedKeptConnectionIsNotUsed(t *testing.T) {
-	address := target(t, func(conn net.Conn) {
+// A target has closed a connection while it was unused. A request written to it would be lost,
+// and its outcome would be unknown.
+func TestIdleConnectionClosedByTargetIsNotUsed(t *testing.T) {
+	address := startTarget(t, func(conn net.Conn) {
 		readRequest(bufio.NewReader(conn))
-		_, _ = io.WriteString(conn, plain)
+		_, _ = io.WriteString(conn, plainAnswer)
 	})
 	var c Client
 	for range 3 {
@@ -300,11 +299,11 @@
 	}
 }
 
-func TestAnOldKeptConnectionIsNotUsedWhereItMatters(t *testing.T) {
-	address := target(t, answering(plain))
+func TestMaxAgeSkipsOldIdleConnections(t *testing.T) {
+	address := startTarget(t, alwaysAnswer(plainAnswer))
 	var c Client
 	for range 2 {
-		r := get(address)
+		r := newRequest(address)
 		r.MaxAge = 10 * time.Millisecond
 		a, err := c.Send(context.Background(), r)
 		assert.NilError(t, err)
@@ -315,11 +314,11 @@
 	assert.Equal(t, c.Dialed(), int64(2))
 }
 
-// The caller hangs up while the target works. The target learns of it by its
-// connection and stops; else engines would generate for nobody.
-func TestTheEndOfTheContextClosesTheConnection(t *testing.T) {
+// The caller hangs up while the target works. The target must notice it by the closed
+// connection and stop; otherwise engines would go on generating an answer that nobody reads.
+func TestContextCancellationClosesTheConnection(t *testing.T) {
 	closed := make(chan struct{})
-	address := target(t, func(conn net.Conn) {
+	address := startTarget(t, func(conn net.Conn) {
 		readRequest(bufio.NewReader(conn))
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")
 		_, _ = conn.Read(make([]byte, 1))
@@ -328,7 +327,7 @@
 	left := errors.New("the caller left")
 	ctx, cancel := context.WithCancelCause(context.Background())
 	var c Client
-	a, err := c.Send(ctx, get(address))
+	a, err := c.Send(ctx, newRequest(address))
 	assert.NilError(t, err)
 	cancel(left)
 	_, err = io.ReadAll(a)
@@ -337,11 +336,11 @@
 	select {
 	case <-closed:
 	case <-time.After(time.Second):
-		t.Fatal("the target wasn't told")
+		t.Fatal("the connection to the target wasn't closed")
 	}
 }
 
-func TestKeepAliveBoundsHowLongAConnectionIsKept(t *testing.T) {
+func TestKeepAliveHeaderLimitsIdleTime(t *testing.T) {
 	for value, want := range map[string]time.Duration{
 		"": 0, "timeout=5": 4 * time.Second, "timeout=5, max=100": 4 * time.Second, "max=3": 0, "timeout=x": 0,
 		"timeout=1": 250 * time.Millisecond, "timeout=60": 4 * time.Second, "timeout=0": 0,
@@ -365,14 +364,14 @@
 			defer func() { _ = server.Close() }()
 			_, _ = io.WriteString(server, answer)
 		}()
-		a := &Answer{client: &Client{}, address: "x", conn: connOf(client), written: make(chan struct{}), stop: func() bool { return true }}
+		a := &Answer{client: &Client{}, address: "x", conn: wrapConn(client), written: make(chan struct{}), stopCtxWatch: func() bool { return true }}
 		close(a.written)
 		if err := a.readHeader(&Request{Method: "GET"}); err != nil {
 			return
 		}
 		n, err := io.Copy(io.Discard, io.LimitReader(a, 1<<20))
 		if err == nil && a.Length >= 0 && n < 1<<20 && n != int64(a.Length) && a.Status != 204 && a.Status != 304 {
-			t.Fatalf("%d of %d bytes taken for whole", n, a.Length)
+			t.Fatalf("body reported as complete after %d of %d bytes", n, a.Length)
 		}
 	})
 }
--- a/internal/suspect/quarantine.go
+++ b/internal/suspect/quarantine.go
@@ -2,11 +2,12 @@
 
 import "sort"
 
-// Quarantine says on which targets the process at place rank of size processes
-// may run a suspect. Each target belongs to one process, so that suspects of
-// two entry VMs don't meet on one target and share the blame. Where there are
-// fewer targets than processes, they share. Targets that are not among the
-// addresses belong to nobody. size counts the asking process, so it is not 0.
+// Quarantine returns a function that reports on which targets a process may run a suspected
+// request. rank is the position of the process among size processes. Each target is assigned
+// to one process, so that suspects of two entry VMs don't run on the same target, where a
+// crash would incriminate both. If there are fewer targets than processes, several processes
+// share one. Targets that aren't among the addresses are assigned to none. size includes the
+// calling process, so it isn't 0.
 func Quarantine(addresses []string, rank, size int) func(address string) bool {
 	sorted := append([]string(nil), addresses...)
 	sort.Strings(sorted)
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -1,11 +1,10 @@
-// Package suspect finds the request that crashes each target that runs it.
+// Package suspect finds requests that crash the targets that run them.
 //
-// When a target dies with requests in flight, each of them is suspected.
-// Suspects are told to the peers before a second try. One process owns a
-// suspect and is the only one to try it again, alone of all suspects on its
-// target, so that a second crash convicts the one that caused it and no other.
-// A convicted request gets its final answer at once, at every entry VM, under
-// whatever key it is sent again.
+// When a target crashes with requests in flight, each of them is suspected. Suspects are
+// announced to the peers before a second attempt. One process owns a suspect and is the only
+// one to run it again, on a target without other suspects, so that a second crash convicts the
+// request that caused it and no other. A convicted request is answered at once with its final
+// error at every entry VM, under whatever key it is resent.
 package suspect
 
 import (
@@ -16,11 +15,11 @@
 	"time"
 )
 
-// Fingerprint identifies a request by its content. The caller's key does not
-// count: a caller may send the same request again with a new key.
+// Fingerprint identifies a request by its content. The caller's idempotency key isn't part of
+// it: a caller may resend the same request with a new key.
 type Fingerprint string
 
-// FingerprintOf hashes the parts of a request that decide what its targets do.
+// FingerprintOf hashes the parts of a request that determine what its targets do.
 func FingerprintOf(parts ...string) Fingerprint {
 	h := fnv.New64a()
 	for _, p := range parts {
@@ -30,94 +29,94 @@
 	return Fingerprint(strconv.FormatUint(h.Sum64(), 16))
 }
 
-// Crash is one death of a target while it ran the request.
+// Crash is the crash of one target while it ran the request.
 type Crash struct {
 	Address string    `json:"address"`
 	At      time.Time `json:"at"`
-	// Owner is the process that may try the request again, since OwnedAt.
+	// Owner is the process that may run the request again, since OwnedAt.
 	Owner   string    `json:"owner"`
 	OwnedAt time.Time `json:"owned_at"`
 }
 
-// Evidence is what one process knows of a request.
+// Evidence is what one process knows about a request.
 type Evidence struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Crashes     []Crash     `json:"crashes,omitempty"`
-	// ClearedAt is when the request last ran alone and came back whole; zero
-	// for never. It voids the crashes before it.
+	// ClearedAt is when the request last completed while it ran isolated; zero for never.
+	// Crashes before it no longer count.
 	ClearedAt time.Time `json:"cleared_at,omitzero"`
 }
 
-// Verdict says what is held against a request.
+// Verdict is the assessment of a request.
 type Verdict string
 
 // The verdicts.
 const (
-	// Clear: nothing is known against the request.
+	// Clear: no crash is known.
 	Clear Verdict = "clear"
-	// Suspected: a target died under it once.
+	// Suspected: one target crashed while running it.
 	Suspected Verdict = "suspected"
-	// Convicted: two targets died under it.
+	// Convicted: two targets crashed while running it.
 	Convicted Verdict = "convicted"
 )
 
 // Permission says how a request may run now.
 type Permission string
 
-// The leaves.
+// The permissions.
 const (
 	// Unrestricted: like any other request.
 	Unrestricted Permission = "free"
-	// Isolated: as the only try of this suspect, and on a target without another
-	// suspect. Done ends it.
+	// Isolated: as the only attempt of this suspect, and on a target without another suspect.
+	// Table.Done ends the permission.
 	Isolated Permission = "alone"
-	// MustWait: another try of it has to end first, here or at another process.
+	// MustWait: another attempt of it has to end first, in this or another process.
 	MustWait Permission = "wait"
 	// Denied: it is convicted.
 	Denied Permission = "never"
 )
 
 const (
-	// crashesToConvict is how many targets a request may cost.
+	// crashesToConvict is the number of crashes that convict a request.
 	crashesToConvict = 2
-	// sameCrash is how close two reports of a target's death have to be to
-	// count as one: several entry VMs see the same one.
-	sameCrash = time.Second
-	// PropagationDelay is how long evidence takes to reach the peers. An owner waits it
-	// out: another process may be reporting the same death, or losing a second
-	// target to the same request, right now.
+	// crashDedupWindow is the time within which two reports of the crash of a target count as
+	// one: several entry VMs see the same crash.
+	crashDedupWindow = time.Second
+	// PropagationDelay is how long evidence takes to reach the peers. An owner waits that long
+	// before it runs the request again, because another process may be reporting the same
+	// crash, or losing a second target to the same request, at that moment.
 	PropagationDelay = 100 * time.Millisecond
-	// ownerTerm is how long a process owns a suspect. One that died or whose
-	// caller left would otherwise keep an innocent request from running for as
-	// long as evidence counts.
-	ownerTerm = 30 * time.Second
-	// deathTerm is how long no suspect is sent to a target that died.
-	deathTerm = 10 * time.Second
+	// ownershipTimeout is how long a process owns a suspect. Without it, an owner that died or
+	// whose caller left would keep an innocent request from running for as long as the
+	// evidence counts.
+	ownershipTimeout = 30 * time.Second
+	// deadTargetTimeout is how long no suspect is sent to a target that crashed.
+	deadTargetTimeout = 10 * time.Second
 	// EvidenceTTL is how long evidence counts.
 	EvidenceTTL = 10 * time.Minute
-	// maxRecords bounds the table. The oldest go first.
+	// maxRecords limits the table. The oldest record is evicted first.
 	maxRecords = 4096
 )
 
-// Table holds the evidence of this process and what its peers told.
+// Table holds the evidence that this process has collected and received from its peers.
 type Table struct {
 	self string
 
-	mu       sync.Mutex // guards what follows; a leaf
+	mu       sync.Mutex // guards the fields below; no other lock is taken while it is held
 	records  map[Fingerprint]*record
-	deaths   map[string]time.Time // last death of each target by address
+	deaths   map[string]time.Time // time of the last crash of each target, by address
 	watchers map[Fingerprint]map[*func()]bool
 }
 
 type record struct {
 	crashes   []Crash
 	clearedAt time.Time
-	// trial says that this process runs the suspect now.
-	trial  bool
-	seenAt time.Time
+	// running is set while this process runs the suspect.
+	running bool
+	seenAt  time.Time
 }
 
-// NewTable makes an empty table for a process.
+// NewTable creates an empty table of the process named self.
 func NewTable(self string) *Table {
 	return &Table{
 		self: self, records: map[Fingerprint]*record{}, deaths: map[string]time.Time{},
@@ -125,19 +124,19 @@
 	}
 }
 
-// Check gives the verdict on a request.
+// Check returns the verdict on a request.
 func (t *Table) Check(f Fingerprint, now time.Time) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.verdict(f, now)
 }
 
-// CrashCount counts the targets that died under a request.
+// CrashCount returns the number of targets that crashed while running a request.
 func (t *Table) CrashCount(f Fingerprint, now time.Time) int {
 	return len(t.CrashedTargets(f, now))
 }
 
-// CrashedTargets lists the targets that died under a request.
+// CrashedTargets lists the addresses of the targets that crashed while running a request.
 func (t *Table) CrashedTargets(f Fingerprint, now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -160,7 +159,7 @@
 	return r.verdict()
 }
 
-// current gives the record of a request, nil where there is none that still counts.
+// current returns the record of a request; nil if there is none or its evidence has expired.
 // The caller holds mu.
 func (t *Table) current(f Fingerprint, now time.Time) *record {
 	r := t.records[f]
@@ -181,8 +180,8 @@
 	}
 }
 
-// Ask says how a request may run now. Evidence that is not nil has to be told
-// to the peers: this process took over a suspect whose owner's time is up.
+// Ask returns how a request may run now. If the evidence isn't nil, the caller must send it to
+// the peers: this process took over a suspect whose owner's time is up.
 func (t *Table) Ask(f Fingerprint, now time.Time) (Permission, *Evidence) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -193,41 +192,41 @@
 		return Denied, nil
 	}
 	r := t.records[f]
-	held := &r.crashes[0]
+	first := &r.crashes[0]
 	switch {
-	case now.Sub(held.OwnedAt) > ownerTerm:
-		held.Owner, held.OwnedAt = t.self, now
+	case now.Sub(first.OwnedAt) > ownershipTimeout:
+		first.Owner, first.OwnedAt = t.self, now
 		return MustWait, r.evidence(f)
-	case held.Owner != t.self || r.trial || now.Sub(held.OwnedAt) < PropagationDelay:
+	case first.Owner != t.self || r.running || now.Sub(first.OwnedAt) < PropagationDelay:
 		return MustWait, nil
 	default:
-		r.trial = true
+		r.running = true
 		return Isolated, nil
 	}
 }
 
-// Done ends what Ask allowed as Alone.
+// Done ends the permission Isolated that Ask returned.
 func (t *Table) Done(f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.records[f]; r != nil {
-		r.trial = false
+		r.running = false
 	}
 }
 
-// MayGoOn says whether a try that was let in may still run.
-func (t *Table) MayGoOn(f Fingerprint, leave Permission, now time.Time) bool {
+// MayGoOn reports whether an attempt that was permitted earlier may continue to run.
+func (t *Table) MayGoOn(f Fingerprint, permission Permission, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	verdict := t.verdict(f, now)
-	if leave == Unrestricted || verdict != Suspected {
+	if permission == Unrestricted || verdict != Suspected {
 		return verdict == Clear
 	}
 	return t.records[f].crashes[0].Owner == t.self
 }
 
-// Watch has fn called after each change of the evidence against a request,
-// until the returned function is called.
+// Watch registers fn to be called after each change of the evidence on a request, until the
+// returned function is called.
 func (t *Table) Watch(f Fingerprint, fn func()) (stop func()) {
 	key := &fn
 	t.mu.Lock()
@@ -246,8 +245,8 @@
 	}
 }
 
-// tell calls the watchers of a request. Call without mu.
-func (t *Table) tell(f Fingerprint) {
+// notifyWatchers calls the watchers of a request. The caller must not hold mu.
+func (t *Table) notifyWatchers(f Fingerprint) {
 	t.mu.Lock()
 	var all []func()
 	for fn := range t.watchers[f] {
@@ -259,14 +258,14 @@
 	}
 }
 
-// Crashed notes that a target died under the request, and gives the evidence
-// to tell the peers.
+// Crashed records that a target crashed while running the request, and returns the evidence to
+// send to the peers.
 func (t *Table) Crashed(f Fingerprint, address string, now time.Time) Evidence {
-	defer t.tell(f)
+	defer t.notifyWatchers(f)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.get(f, now)
-	t.add(r, Crash{Address: address, At: now, Owner: t.self, OwnedAt: now})
+	r := t.getOrCreate(f, now)
+	t.addCrash(r, Crash{Address: address, At: now, Owner: t.self, OwnedAt: now})
 	return *r.evidence(f)
 }
 
@@ -274,13 +273,13 @@
 	return &Evidence{Fingerprint: f, Crashes: append([]Crash(nil), r.crashes...), ClearedAt: r.clearedAt}
 }
 
-// Cleared notes that a suspect came back whole, and gives the evidence to tell
-// the peers. A conviction stands.
+// Cleared records that a suspect completed without a crash, and returns the evidence to send
+// to the peers. A conviction remains.
 func (t *Table) Cleared(f Fingerprint, now time.Time) Evidence {
-	defer t.tell(f)
+	defer t.notifyWatchers(f)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.get(f, now)
+	r := t.getOrCreate(f, now)
 	r.clear(now)
 	return *r.evidence(f)
 }
@@ -299,26 +298,27 @@
 	r.crashes = kept
 }
 
-// MergeEvidence takes in a peer's evidence.
+// MergeEvidence adds the evidence of a peer.
 func (t *Table) MergeEvidence(e Evidence, now time.Time) {
-	defer t.tell(e.Fingerprint)
+	defer t.notifyWatchers(e.Fingerprint)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.get(e.Fingerprint, now)
+	r := t.getOrCreate(e.Fingerprint, now)
 	r.clear(e.ClearedAt)
 	for _, c := range e.Crashes {
-		t.add(r, c)
+		t.addCrash(r, c)
 	}
 }
 
-// get gives the record, a new one in place of one that no longer counts.
-func (t *Table) get(f Fingerprint, now time.Time) *record {
+// getOrCreate returns the record of a request. It creates one if there is none, and empties
+// one whose evidence has expired.
+func (t *Table) getOrCreate(f Fingerprint, now time.Time) *record {
 	r := t.records[f]
 	if r != nil && now.Sub(r.seenAt) > EvidenceTTL {
-		*r = record{trial: r.trial}
+		*r = record{running: r.running}
 	}
 	if r == nil {
-		t.makeRoom()
+		t.evictOldest()
 		r = &record{}
 		t.records[f] = r
 	}
@@ -326,7 +326,7 @@
 	return r
 }
 
-func (t *Table) makeRoom() {
+func (t *Table) evictOldest() {
 	if len(t.records) < maxRecords {
 		return
 	}
@@ -339,9 +339,9 @@
 	delete(t.records, oldest)
 }
 
-// add notes a crash. A clearing that is later than the crash voids it, in
-// whatever order the two arrive.
-func (t *Table) add(r *record, c Crash) {
+// addCrash adds a crash to a record. A later clearing of the request voids it, in whatever
+// order the two arrive.
+func (t *Table) addCrash(r *record, c Crash) {
 	if t.deaths[c.Address].Before(c.At) {
 		t.deaths[c.Address] = c.At
 	}
@@ -350,43 +350,43 @@
 	}
 	for i := range r.crashes {
 		known := &r.crashes[i]
-		if known.Address == c.Address && known.At.Sub(c.At).Abs() < sameCrash {
-			known.join(c)
+		if known.Address == c.Address && known.At.Sub(c.At).Abs() < crashDedupWindow {
+			known.mergeOwner(c)
 			return
 		}
 	}
 	r.crashes = append(r.crashes, c)
 }
 
-// join settles who owns a crash that several processes report: whoever took it
-// over last, and of those that claim it at the same time the lesser name.
-func (c *Crash) join(other Crash) {
+// mergeOwner decides who owns a crash that several processes report: the process that took it
+// over last, or the one with the smaller name if they took it over at the same time.
+func (c *Crash) mergeOwner(other Crash) {
 	later := other.OwnedAt.Sub(c.OwnedAt)
-	if later >= ownerTerm || (later > -ownerTerm && other.Owner < c.Owner) {
+	if later >= ownershipTimeout || (later > -ownershipTimeout && other.Owner < c.Owner) {
 		c.Owner, c.OwnedAt = other.Owner, other.OwnedAt
 	}
 }
 
-// DiedRecently says whether a target died a short while ago, as far as is known here.
-// All processes hear the same deaths, so that they leave out the same targets.
+// DiedRecently reports whether a target crashed a short while ago, as far as this process
+// knows. All processes receive the same crashes, so they exclude the same targets.
 func (t *Table) DiedRecently(address string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at, found := t.deaths[address]
-	if found && now.Sub(at) >= deathTerm {
+	if found && now.Sub(at) >= deadTargetTimeout {
 		delete(t.deaths, address)
 	}
-	return found && now.Sub(at) < deathTerm
+	return found && now.Sub(at) < deadTargetTimeout
 }
 
-// Report is one row for operators.
+// Report is the summary of one request for operators.
 type Report struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Verdict     Verdict     `json:"verdict"`
 	Crashes     int         `json:"crashes"`
 }
 
-// List gives the suspected and convicted requests.
+// List returns the suspected and convicted requests.
 func (t *Table) List(now time.Time) []Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -9,7 +9,7 @@
 
 var start = time.Unix(1000, 0)
 
-func leave(t *Table, f Fingerprint, at time.Time) Permission {
+func permission(t *Table, f Fingerprint, at time.Time) Permission {
 	l, _ := t.Ask(f, at)
 	return l
 }
@@ -17,37 +17,37 @@
 func TestTwoCrashesConvict(t *testing.T) {
 	table := NewTable("p")
 	f := FingerprintOf("quote", "poison")
-	assert.Equal(t, leave(table, f, start), Unrestricted)
+	assert.Equal(t, permission(table, f, start), Unrestricted)
 	table.Crashed(f, "a:1", start)
 	assert.Equal(t, table.Check(f, start), Suspected)
 	table.Crashed(f, "b:1", start.Add(time.Second))
 	assert.Equal(t, table.Check(f, start.Add(time.Second)), Convicted)
-	assert.Equal(t, leave(table, f, start.Add(time.Second)), Denied)
+	assert.Equal(t, permission(table, f, start.Add(time.Second)), Denied)
 	later := start.Add(EvidenceTTL + 2*time.Second)
 	assert.Equal(t, table.Check(f, later), Clear)
 	table.Crashed(f, "c:1", later)
 	assert.Equal(t, table.Check(f, later), Suspected)
 }
 
-// The same request is sent twice to one entry VM, and both copies were at the
-// target that died. Tried again side by side, they would cost two more.
-func TestOneTryOfASuspectAtATime(t *testing.T) {
+// The same request is sent twice to one entry VM, and both copies ran on the target that
+// crashed. Run again at the same time, they could crash two more targets.
+func TestSuspectRunsOnceAtATime(t *testing.T) {
 	table := NewTable("p")
 	f := FingerprintOf("quote", "poison")
 	table.Crashed(f, "a:1", start)
-	assert.Equal(t, leave(table, f, start.Add(PropagationDelay/2)), MustWait)
+	assert.Equal(t, permission(table, f, start.Add(PropagationDelay/2)), MustWait)
 	at := start.Add(PropagationDelay)
-	assert.Equal(t, leave(table, f, at), Isolated)
-	assert.Equal(t, leave(table, f, at), MustWait)
+	assert.Equal(t, permission(table, f, at), Isolated)
+	assert.Equal(t, permission(table, f, at), MustWait)
 	assert.Assert(t, table.MayGoOn(f, Isolated, at))
 	table.Done(f)
-	assert.Equal(t, leave(table, f, at), Isolated)
+	assert.Equal(t, permission(table, f, at), Isolated)
 }
 
-// Two entry VMs have requests at the same target when it dies. Both report the
-// death; counted twice, an innocent request would be refused for good, and
-// tried again by both, a guilty one would cost two more targets.
-func TestOneDeathSeenTwiceCountsOnceAndHasOneOwner(t *testing.T) {
+// Two entry VMs have requests on the same target when it crashes, and both report the crash.
+// If it counted twice, an innocent request would be convicted; if both ran the request again,
+// a guilty one would crash two more targets.
+func TestDuplicateReportsOfACrashAreMerged(t *testing.T) {
 	p, q := NewTable("p"), NewTable("q")
 	f := FingerprintOf("quote", "either")
 	byP := p.Crashed(f, "a:1", start)
@@ -56,11 +56,11 @@
 	q.MergeEvidence(byP, start)
 	at := start.Add(time.Second)
 	assert.Equal(t, p.Check(f, at), Suspected)
-	assert.Equal(t, leave(p, f, at), Isolated)
-	assert.Equal(t, leave(q, f, at), MustWait)
+	assert.Equal(t, permission(p, f, at), Isolated)
+	assert.Equal(t, permission(q, f, at), MustWait)
 }
 
-func TestPeersEvidenceConvictsAndStopsWhatRuns(t *testing.T) {
+func TestPeerEvidenceConvictsAndStopsRunningRequests(t *testing.T) {
 	here, there := NewTable("p"), NewTable("q")
 	f := FingerprintOf("quote", "poison")
 	told := 0
@@ -69,7 +69,7 @@
 	assert.Equal(t, told, 1)
 	assert.Assert(t, !there.MayGoOn(f, Unrestricted, start))
 	assert.Assert(t, there.DiedRecently("a:1", start))
-	assert.Assert(t, !there.DiedRecently("a:1", start.Add(deathTerm)))
+	assert.Assert(t, !there.DiedRecently("a:1", start.Add(deadTargetTimeout)))
 	stop()
 	there.MergeEvidence(here.Crashed(f, "b:1", start), start)
 	assert.Equal(t, told, 1)
@@ -77,15 +77,15 @@
 	assert.Assert(t, !here.MayGoOn(f, Isolated, start))
 }
 
-// The owner of a suspect dies, or its caller leaves, before the second try.
-// The request must not be held up for as long as evidence counts.
-func TestOwnershipIsTakenOver(t *testing.T) {
+// The owner of a suspect dies, or its caller leaves, before the second attempt. The request
+// must not be blocked for as long as the evidence counts.
+func TestOwnershipIsTakenOverAfterTimeout(t *testing.T) {
 	p, q, r := NewTable("p"), NewTable("q"), NewTable("r")
 	f := FingerprintOf("quote", "innocent")
 	e := p.Crashed(f, "a:1", start)
 	q.MergeEvidence(e, start)
 	r.MergeEvidence(e, start)
-	at := start.Add(ownerTerm + time.Second)
+	at := start.Add(ownershipTimeout + time.Second)
 	l, byQ := q.Ask(f, at)
 	assert.Equal(t, l, MustWait)
 	_, byR := r.Ask(f, at.Add(time.Millisecond))
@@ -93,13 +93,12 @@
 	r.MergeEvidence(*byQ, at)
 	p.MergeEvidence(*byQ, at)
 	at = at.Add(2 * PropagationDelay)
-	assert.Equal(t, leave(q, f, at), Isolated)
-	assert.Equal(t, leave(r, f, at), MustWait)
-	assert.Equal(t, leave(p, f, at), MustWait)
+	assert.Equal(t, permission(q, f, at), Isolated)
+	assert.Equal(t, permission(r, f, at), MustWait)
+	assert.Equal(t, permission(p, f, at), MustWait)
 }
 
-// A suspect comes back whole while the report of the same death by another
-// process is still on its way.
+// A suspect completes while another process's report of the same crash is still on its way.
 func TestClearingVoidsEarlierCrashesInAnyOrder(t *testing.T) {
 	p, q, r := NewTable("p"), NewTable("q"), NewTable("r")
 	f := FingerprintOf("x")
@@ -116,7 +115,7 @@
 	}
 }
 
-func TestConvictionStands(t *testing.T) {
+func TestConvictionCannotBeCleared(t *testing.T) {
 	table := NewTable("p")
 	f := FingerprintOf("x")
 	table.Crashed(f, "a:1", start)
