--- a/internal/member/digest.go
+++ b/internal/member/digest.go
@@ -4,10 +4,13 @@
 // then Seq and State combined.
 type VersionStamp [2]uint64
 
+// stateBits is how many bits State takes in a version.
 const stateBits = 2
 
 func stampOf(r *row) VersionStamp { return VersionStamp{r.hash, version(r.Record)} }
 
+// version combines Seq and State: of two claims about one incarnation, the one with the higher
+// version wins.
 func version(r Record) uint64 { return r.Seq<<stateBits | uint64(r.State) }
 
 // digestTerm is what a record contributes to the digest of its zone. A suspected record counts
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -286,7 +286,7 @@
 // InFlight returns the number of requests in progress.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Stop stops all background work and leaves the peer network.
+// Stop stops all background work and closes the connections to the peers.
 func (s *Server) Stop() {
 	s.cancel()
 	s.network.Close()
--- a/internal/serve/upstream/upstream_test.go
+++ b/internal/serve/upstream/upstream_test.go
@@ -120,26 +120,26 @@
 	}
 }
 
-// A target accepts a limited number of connections from all processes together. If each
+// A target accepts a limited number of connections from all processes answers. If each
 // process keeps as many as it needed at its busiest moment, the target resets new connections,
 // and requests sent on those have an unknown outcome.
 func TestIdleConnectionLimit(t *testing.T) {
 	for name, tc := range map[string]struct {
-		most int
-		none bool
-		kept int
+		maxKept  int
+		keepNone bool
+		kept     int
 	}{"no bound": {0, false, 4}, "two": {2, false, 2}, "none": {0, true, 0}} {
 		address := startTarget(t, alwaysAnswer(plainAnswer))
 		var c Client
-		var together []*Answer
+		var answers []*Answer
 		for range 4 {
 			r := newRequest(address)
-			r.MaxKept, r.KeepNone = tc.most, tc.none
+			r.MaxKept, r.KeepNone = tc.maxKept, tc.keepNone
 			a, err := c.Send(context.Background(), r)
 			assert.NilError(t, err)
-			together = append(together, a)
+			answers = append(answers, a)
 		}
-		for _, a := range together {
+		for _, a := range answers {
 			assert.Equal(t, readAll(t, a), "hello")
 			a.Close()
 		}
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -63,16 +63,16 @@
 func TestPeerEvidenceConvictsAndStopsRunningRequests(t *testing.T) {
 	here, there := NewTable("p"), NewTable("q")
 	f := FingerprintOf("quote", "poison")
-	told := 0
-	stop := there.Watch(f, func() { told++ })
+	notified := 0
+	stop := there.Watch(f, func() { notified++ })
 	there.MergeEvidence(here.Crashed(f, "a:1", start), start)
-	assert.Equal(t, told, 1)
+	assert.Equal(t, notified, 1)
 	assert.Assert(t, !there.MayGoOn(f, Unrestricted, start))
 	assert.Assert(t, there.DiedRecently("a:1", start))
 	assert.Assert(t, !there.DiedRecently("a:1", start.Add(deadTargetTimeout)))
 	stop()
 	there.MergeEvidence(here.Crashed(f, "b:1", start), start)
-	assert.Equal(t, told, 1)
+	assert.Equal(t, notified, 1)
 	assert.Equal(t, there.Check(f, start), Convicted)
 	assert.Assert(t, !here.MayGoOn(f, Isolated, start))
 }
