--- a/internal/command/change/change.go
+++ b/internal/command/change/change.go
@@ -140,7 +140,7 @@
 // read brings the state to the head that the commit will be conditioned on.
 // What was validated against this state still holds when the commit succeeds.
 func (s *submission) read(ctx context.Context) (item *backing.Row, err error) {
-	s.state, _, err = changes.Follow(ctx, s.table, s.state)
+	s.state, _, err = changes.CatchUp(ctx, s.table, s.state)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/command/change/change_test.go
+++ b/internal/command/change/change_test.go
@@ -43,7 +43,7 @@
 	lost := submitter(store).Submit(ctx, contract("c3", "granite", 3, 1))
 	assert.Equal(t, lost.Result, Conflict)
 	assert.Equal(t, lost.Last, config.LastChange{Revision: 2, ChangeID: "c2", By: "night"})
-	state, _, err := changes.Follow(ctx, store, config.NewState())
+	state, _, err := changes.CatchUp(ctx, store, config.NewState())
 	assert.NilError(t, err)
 	assert.Equal(t, state.Revision, config.Revision(2))
 	assert.Equal(t, state.Contracts["granite"].Share, 2)
@@ -117,7 +117,7 @@
 	}
 	all.Wait()
 	store.SetFaults(nil)
-	state, applied, err := changes.Follow(ctx, store, config.NewState())
+	state, applied, err := changes.CatchUp(ctx, store, config.NewState())
 	assert.NilError(t, err)
 	assert.Equal(t, len(applied), writers)
 	assert.Equal(t, state.Revision, config.Revision(writers))
--- a/internal/command/change/model_test.go
+++ b/internal/command/change/model_test.go
@@ -123,7 +123,7 @@
 	id := fmt.Sprint(m.next)
 	m.next++
 	name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "item")
-	state, _, err := changes.Follow(context.Background(), m.store, config.NewState())
+	state, _, err := changes.CatchUp(context.Background(), m.store, config.NewState())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +157,7 @@
 // Check is the promise: revisions without gap or double, no item changed by one
 // who expected another revision, and each answer true for good.
 func (m *machine) Check(t *rapid.T) {
-	state, applied, err := changes.Follow(context.Background(), m.store, config.NewState())
+	state, applied, err := changes.CatchUp(context.Background(), m.store, config.NewState())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/command/cost/cost.go
+++ b/internal/command/cost/cost.go
@@ -48,7 +48,7 @@
 		table: table,
 		me:    me,
 		now:   time.Now,
-		log:   logging.Part(log, "cost"),
+		log:   logging.WithComponent(log, "cost"),
 		open:  map[costs.Key]*costs.Amount{},
 	}
 }
--- a/internal/command/cost/cost_test.go
+++ b/internal/command/cost/cost_test.go
@@ -32,7 +32,7 @@
 	r := recorder(store, "i1")
 	call := costs.Amount{
 		Requests: 1, EngineUS: 100, PromptTokens: 7,
-		WastedUS: map[costs.Waste]int64{"hedge_lost": 30},
+		WastedUS: map[costs.WasteReason]int64{"hedge_lost": 30},
 	}
 	for _, fault := range []memory.Fault{memory.LostAnswer, memory.NotRun, memory.LostCall, memory.LostAnswer} {
 		store.SetFaults(func(memory.Call) memory.Fault { return fault })
@@ -48,7 +48,7 @@
 	report, err := costs.Sum(t.Context(), store, noon.Add(-year), noon.Add(year))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, report.Entries, []costs.Entry{{Key: generate, Amount: costs.Amount{
-		Requests: 5, EngineUS: 500, PromptTokens: 35, WastedUS: map[costs.Waste]int64{"hedge_lost": 150},
+		Requests: 5, EngineUS: 500, PromptTokens: 35, WastedUS: map[costs.WasteReason]int64{"hedge_lost": 150},
 	}}})
 	report, err = costs.Sum(t.Context(), store, noon.Add(time.Second), noon.Add(year))
 	assert.NilError(t, err)
--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -87,7 +87,7 @@
 			return nil
 		}
 		recent := maxAge == 0 || now.Sub(c.lastUsed) < maxAge
-		if recent && !c.expired(now) && c.R.Buffered() == 0 && socket.Peek(c.Conn) == socket.Quiet {
+		if recent && !c.expired(now) && c.R.Buffered() == 0 && socket.Peek(c.Conn) == socket.Idle {
 			return c
 		}
 		_ = c.Close() // unused, so the error does not matter
@@ -160,7 +160,7 @@
 
 // Dial opens a connection.
 func Dial(ctx context.Context, address string) (*Conn, error) {
-	d := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: socket.BoundSilence(unackedTimeout)}
+	d := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive, Control: socket.UserTimeout(unackedTimeout)}
 	c, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -73,7 +73,7 @@
 }
 
 func (e *entry) state(r *http.Request) *config.State {
-	state, _, err := changes.Follow(r.Context(), e.store, config.NewState())
+	state, _, err := changes.CatchUp(r.Context(), e.store, config.NewState())
 	if err != nil {
 		panic(err)
 	}
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -25,7 +25,7 @@
 	if cmd.Args().Len() == 0 {
 		return usagef("explain takes a request and logs: %q, see --help", cmd.ArgsUsage)
 	}
-	story := &explain.Story{Request: cmd.Args().First()}
+	story := &explain.RequestLog{Request: cmd.Args().First()}
 	logs := cmd.Args().Tail()
 	if len(logs) == 0 {
 		logs = []string{"-"}
@@ -42,7 +42,7 @@
 	return story.Write(d.out)
 }
 
-func readLog(story *explain.Story, path string) error {
+func readLog(story *explain.RequestLog, path string) error {
 	if path == "-" {
 		return story.Read("stdin", os.Stdin)
 	}
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -183,7 +183,7 @@
 
 func seconds(us int64) float64 { return (time.Duration(us) * time.Microsecond).Seconds() }
 
-func total(by map[costs.Waste]int64) int64 {
+func total(by map[costs.WasteReason]int64) int64 {
 	var sum int64
 	for _, n := range by {
 		sum += n
--- a/internal/ctl/stops.go
+++ b/internal/ctl/stops.go
@@ -65,11 +65,11 @@
 	fmt.Fprintln(w, "STOP\tON\tADDRESS\tBY\tSINCE\tHEEDED\tIN FLIGHT\tSAFE\tREASON")
 	for _, s := range stops {
 		safe := "not yet"
-		if s.Safe() {
+		if s.SafeToStop() {
 			safe = "yes"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d of %d\t%d\t%s\t%s\n",
-			s.ID, s.Subject, s.Address, s.By, s.At.Format(time.RFC3339), s.Heeded, s.Reports, s.InFlight, safe, s.Reason)
+			s.ID, s.Subject, s.Address, s.By, s.At.Format(time.RFC3339), s.Applied, s.Reports, s.InFlight, safe, s.Reason)
 	}
 }
 
@@ -88,7 +88,7 @@
 			return false, eris.Errorf("there is no planned stop %q", id)
 		}
 		last = now.Stops[at : at+1]
-		return last[0].Safe(), nil
+		return last[0].SafeToStop(), nil
 	})
 	if last != nil {
 		err = joinErr(err, d.print(cmd, last, func(w io.Writer) { writeStops(w, last) }))
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -30,10 +30,10 @@
 	table.Update(append(listed(backing.VMLive, "a:1", "b:1"), listed(backing.VMLeaving, "c:1")...), now)
 	table.SetStops(map[string]bool{"b:1": true})
 	for range 20 {
-		lease := table.Pool("llm").Acquire(Want{}, now)
+		lease := table.Pool("llm").Acquire(AcquireRequest{}, now)
 		assert.Equal(t, lease.Address, "a:1")
 	}
-	assert.Assert(t, table.Pool("llm").Acquire(Want{Not: []string{"a:1"}}, now) == nil)
+	assert.Assert(t, table.Pool("llm").Acquire(AcquireRequest{Exclude: []string{"a:1"}}, now) == nil)
 }
 
 func TestStopOutlivesUpdateOfVMList(t *testing.T) {
@@ -41,7 +41,7 @@
 	now := time.Unix(100, 0)
 	table.SetStops(map[string]bool{"a:1": true})
 	table.Update(listed(backing.VMLive, "a:1"), now)
-	assert.Assert(t, table.Pool("llm").Acquire(Want{}, now) == nil)
+	assert.Assert(t, table.Pool("llm").Acquire(AcquireRequest{}, now) == nil)
 }
 
 func TestUnlistedTargetStaysForAWhile(t *testing.T) {
@@ -50,9 +50,9 @@
 	table.Update(listed(backing.VMLive, "a:1"), now)
 	table.Update(nil, now)
 	table.Update(nil, now.Add(unlistedGrace))
-	assert.Assert(t, table.Pool("llm").Acquire(Want{}, now) != nil)
+	assert.Assert(t, table.Pool("llm").Acquire(AcquireRequest{}, now) != nil)
 	table.Update(nil, now.Add(unlistedGrace+time.Second))
-	assert.Assert(t, table.Pool("llm").Acquire(Want{}, now) == nil)
+	assert.Assert(t, table.Pool("llm").Acquire(AcquireRequest{}, now) == nil)
 }
 
 // The list stays the same for minutes, then loses a row by mistake. The target
@@ -88,20 +88,20 @@
 	now := time.Unix(100, 0)
 	table.Update(listed(backing.VMLive, "a:1", "b:1"), now)
 	pool := table.Pool("llm")
-	first := pool.Acquire(Want{Not: []string{"b:1"}}, now)
+	first := pool.Acquire(AcquireRequest{Exclude: []string{"b:1"}}, now)
 	first.Done(Refused, 0, now)
 	for range 10 {
-		assert.Equal(t, pool.Acquire(Want{}, now).Address, "b:1")
+		assert.Equal(t, pool.Acquire(AcquireRequest{}, now).Address, "b:1")
 	}
 	pool.markUp("a:1", now)
-	assert.Assert(t, pool.Acquire(Want{Not: []string{"b:1"}}, now) != nil)
+	assert.Assert(t, pool.Acquire(AcquireRequest{Exclude: []string{"b:1"}}, now) != nil)
 }
 
 func TestQuarantineRunsOneSuspectAlone(t *testing.T) {
 	table := newTable()
 	now := time.Unix(100, 0)
 	table.Update(listed(backing.VMLive, "a:1", "b:1"), now)
-	want := Want{Quarantine: func(address string) bool { return address == "b:1" }}
+	want := AcquireRequest{QuarantineFilter: func(address string) bool { return address == "b:1" }}
 	first := table.Pool("llm").Acquire(want, now)
 	assert.Equal(t, first.Address, "b:1")
 	assert.Assert(t, table.Pool("llm").Acquire(want, now) == nil)
--- a/internal/directory/lease.go
+++ b/internal/directory/lease.go
@@ -7,24 +7,24 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// Want says what a call needs of a target.
-type Want struct {
-	// Not lists addresses that already failed the request.
-	Not []string
+// AcquireRequest says what a call needs of a target.
+type AcquireRequest struct {
+	// Exclude lists addresses that already failed the request.
+	Exclude []string
 	// Units is the size of the call in the pool's own measure (tokens for a
 	// generation, 1 for others); zero counts as 1.
 	Units int
 	// PrefillSaved gives the prefill time that a target's cache would save; nil
 	// where the call has no prefix.
 	PrefillSaved func(address string) time.Duration
-	// Pack is how far calls are put together on few targets: 0 spreads them, 1
+	// PackingDegree is how far calls are put together on few targets: 0 spreads them, 1
 	// fills one target after the other, as long as the call is expected to take
 	// no longer than Within.
-	Pack   float64
-	Within time.Duration
-	// Quarantine, where not nil, says on which targets a suspect may run; it
+	PackingDegree float64
+	MaxCallTime   time.Duration
+	// QuarantineFilter, where not nil, says on which targets a suspect may run; it
 	// runs there without any other suspect of this process.
-	Quarantine func(address string) bool
+	QuarantineFilter func(address string) bool
 }
 
 // Lease is a target that was picked for one call, counted in flight until Done.
@@ -54,7 +54,7 @@
 
 // Acquire picks a target and counts the call in flight there; nil if none can
 // take it now.
-func (p *Pool) Acquire(want Want, now time.Time) *Lease {
+func (p *Pool) Acquire(want AcquireRequest, now time.Time) *Lease {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	able := p.able(want, now)
@@ -68,16 +68,16 @@
 	chosen := able[p.pick(candidates, want)]
 	chosen.inFlight++
 	l := &Lease{Address: chosen.vm.Address, pool: p, entry: chosen, units: max(want.Units, 1), since: now}
-	if want.Quarantine != nil {
+	if want.QuarantineFilter != nil {
 		l.quarantine = true
 		chosen.quarantine++
 	}
 	return l
 }
 
-func (p *Pool) pick(candidates []routing.Candidate, want Want) int {
-	if want.Pack > 0 {
-		packing := routing.Packing{Degree: want.Pack, Concurrency: max(p.full, leastFull), MaxCallTime: want.Within}
+func (p *Pool) pick(candidates []routing.Candidate, want AcquireRequest) int {
+	if want.PackingDegree > 0 {
+		packing := routing.Packing{Degree: want.PackingDegree, Concurrency: max(p.full, leastFull), MaxCallTime: want.MaxCallTime}
 		if chosen := packing.Pick(candidates); chosen >= 0 {
 			return chosen
 		}
@@ -91,13 +91,13 @@
 
 // able lists the targets that may take a call. Targets that are ejected are
 // used only if nothing else is left; those known to be down never are.
-func (p *Pool) able(want Want, now time.Time) []*entry {
+func (p *Pool) able(want AcquireRequest, now time.Time) []*entry {
 	var able, ejected []*entry
 	for _, e := range p.usable {
-		if e.down || contains(want.Not, e.vm.Address) {
+		if e.down || contains(want.Exclude, e.vm.Address) {
 			continue
 		}
-		if want.Quarantine != nil && (e.quarantine > 0 || !want.Quarantine(e.vm.Address)) {
+		if want.QuarantineFilter != nil && (e.quarantine > 0 || !want.QuarantineFilter(e.vm.Address)) {
 			continue
 		}
 		if p.weight(e, now) > 0 {
@@ -119,7 +119,7 @@
 	return p.opts.Ejection.Weight(e.health, now)
 }
 
-func (p *Pool) candidate(e *entry, want Want, now time.Time) routing.Candidate {
+func (p *Pool) candidate(e *entry, want AcquireRequest, now time.Time) routing.Candidate {
 	c := routing.Candidate{
 		InFlight: e.inFlight,
 		CallTime: e.health.CallTime * time.Duration(max(want.Units, 1)),
@@ -213,8 +213,8 @@
 	return routing.Median(times), out
 }
 
-// Report takes in a target's own load report.
-func (l *Lease) Report(report *targetapi.LoadReport, now time.Time) {
+// RecordLoadReport takes in a target's own load report.
+func (l *Lease) RecordLoadReport(report *targetapi.LoadReport, now time.Time) {
 	if report == nil {
 		return
 	}
--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -139,7 +139,7 @@
 
 // putInForce doesn't wait for the next read of the table.
 func (s *Server) putInForce(req change.Request, revision config.Revision) {
-	s.keeper.Accepted(config.Change{
+	s.keeper.ApplyAndPublish(config.Change{
 		ID: req.ID, Revision: revision, Kind: req.Kind, Name: req.Name, Deleted: req.Deleted,
 		Body: req.Body, By: req.By, At: time.Now().UTC(),
 	})
@@ -165,16 +165,16 @@
 
 // InForce answers GET /v1/admin/in_force.
 type InForce struct {
-	VMs []inforce.Standing `json:"vms"`
+	VMs []inforce.ProcessRevision `json:"vms"`
 }
 
 // standings asks every peer which revision it has in force. It is asked when
 // an operator wants to know and not told all the time: spread by each of many
 // VMs after each of many changes it would be most of the traffic.
-func (s *Server) standings() []inforce.Standing {
-	list := []inforce.Standing{s.keeper.Standing()}
+func (s *Server) standings() []inforce.ProcessRevision {
+	list := []inforce.ProcessRevision{s.keeper.OwnRevision()}
 	var mu sync.Mutex // guards list
-	askAll(s, inforce.MethodRevision, func(st inforce.Standing) {
+	askAll(s, inforce.MethodRevision, func(st inforce.ProcessRevision) {
 		mu.Lock()
 		defer mu.Unlock()
 		list = append(list, st)
@@ -187,16 +187,16 @@
 // silent lists the entry VMs that should be serving and didn't answer, without
 // an incarnation. One that stands still or is cut off would otherwise be
 // missing, and an operator would take a revision to be in force everywhere.
-func (s *Server) silent(answered []inforce.Standing) []inforce.Standing {
+func (s *Server) silent(answered []inforce.ProcessRevision) []inforce.ProcessRevision {
 	known := map[string]bool{}
 	for _, st := range answered {
 		known[st.CallerAddress] = true
 	}
-	var list []inforce.Standing
+	var list []inforce.ProcessRevision
 	note := func(address, zone string) {
 		if address != "" && !known[address] {
 			known[address] = true
-			list = append(list, inforce.Standing{CallerAddress: address, Zone: zone})
+			list = append(list, inforce.ProcessRevision{CallerAddress: address, Zone: zone})
 		}
 	}
 	for _, m := range s.opts.Network.Members() {
--- a/internal/entry/command.go
+++ b/internal/entry/command.go
@@ -86,7 +86,7 @@
 	}
 	defer bounded.Close()
 	log := bounded.Logger
-	go settings.LogReloads(ctx, logging.Part(log, "settings"), reload)
+	go settings.LogReloads(ctx, logging.WithComponent(log, "settings"), reload)
 	opts.Log = log
 	opts.Zone, opts.Region = shared.Zone, shared.Region
 	opts.Table, opts.Objects, opts.VMs = shared.Table, shared.Objects, shared.VMs
--- a/internal/entry/observer.go
+++ b/internal/entry/observer.go
@@ -26,7 +26,7 @@
 
 func newObserver(s *Server) *observer {
 	return &observer{
-		server: s, log: logging.Part(s.opts.Log, "stage"),
+		server: s, log: logging.WithComponent(s.opts.Log, "stage"),
 		costs: cost.New(s.opts.Table, s.opts.Network.Self().Incarnation, s.opts.Log),
 	}
 }
@@ -76,9 +76,9 @@
 		amount.EngineUS = o.rates.Estimate(c.Pool, sampleOf(c)).Microseconds()
 		amount.EstimatedUS = amount.EngineUS
 	}
-	reason := costs.Waste(c.Waste)
-	amount.WastedUS = map[costs.Waste]int64{reason: amount.EngineUS}
-	amount.WastedCalls = map[costs.Waste]int64{reason: 1}
+	reason := costs.WasteReason(c.Waste)
+	amount.WastedUS = map[costs.WasteReason]int64{reason: amount.EngineUS}
+	amount.WastedCalls = map[costs.WasteReason]int64{reason: 1}
 	return amount
 }
 
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -76,7 +76,7 @@
 }
 
 // ready says that the configuration and the targets are known.
-func (s *Server) ready() bool { return s.keeper.Known() && s.vms.known() }
+func (s *Server) ready() bool { return s.keeper.Fresh() && s.vms.known() }
 
 const (
 	// readyWait is how long a request waits for a VM that starts, or that stood
@@ -88,7 +88,7 @@
 
 func (s *Server) awaitReady() bool {
 	until := time.Now().Add(readyWait)
-	if !s.keeper.Await(readyWait) {
+	if !s.keeper.AwaitFresh(readyWait) {
 		return false
 	}
 	for !s.vms.known() {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -85,12 +85,12 @@
 	opts.Table = watchedTable{Table: opts.Table, health: health}
 	opts.Objects = watchedObjects{ObjectStore: opts.Objects, health: health}
 	opts.VMs = watchedVMs{VMList: opts.VMs, health: health}
-	s := &Server{opts: opts, log: logging.Part(opts.Log, "entry"), health: health}
+	s := &Server{opts: opts, log: logging.WithComponent(opts.Log, "entry"), health: health}
 	s.loops, s.stopLoops = context.WithCancel(context.Background())
 	s.keeper = inforce.New(inforce.Options{
 		Table: opts.Table, Objects: opts.Objects, Network: opts.Network,
-		Log: logging.Part(opts.Log, "config"), Period: opts.ConfigPeriod, SnapshotPeriod: snapshotPeriods * opts.ConfigPeriod,
-		AskToo: func(ctx context.Context, of peer.Incarnation) { s.stops.learn(ctx, of) },
+		Log: logging.WithComponent(opts.Log, "config"), Period: opts.ConfigPeriod, SnapshotPeriod: snapshotPeriods * opts.ConfigPeriod,
+		OnPeerAnswer: func(ctx context.Context, of peer.Incarnation) { s.stops.learn(ctx, of) },
 	})
 	s.targets = directory.New(directory.Options{
 		Node: string(opts.Network.Self().Incarnation), Zone: opts.Zone, Policy: policy,
--- a/internal/entry/server_test.go
+++ b/internal/entry/server_test.go
@@ -20,7 +20,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	s := &Server{
-		log: zap.NewNop(), listener: listentest.NewTroubled(listener, 3),
+		log: zap.NewNop(), listener: listentest.NewFailingListener(listener, 3),
 	}
 	s.prepare(func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("served") })
 	ended := make(chan error, 1)
@@ -43,12 +43,12 @@
 	s.prepare(func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("served") })
 	ended := make(chan error, 1)
 	go func() { ended <- s.serve() }()
-	kept := listentest.Again(t, listener.Addr().String(), callers)
+	kept := listentest.DialReused(t, listener.Addr().String(), callers)
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	assert.NilError(t, s.closePort(ctx))
 	for _, caller := range kept {
-		caller.Answered(t)
+		caller.ReadResponse(t)
 	}
 	assert.NilError(t, <-ended)
 }
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -349,10 +349,10 @@
 	if pool == nil {
 		return nil
 	}
-	if lease := pool.Acquire(directory.Want{Not: sc.failed}, time.Now()); lease != nil {
+	if lease := pool.Acquire(directory.AcquireRequest{Exclude: sc.failed}, time.Now()); lease != nil {
 		return lease
 	}
-	return pool.Acquire(directory.Want{}, time.Now())
+	return pool.Acquire(directory.AcquireRequest{}, time.Now())
 }
 
 func (s *Server) settle(ctx context.Context, sc *serviceCall, lease *directory.Lease, since time.Time, answer *target.Answer, err error) (*target.Answer, *target.Failure) {
@@ -366,7 +366,7 @@
 	}
 	if err == nil {
 		sc.sent = true
-		lease.Report(answer.Load, now)
+		lease.RecordLoadReport(answer.Load, now)
 		lease.Done(directory.Succeeded, now.Sub(since), now)
 		charge.EngineTime = answer.EngineTime
 		s.observer.Charged(charge)
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -22,8 +22,8 @@
 	Fields  map[string]any `json:"fields"`
 }
 
-// Story is what the logs say of a request, in order.
-type Story struct {
+// RequestLog is what the logs say of a request, in order.
+type RequestLog struct {
 	Request string `json:"request"`
 	Lines   []Line `json:"lines"`
 	// LeftOut counts the lines that the logs say they left out: the story may
@@ -39,7 +39,7 @@
 
 // Read adds what a log says of the request. Lines that aren't JSON are passed
 // over: other programs may write to the same log.
-func (s *Story) Read(source string, log io.Reader) error {
+func (s *RequestLog) Read(source string, log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
 	for scanner.Scan() {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-func (s *Story) add(source string, raw []byte) {
+func (s *RequestLog) add(source string, raw []byte) {
 	start := strings.IndexByte(string(raw), '{')
 	if start < 0 {
 		return
@@ -86,12 +86,12 @@
 
 // Sort puts the lines into the order of their times. VMs' clocks differ a
 // little; lines of one log keep their order.
-func (s *Story) Sort() {
+func (s *RequestLog) Sort() {
 	slices.SortStableFunc(s.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
 }
 
 // Write writes the story as text.
-func (s *Story) Write(w io.Writer) error {
+func (s *RequestLog) Write(w io.Writer) error {
 	if len(s.Lines) == 0 {
 		_, err := fmt.Fprintf(w, "No line about %s. It was answered by a target, in time, or never arrived here.\n", s.Request)
 		return err
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -18,7 +18,7 @@
 `
 
 func TestTheLinesOfSeveralLogsComeInOrder(t *testing.T) {
-	s := &Story{Request: "r1"}
+	s := &RequestLog{Request: "r1"}
 	assert.NilError(t, s.Read("vm-a", strings.NewReader(logOfA)))
 	assert.NilError(t, s.Read("vm-b", strings.NewReader(logOfB)))
 	s.Sort()
@@ -32,7 +32,7 @@
 }
 
 func TestARequestThatNobodyLoggedIsSaidToBe(t *testing.T) {
-	s := &Story{Request: "nobody"}
+	s := &RequestLog{Request: "nobody"}
 	assert.NilError(t, s.Read("vm-a", strings.NewReader(logOfA)))
 	var out strings.Builder
 	assert.NilError(t, s.Write(&out))
--- a/internal/inforce/inforce.go
+++ b/internal/inforce/inforce.go
@@ -27,12 +27,12 @@
 	// MethodState answers with the whole State; its parameter is a revision
 	// from which the asker wants something newer.
 	MethodState = "config.state"
-	// MethodRevision answers with Standing.
+	// MethodRevision answers with a ProcessRevision.
 	MethodRevision = "config.revision"
 )
 
-// Standing says which revision a process has in force.
-type Standing struct {
+// ProcessRevision says which revision a process has in force.
+type ProcessRevision struct {
 	Incarnation   peer.Incarnation `json:"incarnation"`
 	CallerAddress string           `json:"caller_address,omitempty"`
 	Zone          string           `json:"zone"`
@@ -51,9 +51,9 @@
 	// SnapshotPeriod is how often the process in charge looks whether the
 	// snapshot is behind.
 	SnapshotPeriod time.Duration
-	// AskToo, where not nil, is called with a peer that has answered, before its
+	// OnPeerAnswer, where not nil, is called with a peer that has answered, before its
 	// answer counts: what else a process must know before it serves.
-	AskToo func(ctx context.Context, of peer.Incarnation)
+	OnPeerAnswer func(ctx context.Context, of peer.Incarnation)
 }
 
 const (
@@ -98,12 +98,12 @@
 // State is what is in force now. It must not be changed.
 func (k *Keeper) State() *config.State { return k.state.Load() }
 
-// Known says that the configuration has been read from some source, and not
+// Fresh says that the configuration has been read from some source, and not
 // only before this process stood still.
-func (k *Keeper) Known() bool { return k.currency.is(time.Now()) }
+func (k *Keeper) Fresh() bool { return k.currency.is(time.Now()) }
 
-// Await waits until the configuration is known, or says that it isn't in time.
-func (k *Keeper) Await(most time.Duration) bool { return k.currency.await(time.Now(), most) }
+// AwaitFresh waits until the configuration is known, or says that it isn't in time.
+func (k *Keeper) AwaitFresh(most time.Duration) bool { return k.currency.await(time.Now(), most) }
 
 // TableUp says whether the last read of the table service succeeded.
 func (k *Keeper) TableUp() bool { return k.tableUp.Load() }
@@ -111,9 +111,9 @@
 // OnChange has fn called with every newer state. Call before Run.
 func (k *Keeper) OnChange(fn func(*config.State)) { k.onChange = append(k.onChange, fn) }
 
-// Accepted puts a change that this process had accepted in force and tells the
+// ApplyAndPublish puts a change that this process had accepted in force and tells the
 // peers.
-func (k *Keeper) Accepted(c config.Change) {
+func (k *Keeper) ApplyAndPublish(c config.Change) {
 	err := k.opts.Network.Publish(peer.TopicChange, revisionKey(c.Revision), uint64(c.Revision), changeTTL, c)
 	if err != nil {
 		k.opts.Log.Warn("Change not told to peers.", zap.Error(err))
@@ -121,7 +121,7 @@
 	if !k.apply(c) {
 		k.catchUp(c.Revision)
 	}
-	k.Wake()
+	k.TriggerRead()
 }
 
 // catchUp closes a gap before a change with what peers told. The table may go
@@ -144,8 +144,8 @@
 
 func revisionKey(r config.Revision) string { return strconv.FormatUint(uint64(r), 10) }
 
-// Wake has the table read soon.
-func (k *Keeper) Wake() {
+// TriggerRead has the table read soon.
+func (k *Keeper) TriggerRead() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
@@ -198,7 +198,7 @@
 	}
 	k.catchUp(c.Revision)
 	if k.State().Revision < c.Revision {
-		k.Wake()
+		k.TriggerRead()
 	}
 }
 
@@ -243,7 +243,7 @@
 
 func (k *Keeper) pause(ctx context.Context, failures int) bool {
 	base := min(k.opts.Period<<min(failures, 8), longestBackoff)
-	if !k.Known() {
+	if !k.Fresh() {
 		base = min(base, hurry<<min(failures, mostHurried))
 	}
 	timer := time.NewTimer(base/2 + rand.N(base))
@@ -262,7 +262,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	asked := time.Now()
-	state, _, err := changes.Follow(ctx, k.opts.Table, k.State())
+	state, _, err := changes.CatchUp(ctx, k.opts.Table, k.State())
 	k.adopt(state)
 	k.noteTable(err)
 	if err != nil {
@@ -316,8 +316,8 @@
 	if k.opts.Network.Call(ctx, to, MethodState, k.State().Revision, &raw) != nil {
 		return
 	}
-	if k.opts.AskToo != nil {
-		k.opts.AskToo(ctx, to)
+	if k.opts.OnPeerAnswer != nil {
+		k.opts.OnPeerAnswer(ctx, to)
 	}
 	if string(raw) == "null" {
 		k.currency.confirm(asked, time.Now())
@@ -338,7 +338,7 @@
 	if err := json.Unmarshal(params, &after); err != nil {
 		return nil, err
 	}
-	if !k.Known() {
+	if !k.Fresh() {
 		return nil, errNotKnown
 	}
 	state := k.State()
@@ -349,13 +349,13 @@
 }
 
 func (k *Keeper) answerRevision(context.Context, json.RawMessage) (any, error) {
-	return k.Standing(), nil
+	return k.OwnRevision(), nil
 }
 
-// Standing is what this process has in force.
-func (k *Keeper) Standing() Standing {
+// OwnRevision is what this process has in force.
+func (k *Keeper) OwnRevision() ProcessRevision {
 	self := k.opts.Network.Self()
-	return Standing{
+	return ProcessRevision{
 		Incarnation: self.Incarnation, CallerAddress: self.CallerAddress,
 		Zone: self.Zone, Revision: k.State().Revision,
 	}
--- a/internal/jsonbody/jsonbody.go
+++ b/internal/jsonbody/jsonbody.go
@@ -15,14 +15,14 @@
 // put a replacement character in their place.
 var ErrNotUTF8 = errors.New("the body is not valid UTF-8")
 
-// RepeatedKeyError means that an object has a key twice. encoding/json would
+// DuplicateKeyError means that an object has a key twice. encoding/json would
 // take the last value, where another reader takes the first.
-type RepeatedKeyError struct{ Key string }
+type DuplicateKeyError struct{ Key string }
 
 // Error describes the failure.
-func (e *RepeatedKeyError) Error() string { return fmt.Sprintf("the key %q stands twice", e.Key) }
+func (e *DuplicateKeyError) Error() string { return fmt.Sprintf("the key %q stands twice", e.Key) }
 
-// Check gives ErrNotUTF8, a *RepeatedKeyError, or the error of a body that is no
+// Check gives ErrNotUTF8, a *DuplicateKeyError, or the error of a body that is no
 // JSON. Text after the first value is left to the caller.
 func Check(body []byte) error {
 	if !utf8.Valid(body) {
@@ -61,7 +61,7 @@
 			return fmt.Errorf("%v stands in place of a key", token)
 		}
 		if seen[key] {
-			return &RepeatedKeyError{Key: key}
+			return &DuplicateKeyError{Key: key}
 		}
 		seen[key] = true
 		if err := value(d); err != nil {
--- a/internal/jsonbody/jsonbody_test.go
+++ b/internal/jsonbody/jsonbody_test.go
@@ -30,7 +30,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			err := Check([]byte(tc.body))
 			assert.Equal(t, errors.Is(err, ErrNotUTF8), tc.notUTF8)
-			var repeated *RepeatedKeyError
+			var repeated *DuplicateKeyError
 			if errors.As(err, &repeated) {
 				assert.Equal(t, repeated.Key, tc.repeated)
 				return
--- a/internal/listentest/caller.go
+++ b/internal/listentest/caller.go
@@ -31,30 +31,30 @@
 	return all
 }
 
-// Again has n callers whose connections have served a request each and carry the
+// DialReused has n callers whose connections have served a request each and carry the
 // next one.
-func Again(t *testing.T, address string, n int) []*Caller {
+func DialReused(t *testing.T, address string, n int) []*Caller {
 	t.Helper()
 	kept := Dial(t, address, n)
 	for _, caller := range kept {
-		caller.Ask(t)
-		caller.Answered(t)
+		caller.SendRequest(t)
+		caller.ReadResponse(t)
 	}
 	for _, caller := range kept {
-		caller.Ask(t)
+		caller.SendRequest(t)
 	}
 	return kept
 }
 
-// Ask sends one request.
-func (c *Caller) Ask(t *testing.T) {
+// SendRequest sends one request.
+func (c *Caller) SendRequest(t *testing.T) {
 	t.Helper()
 	_, err := io.WriteString(c.conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	assert.NilError(t, err)
 }
 
-// Answered reads a whole answer, and fails the test where there is none.
-func (c *Caller) Answered(t *testing.T) {
+// ReadResponse reads a whole answer, and fails the test where there is none.
+func (c *Caller) ReadResponse(t *testing.T) {
 	t.Helper()
 	answer, err := http.ReadResponse(bufio.NewReader(c.conn), nil)
 	if !assert.Check(t, err == nil, "no answer: %v", err) {
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -102,7 +102,7 @@
 	registry := metrics.NewRegistry()
 	b, err := newBounded("info", registry, out)
 	assert.NilError(t, err)
-	part := Part(b.Logger, "request").With(RequestID("r1"))
+	part := WithComponent(b.Logger, "request").With(RequestID("r1"))
 	for range 500 {
 		part.Info("the same")
 	}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -24,8 +24,8 @@
 	return cfg.Build()
 }
 
-// Part is the logger of one part: its messages carry the prefix "part: ".
-func Part(log *zap.Logger, part string) *zap.Logger {
+// WithComponent is the logger of one part: its messages carry the prefix "part: ".
+func WithComponent(log *zap.Logger, part string) *zap.Logger {
 	return log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
 		return prefixed{Core: core, prefix: part + ": "}
 	}))
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -85,7 +85,7 @@
 	}
 	n := &Node{
 		opts:       opts,
-		log:        logging.Part(opts.Log, "peer"),
+		log:        logging.WithComponent(opts.Log, "peer"),
 		traffic:    newTraffic(opts.Metrics),
 		inbox:      newInbox(),
 		handlers:   map[string]handler{},
--- a/internal/pipeline/acquire.go
+++ b/internal/pipeline/acquire.go
@@ -29,9 +29,9 @@
 		return nil
 	}
 	leave := r.mayRun(ctx)
-	want := directory.Want{Not: r.failed, Units: units, PrefillSaved: saved}
+	want := directory.AcquireRequest{Exclude: r.failed, Units: units, PrefillSaved: saved}
 	if r.pool.Kind == config.TargetEngine {
-		want.Pack, want.Within = r.w.req.Pack, remaining(ctx)/packTimeShare
+		want.PackingDegree, want.MaxCallTime = r.w.req.Pack, remaining(ctx)/packTimeShare
 	}
 	var lease *directory.Lease
 	switch leave {
@@ -60,21 +60,21 @@
 	}
 }
 
-func (r *stageRun) free(pool *directory.Pool, want directory.Want) *directory.Lease {
+func (r *stageRun) free(pool *directory.Pool, want directory.AcquireRequest) *directory.Lease {
 	if lease := pool.Acquire(want, time.Now()); lease != nil {
 		return lease
 	}
 	// Every other target failed this request or is out: try them again.
-	want.Not = nil
+	want.Exclude = nil
 	return pool.Acquire(want, time.Now())
 }
 
-func (r *stageRun) alone(ctx context.Context, pool *directory.Pool, want directory.Want) *directory.Lease {
+func (r *stageRun) alone(ctx context.Context, pool *directory.Pool, want directory.AcquireRequest) *directory.Lease {
 	since := time.Now()
 	for {
-		want.Quarantine = r.x.Suspicion.Quarantine(r.pool.Name)
+		want.QuarantineFilter = r.x.Suspicion.Quarantine(r.pool.Name)
 		if time.Since(since) > shareAfter {
-			want.Quarantine = anyTarget
+			want.QuarantineFilter = anyTarget
 		}
 		if lease := pool.Acquire(want, time.Now()); lease != nil {
 			return lease
--- a/internal/pipeline/attempts.go
+++ b/internal/pipeline/attempts.go
@@ -279,7 +279,7 @@
 	now := time.Now()
 	took := now.Sub(o.attempt.since)
 	if o.answer != nil {
-		o.attempt.lease.Report(o.answer.Load, now)
+		o.attempt.lease.RecordLoadReport(o.answer.Load, now)
 	}
 	if o.err == nil {
 		o.attempt.lease.Done(directory.Succeeded, took, now)
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -38,7 +38,7 @@
 // why.
 func Serve(command func(reload <-chan os.Signal) *cli.Command) {
 	outliveLogReaders()
-	Run(command(reload.Requests()))
+	Run(command(reload.Signals()))
 }
 
 // outliveLogReaders lets a process go on when nobody reads its standard output
--- a/internal/query/changes/changes.go
+++ b/internal/query/changes/changes.go
@@ -54,8 +54,8 @@
 	return config.Revision(row.Version), nil
 }
 
-// After reads up to limit changes above a revision, in order, without gaps.
-func After(ctx context.Context, table backing.Table, after config.Revision, limit int) ([]config.Change, error) {
+// ReadAfter reads up to limit changes above a revision, in order, without gaps.
+func ReadAfter(ctx context.Context, table backing.Table, after config.Revision, limit int) ([]config.Change, error) {
 	rows, err := table.Scan(ctx, PartitionChange, sortOf(after), limit)
 	if err != nil {
 		return nil, err
@@ -82,14 +82,14 @@
 	return change, nil
 }
 
-// Follow brings a state up to the last accepted change and returns the changes
+// CatchUp brings a state up to the last accepted change and returns the changes
 // that it applied, so that the caller can pass them on. After an error both
 // hold what had been read before it.
-func Follow(ctx context.Context, table backing.Table, from *config.State) (*config.State, []config.Change, error) {
+func CatchUp(ctx context.Context, table backing.Table, from *config.State) (*config.State, []config.Change, error) {
 	var all []config.Change
 	state := from
 	for {
-		page, err := After(ctx, table, state.Revision, PageSize)
+		page, err := ReadAfter(ctx, table, state.Revision, PageSize)
 		if err != nil {
 			return state, all, err
 		}
--- a/internal/query/changes/changes_test.go
+++ b/internal/query/changes/changes_test.go
@@ -27,11 +27,11 @@
 	for r := config.Revision(1); r <= last; r++ {
 		put(t, store, r)
 	}
-	state, applied, err := Follow(t.Context(), store, config.NewState())
+	state, applied, err := CatchUp(t.Context(), store, config.NewState())
 	assert.NilError(t, err)
 	assert.Equal(t, state.Revision, config.Revision(last))
 	assert.Equal(t, len(applied), last)
-	_, applied, err = Follow(t.Context(), store, state)
+	_, applied, err = CatchUp(t.Context(), store, state)
 	assert.NilError(t, err)
 	assert.Equal(t, len(applied), 0)
 }
@@ -43,7 +43,7 @@
 	store := memory.New()
 	put(t, store, 1)
 	put(t, store, 3)
-	state, _, err := Follow(t.Context(), store, config.NewState())
+	state, _, err := CatchUp(t.Context(), store, config.NewState())
 	assert.ErrorContains(t, err, "revision 3 where 2 was due")
 	assert.Equal(t, state.Revision, config.Revision(0))
 }
--- a/internal/query/costs/costs.go
+++ b/internal/query/costs/costs.go
@@ -48,8 +48,8 @@
 	Stage    string `json:"stage"`
 }
 
-// Waste says why a call at a target was of no use.
-type Waste string
+// WasteReason says why a call at a target was of no use.
+type WasteReason string
 
 // Amount is what calls at targets cost. The zero value is nothing.
 type Amount struct {
@@ -64,9 +64,9 @@
 	CompletionTokens int64 `json:"completion_tokens"`
 	CachedTokens     int64 `json:"cached_tokens"`
 	// WastedUS is the part of EngineUS that was of no use, by reason.
-	WastedUS map[Waste]int64 `json:"wasted_us,omitempty"`
+	WastedUS map[WasteReason]int64 `json:"wasted_us,omitempty"`
 	// WastedCalls counts the calls that were of no use, by reason.
-	WastedCalls map[Waste]int64 `json:"wasted_calls,omitempty"`
+	WastedCalls map[WasteReason]int64 `json:"wasted_calls,omitempty"`
 }
 
 // Add adds another amount.
@@ -81,9 +81,9 @@
 	addAll(&a.WastedCalls, b.WastedCalls)
 }
 
-func addAll(to *map[Waste]int64, from map[Waste]int64) {
+func addAll(to *map[WasteReason]int64, from map[WasteReason]int64) {
 	if *to == nil && len(from) > 0 {
-		*to = map[Waste]int64{}
+		*to = map[WasteReason]int64{}
 	}
 	for reason, n := range from {
 		(*to)[reason] += n
--- a/internal/query/status/merge.go
+++ b/internal/query/status/merge.go
@@ -86,7 +86,7 @@
 		s.Reports++
 		s.InFlight += r.InFlight
 		if r.Leaving {
-			s.Heeded++
+			s.Applied++
 		}
 	}
 }
@@ -98,12 +98,12 @@
 		s.Reports++
 		at := slices.IndexFunc(r.Targets, func(t TargetReport) bool { return t.Address == s.Address })
 		if at < 0 {
-			s.Heeded++
+			s.Applied++
 			continue
 		}
 		s.InFlight += r.Targets[at].InFlight
 		if r.Targets[at].Leaving {
-			s.Heeded++
+			s.Applied++
 		}
 	}
 }
--- a/internal/query/status/status.go
+++ b/internal/query/status/status.go
@@ -100,18 +100,18 @@
 // Stop is a planned stop and how far it is.
 type Stop struct {
 	config.Stop
-	// Heeded counts the entry VMs that send the target no new work, Reports
+	// Applied counts the entry VMs that send the target no new work, Reports
 	// those that gave a report. For the stop of an entry VM they say whether it
 	// is leaving: 1 of 1.
-	Heeded  int `json:"heeded"`
+	Applied int `json:"heeded"`
 	Reports int `json:"reports"`
 	// InFlight counts the requests that are still running there.
 	InFlight int `json:"in_flight"`
 }
 
-// Safe says that nothing more runs there and nothing will be sent, as far as
+// SafeToStop says that nothing more runs there and nothing will be sent, as far as
 // the reports tell: the VM may be switched off.
-func (s Stop) Safe() bool { return s.InFlight == 0 && s.Heeded == s.Reports && s.Reports > 0 }
+func (s Stop) SafeToStop() bool { return s.InFlight == 0 && s.Applied == s.Reports && s.Reports > 0 }
 
 // Target is a target out of use.
 type Target struct {
--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -24,6 +24,6 @@
 	return c
 }
 
-// Requests gives the process's reload signals. Several that come before one is
+// Signals gives the process's reload signals. Several that come before one is
 // taken are one.
-func Requests() <-chan os.Signal { return requests }
+func Signals() <-chan os.Signal { return requests }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -92,13 +92,13 @@
 		return nil, eris.Wrap(err, "serve")
 	}
 	s := &Server{
-		log: logging.Part(o.Log, "serve"), metrics: o.Metrics, zone: o.Zone, network: network,
+		log: logging.WithComponent(o.Log, "serve"), metrics: o.Metrics, zone: o.Zone, network: network,
 		plans: &plan.Holder{}, client: &upstream.Client{}, budget: o.budget(time.Now()), started: time.Now(),
 	}
 	s.life, s.stop = context.WithCancel(context.Background())
-	s.table = pool.New(logging.Part(o.Log, "targets"))
+	s.table = pool.New(logging.WithComponent(o.Log, "targets"))
 	s.table.OnLeave(func(t *pool.Target) { s.client.Drop(t.Address) })
-	s.follower = follow.New(logging.Part(o.Log, "follow"), o.Source, s.plans, s.table)
+	s.follower = follow.New(logging.WithComponent(o.Log, "follow"), o.Source, s.plans, s.table)
 	s.follower.UsePeers(network)
 	if o.Peers.Seeds != nil {
 		s.follower.SetSeeds(func() []string { return s.seeds(o.Peers.Seeds) })
@@ -113,16 +113,16 @@
 		s.table.DisableConnectBackoff()
 	}
 	s.stages = gather.New(gather.Options{
-		Log: logging.Part(o.Log, "stages"), Network: network, Table: s.table, LeaveOut: o.LeaveOut,
-		Gatherer: gather.NewGatherer(s.life, logging.Part(o.Log, "gather"), s.table, s.plans, o.Stager(s.client)),
+		Log: logging.WithComponent(o.Log, "stages"), Network: network, Table: s.table, LeaveOut: o.LeaveOut,
+		Gatherer: gather.NewGatherer(s.life, logging.WithComponent(o.Log, "gather"), s.table, s.plans, o.Stager(s.client)),
 	})
 	s.executor = &run.Executor{
-		Log: logging.Part(o.Log, "request"), Plans: s.plans, Table: s.table, Client: s.client, Codec: o.Codec,
+		Log: logging.WithComponent(o.Log, "request"), Plans: s.plans, Table: s.table, Client: s.client, Codec: o.Codec,
 		Stages: s.stages, Budget: s.budget, Zone: o.Zone, Metrics: &run.Metrics{Registry: o.Metrics},
 		LeaveOut: o.LeaveOut, TimeToReady: s.starting,
 	}
 	if !o.LeaveOut.Has(leaveout.EngineAccounts) {
-		s.engines = engines.New(logging.Part(o.Log, "engines"), network)
+		s.engines = engines.New(logging.WithComponent(o.Log, "engines"), network)
 		s.executor.Engines = s.engines
 	}
 	if !o.LeaveOut.Has(leaveout.Warmup) {
@@ -130,7 +130,7 @@
 		s.executor.Warmup = s.warmup
 	}
 	if !o.LeaveOut.Has(leaveout.Containment) {
-		s.executor.Suspicion = newSuspicion(s.life, logging.Part(o.Log, "suspicion"), network)
+		s.executor.Suspicion = newSuspicion(s.life, logging.WithComponent(o.Log, "suspicion"), network)
 	}
 	return s, nil
 }
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -31,15 +31,15 @@
 type File struct {
 	Log  *zap.Logger
 	Path string
-	// Held is what the file had when it was last taken over.
-	Held []byte
-	// Take takes over a changed file. Where it can't, what was in force stays.
-	Take func(raw []byte) error
+	// Applied is what the file had when it was last taken over.
+	Applied []byte
+	// Apply takes over a changed file. Where it can't, what was in force stays.
+	Apply func(raw []byte) error
 }
 
-// Follow rereads the file at each signal, and now and then without one, until
+// Watch rereads the file at each signal, and now and then without one, until
 // the context ends.
-func (f *File) Follow(ctx context.Context, reload <-chan os.Signal) {
+func (f *File) Watch(ctx context.Context, reload <-chan os.Signal) {
 	ticker := time.NewTicker(RereadPeriod)
 	defer ticker.Stop()
 	for {
@@ -62,12 +62,12 @@
 		f.Log.Warn("Settings can't be read; the old ones stay.", zap.Error(err))
 		return
 	}
-	if bytes.Equal(raw, f.Held) {
+	if bytes.Equal(raw, f.Applied) {
 		return
 	}
-	if err := f.Take(raw); err != nil {
+	if err := f.Apply(raw); err != nil {
 		f.Log.Warn("Settings can't be used; the old ones stay.", zap.Error(err))
 		return
 	}
-	f.Held = raw
+	f.Applied = raw
 }
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -13,14 +13,14 @@
 
 // The states.
 const (
-	// Quiet means open, with nothing to read.
-	Quiet State = iota
+	// Idle means open, with nothing to read.
+	Idle State = iota
 	// Readable means open, with unread bytes.
 	Readable
 	// Closed means that the other side closed or reset the connection.
 	Closed
-	// Unseen means that this sort of connection can't be looked at.
-	Unseen
+	// Unsupported means that this sort of connection can't be looked at.
+	Unsupported
 )
 
 // Peek looks at a connection without blocking and without taking bytes. A
@@ -33,13 +33,13 @@
 	}
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
-		return Unseen
+		return Unsupported
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
 		return Closed
 	}
-	state := Unseen
+	state := Unsupported
 	err = raw.Control(func(fd uintptr) { state = peek(int(fd)) })
 	if err != nil {
 		return Closed
@@ -52,7 +52,7 @@
 	n, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch {
 	case err == syscall.EAGAIN || err == syscall.EINTR:
-		return Quiet
+		return Idle
 	case err != nil:
 		return Closed
 	case n == 0:
--- a/internal/socket/silence.go
+++ b/internal/socket/silence.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// BoundSilence is a net.Dialer's Control that ends a connection when bytes that were
+// UserTimeout is a net.Dialer's Control that ends a connection when bytes that were
 // sent stay unacknowledged for so long.
-func BoundSilence(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
+func UserTimeout(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failed error
 		err := raw.Control(func(fd uintptr) {
--- a/internal/socket/silence_test.go
+++ b/internal/socket/silence_test.go
@@ -16,7 +16,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = listener.Close() }()
-	dialer := net.Dialer{Control: BoundSilence(1500 * time.Millisecond)}
+	dialer := net.Dialer{Control: UserTimeout(1500 * time.Millisecond)}
 	conn, err := dialer.Dial("tcp", listener.Addr().String())
 	assert.NilError(t, err)
 	defer func() { _ = conn.Close() }()
--- a/internal/standin/program/program.go
+++ b/internal/standin/program/program.go
@@ -136,7 +136,7 @@
 		if err != nil {
 			return eris.Wrap(err, "logger")
 		}
-		if err := host(ctx, file, parts(cmd), logging.Part(log, "standin")); err != nil {
+		if err := host(ctx, file, parts(cmd), logging.WithComponent(log, "standin")); err != nil {
 			return &failure{err}
 		}
 		return nil
--- a/internal/steward/program/program.go
+++ b/internal/steward/program/program.go
@@ -96,7 +96,7 @@
 		return eris.Wrap(err, "logs")
 	}
 	defer log.Close()
-	go settings.LogReloads(ctx, logging.Part(log.Logger, "settings"), reload)
+	go settings.LogReloads(ctx, logging.WithComponent(log.Logger, "settings"), reload)
 	return serve(ctx, cmd, shared, log.Logger)
 }
 
@@ -111,7 +111,7 @@
 		return eris.Wrap(err, "peer")
 	}
 	keeper := inforce.New(inforce.Options{
-		Table: shared.Table, Objects: shared.Objects, Network: node, Log: logging.Part(log, "config"),
+		Table: shared.Table, Objects: shared.Objects, Network: node, Log: logging.WithComponent(log, "config"),
 		Period: cmd.Duration(flagConfigPeriod),
 	})
 	s := steward.New(steward.Options{
@@ -136,7 +136,7 @@
 // before, and one that starts by those of an old snapshot.
 func known(keeper *inforce.Keeper) func() *config.State {
 	return func() *config.State {
-		if !keeper.Known() {
+		if !keeper.Fresh() {
 			return config.NewState()
 		}
 		return keeper.State()
--- a/internal/steward/steward.go
+++ b/internal/steward/steward.go
@@ -59,7 +59,7 @@
 func New(opts Options) *Steward {
 	return &Steward{
 		opts:   opts,
-		log:    logging.Part(opts.Log, "steward"),
+		log:    logging.WithComponent(opts.Log, "steward"),
 		leases: lease.NewManager(opts.Table, opts.OwnIncarnation, lease.SystemClock(), opts.LeaseTerm),
 		client: order.NewClient(),
 		busy:   map[string]bool{},
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -70,7 +70,7 @@
 // inForce reads the configuration each time.
 func inForce(t *testing.T, store *memory.Store) func() *config.State {
 	return func() *config.State {
-		state, _, err := changes.Follow(context.Background(), store, config.NewState())
+		state, _, err := changes.CatchUp(context.Background(), store, config.NewState())
 		assert.Check(t, err == nil)
 		return state
 	}
--- a/test/caller_test.go
+++ b/test/caller_test.go
@@ -328,7 +328,7 @@
 }
 
 // standings asks one entry VM which revision each process has in force.
-func standings(address string) []inforce.Standing {
+func standings(address string) []inforce.ProcessRevision {
 	got := operate(address, http.MethodGet, "in_force", nil, nil)
 	var all entry.InForce
 	if got.err != nil || json.Unmarshal(got.body, &all) != nil {
@@ -347,8 +347,8 @@
 }
 
 // answering lists the processes that one entry VM gets an answer from.
-func answering(address string) []inforce.Standing {
-	var list []inforce.Standing
+func answering(address string) []inforce.ProcessRevision {
+	var list []inforce.ProcessRevision
 	for _, st := range standings(address) {
 		if st.Incarnation != "" {
 			list = append(list, st)
--- a/test/platform_shutdown_test.go
+++ b/test/platform_shutdown_test.go
@@ -227,7 +227,7 @@
 }
 
 // closed tells that there is no connection any more, as its caller knows.
-func (c *caller) closed() bool { return c == nil || socket.Peek(c.Conn) != socket.Quiet }
+func (c *caller) closed() bool { return c == nil || socket.Peek(c.Conn) != socket.Idle }
 
 // text is a request as it is sent.
 func (s *shutdown) text(kind, path string) (id, request string) {
--- a/test/status_test.go
+++ b/test/status_test.go
@@ -32,7 +32,7 @@
 	}, 0)
 	waitFor(t, "the stop to be safe", func() bool {
 		st := c.status(leaving.address)
-		return len(st.Stops) == 1 && st.Stops[0].Safe()
+		return len(st.Stops) == 1 && st.Stops[0].SafeToStop()
 	})
 	for _, e := range c.entries {
 		waitFor(t, e.name+" to tell callers of the others only", func() bool {
