--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -142,7 +142,7 @@
 // applyAccepted puts an accepted change in force without waiting for the next
 // read of the table.
 func (s *Server) applyAccepted(req change.Request, revision config.Revision) {
-	s.keeper.Accepted(config.Change{
+	s.keeper.ApplyAndPublish(config.Change{
 		ID: req.ID, Revision: revision, Kind: req.Kind, Name: req.Name, Deleted: req.Deleted,
 		Body: req.Body, By: req.By, At: time.Now().UTC(),
 	})
@@ -168,16 +168,16 @@
 
 // InForce is the response to GET /v1/admin/in_force.
 type InForce struct {
-	VMs []inforce.Standing `json:"vms"`
+	VMs []inforce.ProcessRevision `json:"vms"`
 }
 
 // collectStandings asks every peer which revision it has in force. Peers are
 // asked on demand: if every VM broadcast its revision after every change, that
 // would be most of the peer traffic.
-func (s *Server) collectStandings() []inforce.Standing {
-	list := []inforce.Standing{s.keeper.Standing()}
+func (s *Server) collectStandings() []inforce.ProcessRevision {
+	list := []inforce.ProcessRevision{s.keeper.OwnRevision()}
 	var mu sync.Mutex // guards list
-	callPeers(s, inforce.MethodRevision, func(st inforce.Standing) {
+	callPeers(s, inforce.MethodRevision, func(st inforce.ProcessRevision) {
 		mu.Lock()
 		defer mu.Unlock()
 		list = append(list, st)
@@ -191,16 +191,16 @@
 // their entries have no incarnation. Without them a frozen or partitioned VM
 // would be missing from the list, and an operator would conclude that a
 // revision is in force everywhere.
-func (s *Server) unresponsive(answered []inforce.Standing) []inforce.Standing {
+func (s *Server) unresponsive(answered []inforce.ProcessRevision) []inforce.ProcessRevision {
 	known := map[string]bool{}
 	for _, st := range answered {
 		known[st.CallerAddress] = true
 	}
-	var list []inforce.Standing
+	var list []inforce.ProcessRevision
 	add := func(address, zone string) {
 		if address != "" && !known[address] {
 			known[address] = true
-			list = append(list, inforce.Standing{CallerAddress: address, Zone: zone})
+			list = append(list, inforce.ProcessRevision{CallerAddress: address, Zone: zone})
 		}
 	}
 	for _, m := range s.opts.Network.Members() {
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -76,7 +76,7 @@
 }
 
 // ready reports whether the configuration and the targets are known.
-func (s *Server) ready() bool { return s.keeper.Known() && s.vms.loaded() }
+func (s *Server) ready() bool { return s.keeper.Fresh() && s.vms.loaded() }
 
 const (
 	// readyTimeout is how long a request waits for a VM that is starting, or
@@ -88,7 +88,7 @@
 
 func (s *Server) awaitReady() bool {
 	until := time.Now().Add(readyTimeout)
-	if !s.keeper.Await(readyTimeout) {
+	if !s.keeper.AwaitFresh(readyTimeout) {
 		return false
 	}
 	for !s.vms.loaded() {
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -357,10 +357,10 @@
 	if pool == nil {
 		return nil
 	}
-	if lease := pool.Acquire(directory.Want{Not: sc.failedTargets}, time.Now()); lease != nil {
+	if lease := pool.Acquire(directory.AcquireRequest{Exclude: sc.failedTargets}, time.Now()); lease != nil {
 		return lease
 	}
-	return pool.Acquire(directory.Want{}, time.Now())
+	return pool.Acquire(directory.AcquireRequest{}, time.Now())
 }
 
 func (s *Server) finishAttempt(ctx context.Context, sc *serviceCall, lease *directory.Lease, since time.Time, answer *target.Answer, err error) (*target.Answer, *target.Failure) {
@@ -374,7 +374,7 @@
 	}
 	if err == nil {
 		sc.mayHaveRun = true
-		lease.Report(answer.Load, now)
+		lease.RecordLoadReport(answer.Load, now)
 		lease.Done(directory.Succeeded, now.Sub(since), now)
 		charge.EngineTime = answer.EngineTime
 		s.observer.Charged(charge)
