--- a/internal/command/change/change.go
+++ b/internal/command/change/change.go
@@ -141,7 +141,7 @@
 // conditioned, and reads the item's row. A validation against this state still
 // holds when the commit succeeds.
 func (s *submission) readCurrent(ctx context.Context) (item *backing.Row, err error) {
-	s.state, _, err = changes.Follow(ctx, s.table, s.state)
+	s.state, _, err = changes.CatchUp(ctx, s.table, s.state)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/command/change/model_test.go
+++ b/internal/command/change/model_test.go
@@ -123,7 +123,7 @@
 	id := fmt.Sprint(m.next)
 	m.next++
 	name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "item")
-	state, _, err := changes.Follow(context.Background(), m.store, config.NewState())
+	state, _, err := changes.CatchUp(context.Background(), m.store, config.NewState())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,7 +158,7 @@
 // is changed by a request that expected another revision, and every reported
 // outcome remains true.
 func (m *machine) Check(t *rapid.T) {
-	state, applied, err := changes.Follow(context.Background(), m.store, config.NewState())
+	state, applied, err := changes.CatchUp(context.Background(), m.store, config.NewState())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/command/cost/cost.go
+++ b/internal/command/cost/cost.go
@@ -48,7 +48,7 @@
 		table:  table,
 		self:   self,
 		now:    time.Now,
-		log:    logging.Part(log, "cost"),
+		log:    logging.WithComponent(log, "cost"),
 		totals: map[costs.Key]*costs.Amount{},
 	}
 }
--- a/internal/entry/observer.go
+++ b/internal/entry/observer.go
@@ -27,7 +27,7 @@
 
 func newObserver(s *Server) *observer {
 	return &observer{
-		server: s, log: logging.Part(s.opts.Log, "stage"),
+		server: s, log: logging.WithComponent(s.opts.Log, "stage"),
 		costs: cost.New(s.opts.Table, s.opts.Network.Self().Incarnation, s.opts.Log),
 	}
 }
@@ -77,9 +77,9 @@
 		amount.EngineUS = o.rates.Estimate(c.Pool, costSample(c)).Microseconds()
 		amount.EstimatedUS = amount.EngineUS
 	}
-	reason := costs.Waste(c.Waste)
-	amount.WastedUS = map[costs.Waste]int64{reason: amount.EngineUS}
-	amount.WastedCalls = map[costs.Waste]int64{reason: 1}
+	reason := costs.WasteReason(c.Waste)
+	amount.WastedUS = map[costs.WasteReason]int64{reason: amount.EngineUS}
+	amount.WastedCalls = map[costs.WasteReason]int64{reason: 1}
 	return amount
 }
 
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -86,12 +86,12 @@
 	opts.Table = monitoredTable{Table: opts.Table, health: health}
 	opts.Objects = monitoredObjects{ObjectStore: opts.Objects, health: health}
 	opts.VMs = monitoredVMs{VMList: opts.VMs, health: health}
-	s := &Server{opts: opts, log: logging.Part(opts.Log, "entry"), health: health}
+	s := &Server{opts: opts, log: logging.WithComponent(opts.Log, "entry"), health: health}
 	s.loopCtx, s.stopLoops = context.WithCancel(context.Background())
 	s.keeper = inforce.New(inforce.Options{
 		Table: opts.Table, Objects: opts.Objects, Network: opts.Network,
-		Log: logging.Part(opts.Log, "config"), Period: opts.ConfigPeriod, SnapshotPeriod: readsPerSnapshot * opts.ConfigPeriod,
-		AskToo: func(ctx context.Context, of peer.Incarnation) { s.stops.fetchFrom(ctx, of) },
+		Log: logging.WithComponent(opts.Log, "config"), Period: opts.ConfigPeriod, SnapshotPeriod: readsPerSnapshot * opts.ConfigPeriod,
+		OnPeerAnswer: func(ctx context.Context, of peer.Incarnation) { s.stops.fetchFrom(ctx, of) },
 	})
 	s.targets = directory.New(directory.Options{
 		Node: string(opts.Network.Self().Incarnation), Zone: opts.Zone, Policy: policy,
--- a/internal/pipeline/acquire.go
+++ b/internal/pipeline/acquire.go
@@ -32,9 +32,9 @@
 		return nil
 	}
 	permission := r.awaitPermission(ctx)
-	want := directory.Want{Not: r.failedTargets, Units: units, PrefillSaved: prefillSaved}
+	want := directory.AcquireRequest{Exclude: r.failedTargets, Units: units, PrefillSaved: prefillSaved}
 	if r.pool.Kind == config.TargetEngine {
-		want.Pack, want.Within = r.state.req.Pack, remaining(ctx)/packTimeDivisor
+		want.PackingDegree, want.MaxCallTime = r.state.req.Pack, remaining(ctx)/packTimeDivisor
 	}
 	var lease *directory.Lease
 	switch permission {
@@ -63,22 +63,22 @@
 	}
 }
 
-func (r *stageRun) acquireUnrestricted(pool *directory.Pool, want directory.Want) *directory.Lease {
+func (r *stageRun) acquireUnrestricted(pool *directory.Pool, want directory.AcquireRequest) *directory.Lease {
 	if lease := pool.Acquire(want, time.Now()); lease != nil {
 		return lease
 	}
 	// Every other target failed this request or is out of use; try the failed
 	// ones again.
-	want.Not = nil
+	want.Exclude = nil
 	return pool.Acquire(want, time.Now())
 }
 
-func (r *stageRun) acquireIsolated(ctx context.Context, pool *directory.Pool, want directory.Want) *directory.Lease {
+func (r *stageRun) acquireIsolated(ctx context.Context, pool *directory.Pool, want directory.AcquireRequest) *directory.Lease {
 	since := time.Now()
 	for {
-		want.Quarantine = r.executor.Suspicion.Quarantine(r.pool.Name)
+		want.QuarantineFilter = r.executor.Suspicion.Quarantine(r.pool.Name)
 		if time.Since(since) > shareTargetsAfter {
-			want.Quarantine = anyTarget
+			want.QuarantineFilter = anyTarget
 		}
 		if lease := pool.Acquire(want, time.Now()); lease != nil {
 			return lease
--- a/internal/steward/program/program.go
+++ b/internal/steward/program/program.go
@@ -98,7 +98,7 @@
 		return eris.Wrap(err, "set up logging")
 	}
 	defer log.Close()
-	go settings.LogReloads(ctx, logging.Part(log.Logger, "settings"), reload)
+	go settings.LogReloads(ctx, logging.WithComponent(log.Logger, "settings"), reload)
 	return serve(ctx, cmd, shared, log.Logger)
 }
 
@@ -113,7 +113,7 @@
 		return eris.Wrap(err, "create peer node")
 	}
 	keeper := inforce.New(inforce.Options{
-		Table: shared.Table, Objects: shared.Objects, Network: node, Log: logging.Part(log, "config"),
+		Table: shared.Table, Objects: shared.Objects, Network: node, Log: logging.WithComponent(log, "config"),
 		Period: cmd.Duration(flagConfigPeriod),
 	})
 	s := steward.New(steward.Options{
@@ -140,7 +140,7 @@
 // send orders for those of an old snapshot.
 func configWhenKnown(keeper *inforce.Keeper) func() *config.State {
 	return func() *config.State {
-		if !keeper.Known() {
+		if !keeper.Fresh() {
 			return config.NewState()
 		}
 		return keeper.State()
