--- a/internal/command/change/change.go
+++ b/internal/command/change/change.go
@@ -33,7 +33,7 @@
 	By      string
 	// ExpectedRevision is the revision of the item's last change that the
 	// operator has seen; zero for an item that does not exist.
-	ExpectedRevision config.Revision
+	ExpectedRevision config.Revision `json:"Expect"`
 }
 
 // Result is the result of a request.
