--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -15,7 +15,7 @@
 // benchCommand runs the bench script on one quick scenario.
 func benchCommand(t *testing.T, out string) *exec.Cmd {
 	t.Helper()
-	bin, err := filepath.Abs(filepath.Dir(program("vgload")))
+	bin, err := filepath.Abs(filepath.Dir(binaryPath("vgload")))
 	assert.NilError(t, err)
 	cmd := exec.Command(filepath.Join("..", "scripts", "bench.sh"))
 	cmd.Env = append(os.Environ(),
@@ -46,11 +46,11 @@
 	cmd := benchCommand(t, out)
 	assert.NilError(t, cmd.Start())
 	pids := filepath.Join(out, "run", "*", "entry-*.pid")
-	until := time.Now().Add(patience)
+	until := time.Now().Add(waitTimeout)
 	var files []string
 	for len(files) < 3 && time.Now().Before(until) {
 		files, _ = filepath.Glob(pids)
-		time.Sleep(pollStep)
+		time.Sleep(pollInterval)
 	}
 	assert.Equal(t, len(files), 3)
 	assert.NilError(t, cmd.Process.Signal(syscall.SIGTERM))
--- a/test/caller_test.go
+++ b/test/caller_test.go
@@ -245,7 +245,7 @@
 func (c *cluster) applyUsual() {
 	c.t.Helper()
 	first := c.entries[0].address
-	for _, p := range c.file.Pools {
+	for _, p := range c.fleetFile.Pools {
 		pool := config.Pool{Name: p.Pool, Kind: p.Kind, ChecksFencing: p.ChecksFencing, Model: p.Model, Version: p.Version}
 		c.put(first, "pools/"+p.Pool, pool, 0)
 	}
@@ -294,7 +294,7 @@
 		Fault fault.Fault `json:"fault"`
 	}{scope, f})
 	assert.NilError(c.t, err)
-	req, err := http.NewRequest(http.MethodPut, "http://"+c.control+"/faults", bytes.NewReader(raw))
+	req, err := http.NewRequest(http.MethodPut, "http://"+c.controlAddress+"/faults", bytes.NewReader(raw))
 	assert.NilError(c.t, err)
 	resp, err := client.Do(req)
 	assert.NilError(c.t, err)
@@ -305,7 +305,7 @@
 // executions are what the targets themselves counted.
 func (c *cluster) executions() []count.Execution {
 	c.t.Helper()
-	resp, err := client.Get("http://" + c.control + "/counts")
+	resp, err := client.Get("http://" + c.controlAddress + "/counts")
 	assert.NilError(c.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	var all struct {
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -38,9 +38,9 @@
 	customer    = "granite-brook"
 	peerKeys    = "0123456789abcdef0123456789abcdef"
 
-	// patience bounds every wait for a condition.
-	patience = 30 * time.Second
-	pollStep = 20 * time.Millisecond
+	// waitTimeout bounds every wait for a condition.
+	waitTimeout  = 30 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
 // process is one program that a test runs.
@@ -78,8 +78,8 @@
 	<-p.done
 }
 
-// exited waits for the program to end by itself and gives its exit code.
-func (p *process) exited(t *testing.T, within time.Duration) int {
+// waitExit waits for the program to end by itself and gives its exit code.
+func (p *process) waitExit(t *testing.T, within time.Duration) int {
 	t.Helper()
 	select {
 	case <-p.done:
@@ -90,7 +90,7 @@
 	}
 }
 
-func program(name string) string {
+func binaryPath(name string) string {
 	if dir := os.Getenv("VANILLAGATE_BIN"); dir != "" {
 		return filepath.Join(dir, name)
 	}
@@ -107,7 +107,7 @@
 func launchCommand(t *testing.T, name string, prepare func(*exec.Cmd), binary string, args ...string) *process {
 	t.Helper()
 	p := &process{name: name, log: &bytes.Buffer{}, done: make(chan struct{})}
-	p.cmd = exec.Command(program(binary), args...)
+	p.cmd = exec.Command(binaryPath(binary), args...)
 	p.cmd.Stdout, p.cmd.Stderr = p, p
 	prepare(p.cmd)
 	assert.NilError(t, p.cmd.Start())
@@ -142,77 +142,77 @@
 
 // cluster is a small deployment: stand-ins, entry VMs and stewards.
 type cluster struct {
-	t       *testing.T
-	file    fleet.File
-	control string
-	standin *process
-	entries []*entryVM
-	// table is the relay that stands before the table service.
-	table *relay.Relay
-	objs  *relay.Relay
-	// cut are further relays that a test's flagsOf has put in.
-	cut []*relay.Relay
-	// allRows is the VM list as it was at first, once a test has changed it.
-	allRows []vmlist.Row
+	t              *testing.T
+	fleetFile      fleet.File
+	controlAddress string
+	standin        *process
+	entries        []*entryVM
+	// tableRelay is the relay that stands before the tableRelay service.
+	tableRelay   *relay.Relay
+	objectsRelay *relay.Relay
+	// extraRelays are further relays that a test's flagsOf has put in.
+	extraRelays []*relay.Relay
+	// initialVMRows is the VM list as it was at first, once a test has changed it.
+	initialVMRows []vmlist.Row
 }
 
-// shape says what a cluster is made of; the zero value is the usual one.
-type shape struct {
+// clusterOptions says what a cluster is made of; the zero value is the usual one.
+type clusterOptions struct {
 	entries int // zero means 3
-	// change alters the fleet file before it is written.
-	change func(*fleet.File)
+	// editFleet alters the fleet file before it is written.
+	editFleet func(*fleet.File)
 	// flags are further flags of every entry process.
 	flags []string
-	// flagsOf gives further flags of one entry process.
-	flagsOf func(c *cluster, i int) []string
-	// bare leaves the configuration empty.
-	bare bool
+	// flagsFor gives further flags of one entry process.
+	flagsFor func(c *cluster, i int) []string
+	// emptyConfig leaves the configuration empty.
+	emptyConfig bool
 }
 
 var zones = []string{"a", "b", "c"}
 
 // startCluster runs a deployment and waits until every entry VM serves with
 // the usual configuration in force.
-func startCluster(t *testing.T, s shape) *cluster {
+func startCluster(t *testing.T, s clusterOptions) *cluster {
 	t.Helper()
 	if s.entries == 0 {
 		s.entries = 3
 	}
-	c := &cluster{t: t, file: usualFleet(s.entries)}
-	if s.change != nil {
-		s.change(&c.file)
+	c := &cluster{t: t, fleetFile: defaultFleet(s.entries)}
+	if s.editFleet != nil {
+		s.editFleet(&c.fleetFile)
 	}
-	c.control = c.file.Control
-	c.startStandin()
-	c.table = c.relayTo(c.file.Table)
-	c.objs = c.relayTo(c.file.Objects)
+	c.controlAddress = c.fleetFile.Control
+	c.startStandins()
+	c.tableRelay = c.startRelay(c.fleetFile.Table)
+	c.objectsRelay = c.startRelay(c.fleetFile.Objects)
 	for i := range s.entries {
 		flags := s.flags
-		if s.flagsOf != nil {
-			flags = append(flags, s.flagsOf(c, i)...)
+		if s.flagsFor != nil {
+			flags = append(flags, s.flagsFor(c, i)...)
 		}
-		c.entries = append(c.entries, c.startEntry(c.file.Entries[i], flags...))
+		c.entries = append(c.entries, c.startEntry(c.fleetFile.Entries[i], flags...))
 	}
 	for _, e := range c.entries {
 		c.waitReady(e)
 	}
-	if !s.bare {
+	if !s.emptyConfig {
 		c.applyUsual()
 	}
 	return c
 }
 
-func (c *cluster) startStandin() {
+func (c *cluster) startStandins() {
 	c.t.Helper()
-	raw, err := json.Marshal(c.file)
+	raw, err := json.Marshal(c.fleetFile)
 	assert.NilError(c.t, err)
 	path := filepath.Join(c.t.TempDir(), "fleet.json")
 	assert.NilError(c.t, os.WriteFile(path, raw, 0o600))
 	c.standin = launch(c.t, "vgstandin", "vgstandin", "fleet", "--file", path)
-	waitFor(c.t, "the stand-ins to answer", func() bool { return httpOK("http://" + c.control + "/summary") })
+	waitFor(c.t, "the stand-ins to answer", func() bool { return httpOK("http://" + c.controlAddress + "/summary") })
 }
 
-func (c *cluster) relayTo(address string) *relay.Relay {
+func (c *cluster) startRelay(address string) *relay.Relay {
 	c.t.Helper()
 	r, err := relay.Listen("127.0.0.1:0", address)
 	assert.NilError(c.t, err)
@@ -224,8 +224,8 @@
 	c.t.Helper()
 	args := append([]string{
 		"--listen", row.Address, "--peer-listen", row.PeerAddress, "--zone", row.Zone, "--region", row.Region,
-		"--table-url", "http://" + c.table.Address(), "--objects-url", "http://" + c.objs.Address(),
-		"--vm-list-url", "http://" + c.file.VMList, "--peer-keys", peerKeys,
+		"--table-url", "http://" + c.tableRelay.Address(), "--objects-url", "http://" + c.objectsRelay.Address(),
+		"--vm-list-url", "http://" + c.fleetFile.VMList, "--peer-keys", peerKeys,
 		"--operator-key-hash", hashOf(operatorKey), "--config-period", "500ms", "--vm-list-period", "200ms",
 		"--keep-entries", "1s",
 	}, flags...)
@@ -266,8 +266,8 @@
 	waitFor(c.t, e.name+" to be ready", func() bool { return httpOK("http://" + e.address + "/readyz") })
 }
 
-// usualFleet is small and quick: a four-stage request takes some 40 ms.
-func usualFleet(entries int) fleet.File {
+// defaultFleet is small and quick: a four-stage request takes some 40 ms.
+func defaultFleet(entries int) fleet.File {
 	ports := freePorts(60)
 	at := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", ports+i) }
 	f := fleet.File{
@@ -340,20 +340,20 @@
 // waitFor polls until a condition holds; the test ends where it never does.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	until := time.Now().Add(patience)
+	until := time.Now().Add(waitTimeout)
 	for time.Now().Before(until) {
 		if holds() {
 			return
 		}
-		time.Sleep(pollStep)
+		time.Sleep(pollInterval)
 	}
-	t.Fatalf("waited %s in vain for %s", patience, what)
+	t.Fatalf("waited %s in vain for %s", waitTimeout, what)
 }
 
 // targets lists the addresses of a pool's targets.
 func (c *cluster) targets(pool string) []string {
 	c.t.Helper()
-	for _, p := range c.file.Pools {
+	for _, p := range c.fleetFile.Pools {
 		if p.Pool != pool {
 			continue
 		}
--- a/test/configuration_test.go
+++ b/test/configuration_test.go
@@ -59,7 +59,7 @@
 // revisionWatch checks all the time that no entry VM goes back behind a
 // revision that it went by before, also when its VM is replaced.
 type revisionWatch struct {
-	wrong complaints
+	wrong failureList
 	done  chan struct{}
 }
 
@@ -78,7 +78,7 @@
 		select {
 		case <-w.done:
 			return
-		case <-time.After(pollStep):
+		case <-time.After(pollInterval):
 		}
 		state := stateAt(address)
 		if state == nil {
@@ -102,7 +102,7 @@
 func (w *revisionWatch) never(t *testing.T) {
 	t.Helper()
 	w.stop()
-	w.wrong.none(t)
+	w.wrong.checkEmpty(t)
 }
 
 // inForceWithin measures how long a revision takes to be in force at the
@@ -128,7 +128,7 @@
 // and at which revision, and nothing of what he wanted may be in force.
 func TestRaceOfTwoShifts(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	c.waitLinked()
 	watch := watchRevisions(c)
 	last := config.Revision(0)
@@ -164,7 +164,7 @@
 	}
 	watch.never(t)
 	t.Logf("12 races, in force everywhere after %d ms at most", longest.Milliseconds())
-	assert.Assert(t, longest < soon)
+	assert.Assert(t, longest < maxPropagationDelay)
 }
 
 // The table service takes every second change in and its answer gets lost.
@@ -173,7 +173,7 @@
 // be there.
 func TestLostAnswerOfAnAcceptance(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	c.waitLinked()
 	watch := watchRevisions(c)
 	base := stateAt(c.entries[0].address).Revision
@@ -228,7 +228,7 @@
 // snapshotRevision is the revision of the snapshot in the object store.
 func (c *cluster) snapshotRevision() config.Revision {
 	store := objects.New(backing.StoreConfig{
-		URL: "http://" + c.file.Objects, Region: "local", AccessKey: "vanillagate", SecretKey: "vanillagate",
+		URL: "http://" + c.fleetFile.Objects, Region: "local", AccessKey: "vanillagate", SecretKey: "vanillagate",
 		HTTP: backing.DefaultHTTPConfig(),
 	})
 	state, err := snapshot.Read(c.t.Context(), store)
@@ -244,7 +244,7 @@
 // still stands. It must not open any door again.
 func TestStoreGoesDownRightAfterAcceptance(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	c.waitLinked()
 	old := c.snapshotHas(stateAt(c.entries[0].address).Revision)
 	c.setFault(fault.ScopeObjects, fault.Fault{Refuse: true}) // keeps the snapshot as it is
@@ -254,7 +254,7 @@
 	c.setFault(fault.ScopeTable, fault.Fault{Down: true})
 	took := inForceWithin(t, began, revision, c.addresses()...)
 	t.Logf("in force everywhere after %d ms, with the table service down", took.Milliseconds())
-	assert.Assert(t, took < soon)
+	assert.Assert(t, took < maxPropagationDelay)
 	c.setFault(fault.ScopeObjects, fault.Fault{})
 	assert.Assert(t, old < revision)
 	for i := range c.entries {
@@ -288,7 +288,7 @@
 // before the others: nobody can tell it what is in force but the snapshot.
 func TestLastSnapshotIsInForceWhereNobodyAnswers(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	revision := stateAt(c.entries[0].address).Revision
 	c.snapshotHas(revision)
 	c.setFault(fault.ScopeTable, fault.Fault{Down: true})
@@ -312,7 +312,7 @@
 	for _, down := range []bool{false, true} {
 		t.Run(fmt.Sprintf("table down %t", down), func(t *testing.T) {
 			t.Parallel()
-			c := startCluster(t, shape{})
+			c := startCluster(t, clusterOptions{})
 			c.waitLinked()
 			frozen := c.entries[2]
 			assert.Equal(t, withKey(frozen.address, customerKey), http.StatusOK)
@@ -358,7 +358,7 @@
 // vgctl runs the operators' desk against the first entry VM.
 func (c *cluster) vgctl(args ...string) (code int, out string) {
 	c.t.Helper()
-	cmd := exec.Command(program("vgctl"), args...)
+	cmd := exec.Command(binaryPath("vgctl"), args...)
 	cmd.Env = append(os.Environ(), "VANILLAGATE_ENTRIES="+c.entries[0].address, "VANILLAGATE_OPERATOR_KEY="+operatorKey, "VANILLAGATE_OPERATOR=night")
 	raw, err := cmd.CombinedOutput()
 	if err != nil && cmd.ProcessState == nil {
--- a/test/cost_test.go
+++ b/test/cost_test.go
@@ -91,7 +91,7 @@
 // costCluster has two customers and quick cost rows.
 func costCluster(t *testing.T, policy string) *cluster {
 	t.Helper()
-	c := startCluster(t, shape{flags: []string{"--cost-period", costPeriod.String(), "--policy", policy}})
+	c := startCluster(t, clusterOptions{flags: []string{"--cost-period", costPeriod.String(), "--policy", policy}})
 	c.waitInForce(c.put(c.entries[0].address, "contracts/"+secondCustomer, config.Contract{
 		Customer: secondCustomer, KeyHashes: []string{hashOf(secondKey)},
 	}, 0))
@@ -133,7 +133,7 @@
 	case 2:
 		stream(context.Background(), address, ref, 10, nil)
 	case 3:
-		sendNow(address, lookUp(ref).as(secondKey))
+		sendNow(address, lookupRequest(ref).as(secondKey))
 	case 4:
 		sendNow(address, confirm(newKey()))
 	}
@@ -189,10 +189,10 @@
 				defer close(half)
 				c.everyone(3, 20, withoutBookings)
 			}()
-			c.table.Set(relay.Faults{LoseAnswer: true})
+			c.tableRelay.Set(relay.Faults{LoseAnswer: true})
 			<-half
 			<-time.After(3 * costPeriod) // rows are written again and again
-			c.table.Set(relay.Faults{})
+			c.tableRelay.Set(relay.Faults{})
 			c.everyone(3, 20, withoutBookings)
 		}},
 		{name: "hedges", estimates: true, run: func(c *cluster) {
@@ -249,7 +249,7 @@
 	t.Parallel()
 	c := costCluster(t, "no-hedge")
 	l := startLoad(c, 3, nil)
-	l.goOn(100, c.addresses()...)
+	l.waitServed(100, c.addresses()...)
 	c.entries[2].kill(t)
 	killed := time.Now()
 	l.stop()
--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -31,7 +31,7 @@
 // crashes counts the deaths of engines so far.
 func (c *cluster) crashes() int {
 	c.t.Helper()
-	resp, err := client.Get("http://" + c.control + "/summary")
+	resp, err := client.Get("http://" + c.controlAddress + "/summary")
 	assert.NilError(c.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	var pools map[string]count.PoolSummary
@@ -55,7 +55,7 @@
 // get a final answer, and all others theirs, a little later.
 func TestCrashingRequestCostsTwoTargets(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	c.waitLinked()
 	c.setFault(fault.PoolScope("llm"), fault.Fault{CrashMarker: crashMarker, RestartMS: 4000})
 	const each = 6
@@ -121,7 +121,7 @@
 // each to try again, the pool would lose four.
 func TestCrashingRequestAtTwoEntryVMsAtOnce(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	c.waitLinked()
 	f := fault.Fault{CrashMarker: crashMarker, RestartMS: 2000}
 	for round := range 4 {
@@ -167,7 +167,7 @@
 // served like any other.
 func TestInnocentRequestUnderACrashIsCleared(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	c.waitLinked()
 	got := make(chan reply)
 	r := pipelineRequest("Q", 600)
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -102,7 +102,7 @@
 // moveTargets has the VM list name other addresses for some targets.
 func (c *cluster) moveTargets(moved map[string]string) {
 	c.t.Helper()
-	resp, err := client.Get("http://" + c.control + "/vms")
+	resp, err := client.Get("http://" + c.controlAddress + "/vms")
 	assert.NilError(c.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	var rows []vmlist.Row
@@ -116,7 +116,7 @@
 	}
 	raw, err := json.Marshal(rows)
 	assert.NilError(c.t, err)
-	req, err := http.NewRequest(http.MethodPut, "http://"+c.control+"/vms", bytes.NewReader(raw))
+	req, err := http.NewRequest(http.MethodPut, "http://"+c.controlAddress+"/vms", bytes.NewReader(raw))
 	assert.NilError(c.t, err)
 	put, err := client.Do(req)
 	assert.NilError(c.t, err)
--- a/test/identity_test.go
+++ b/test/identity_test.go
@@ -103,14 +103,14 @@
 // another's documents.
 func TestCrossedAnswersAreNeverForwarded(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 2})
+	c := startCluster(t, clusterOptions{entries: 2})
 	const requests = 60
 	answered, ids := c.burst("Q", requests)
 	assert.Equal(t, answered, requests)
 	before := c.stageInputs(ids)
 
 	moved, mixers := map[string]string{}, map[string]*crossing{}
-	for _, p := range c.file.Pools {
+	for _, p := range c.fleetFile.Pools {
 		mixer := crossAt(t, p.FirstAddress)
 		moved[p.FirstAddress] = mixer.address()
 		mixers[p.Pool] = mixer
@@ -163,7 +163,7 @@
 // then of all at once. Every answer that a caller gets is its own all the same.
 func TestAnswersWithAnothersIdentityAreDropped(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 2})
+	c := startCluster(t, clusterOptions{entries: 2})
 	wrong := fault.Fault{WrongIdentityShare: 0.3}
 	for _, pool := range stagePools {
 		c.setFault(fault.PoolScope(pool), wrong)
@@ -188,11 +188,11 @@
 // for another.
 func TestLateAnswersOfHedgesAndEarlierAttemptsAreNotUsed(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 2})
+	c := startCluster(t, clusterOptions{entries: 2})
 	answered, ids := c.burst("Q", 40)
 	assert.Equal(t, answered, 40)
 	before := c.stageInputs(ids)
-	for _, p := range c.file.Pools {
+	for _, p := range c.fleetFile.Pools {
 		c.setFault(fault.TargetScope(p.FirstAddress), fault.Fault{StraggleFactor: 40})
 	}
 	waitFor(t, "hedges", func() bool {
@@ -222,9 +222,9 @@
 // quoted by a model that was withdrawn.
 func TestAnswersOfAnotherModelVersionAreNeverForwarded(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 1})
+	c := startCluster(t, clusterOptions{entries: 1})
 	at := c.entries[0].address
-	old := c.file.Pools[0].FirstAddress
+	old := c.fleetFile.Pools[0].FirstAddress
 	c.orderModel(old, targetapi.SetModelRequest{Model: "m1", Version: "0"})
 	asked := false
 	for i := range 40 {
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -17,8 +17,8 @@
 	"github.com/vanillagate/vanillagate/internal/standin/fleet"
 )
 
-// soon is what "a few seconds" means here.
-const soon = 3 * time.Second
+// maxPropagationDelay is what "a few seconds" means here.
+const maxPropagationDelay = 3 * time.Second
 
 func stopOf(id, target string) config.Stop {
 	return config.Stop{ID: id, Subject: config.StopTarget, Address: target, By: "night shift", At: time.Now().UTC()}
@@ -40,7 +40,7 @@
 	c.t.Helper()
 	raw, err := json.Marshal(fleet.StateOrder{Address: address, State: state})
 	assert.NilError(c.t, err)
-	resp, err := client.Post("http://"+c.control+"/vms/state", "application/json", bytes.NewReader(raw))
+	resp, err := client.Post("http://"+c.controlAddress+"/vms/state", "application/json", bytes.NewReader(raw))
 	assert.NilError(c.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	assert.Assert(c.t, resp.StatusCode < 300)
@@ -57,8 +57,8 @@
 		if i == 0 {
 			return nil
 		}
-		r := c.relayTo(c.file.Table)
-		c.cut = append(c.cut, r)
+		r := c.startRelay(c.fleetFile.Table)
+		c.extraRelays = append(c.extraRelays, r)
 		return []string{"--table-url", "http://" + r.Address()}
 	}
 	operator := func(t *testing.T, c *cluster, target string) {
@@ -66,31 +66,31 @@
 	}
 	tests := []struct {
 		name     string
-		shape    shape
+		shape    clusterOptions
 		broken   func(c *cluster)
 		announce func(t *testing.T, c *cluster, target string)
 		within   time.Duration
 	}{
-		{name: "operator", announce: operator, within: soon},
+		{name: "operator", announce: operator, within: maxPropagationDelay},
 		{
-			name: "VM list that lags", within: soon + 1500*time.Millisecond,
-			shape:    shape{change: func(f *fleet.File) { f.VMListLagMS = 1500 }},
+			name: "VM list that lags", within: maxPropagationDelay + 1500*time.Millisecond,
+			shape:    clusterOptions{editFleet: func(f *fleet.File) { f.VMListLagMS = 1500 }},
 			announce: func(_ *testing.T, c *cluster, target string) { c.setVMState(target, "leaving") },
 		},
 		{
-			name: "table service down", within: soon,
+			name: "table service down", within: maxPropagationDelay,
 			broken:   func(c *cluster) { c.setFault(fault.ScopeTable, fault.Fault{Down: true}) },
 			announce: operator,
 		},
 		{
-			name: "table service silent", within: soon,
-			broken:   func(c *cluster) { c.table.Set(relay.Faults{FreezeToCaller: true}) },
+			name: "table service silent", within: maxPropagationDelay,
+			broken:   func(c *cluster) { c.tableRelay.Set(relay.Faults{FreezeToCaller: true}) },
 			announce: operator,
 		},
 		{
-			name: "at one VM, the others cut from the table", within: soon, shape: shape{flagsOf: cutTables},
+			name: "at one VM, the others cut from the table", within: maxPropagationDelay, shape: clusterOptions{flagsFor: cutTables},
 			broken: func(c *cluster) {
-				for _, r := range c.cut {
+				for _, r := range c.extraRelays {
 					r.Set(relay.Faults{Refuse: true})
 					r.Cut()
 				}
@@ -98,7 +98,7 @@
 			announce: operator,
 		},
 		{
-			name: "VM list and table service down", within: soon,
+			name: "VM list and table service down", within: maxPropagationDelay,
 			broken: func(c *cluster) {
 				c.setFault(fault.ScopeVMList, fault.Fault{Down: true})
 				c.setFault(fault.ScopeTable, fault.Fault{Down: true})
@@ -109,8 +109,8 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			change := tc.shape.change
-			tc.shape.change = func(f *fleet.File) {
+			change := tc.shape.editFleet
+			tc.shape.editFleet = func(f *fleet.File) {
 				inOneZone(f)
 				if change != nil {
 					change(f)
@@ -129,7 +129,7 @@
 }
 
 // busiest is the target of a pool that gets work from the most entry VMs.
-func (l *load) busiest(pool string) string {
+func (l *loadGenerator) busiest(pool string) string {
 	best, most := "", 0
 	for _, target := range l.c.targets(pool) {
 		if n := len(l.lastStart(target)); n > most {
@@ -155,7 +155,7 @@
 		}
 	}
 	l := startLoad(c, 3, nil)
-	l.goOn(40, c.addresses()...)
+	l.waitServed(40, c.addresses()...)
 	target := l.busiest(pool)
 	assert.Assert(t, len(l.lastStart(target)) >= 2, "too few entry VMs send work to %s", target)
 	if broken != nil {
@@ -165,8 +165,8 @@
 	announce(t, c, target)
 	answered := time.Since(announced)
 	waitFor(t, "the time to pass", func() bool { return time.Since(announced) > within })
-	l.goOn(50, c.addresses()...)
-	l.flawless(t)
+	l.waitServed(50, c.addresses()...)
+	l.stopAndCheck(t)
 	for from, last := range l.lastStart(target) {
 		took := last.Sub(announced)
 		t.Logf("%s: last new request from %s %d ms after the announcement began (answered after %d ms)", target, from, took.Milliseconds(), answered.Milliseconds())
@@ -179,7 +179,7 @@
 // was decided then must not hide what is announced now.
 func TestStopAnnouncedAgainDuringAnOutage(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{change: inOneZone})
+	c := startCluster(t, clusterOptions{editFleet: inOneZone})
 	c.waitLinked()
 	first := announceStop(t, c.entries[0].address, stopOf("S", c.targets("llm")[0]), 0)
 	ended := operate(c.entries[1].address, http.MethodDelete, "stops/S", nil, map[string]string{"If-Match": strconv.FormatUint(uint64(first.Revision), 10)})
@@ -190,7 +190,7 @@
 	c.checkStop(t, "llm", func(c *cluster) { c.setFault(fault.ScopeTable, fault.Fault{Down: true}) },
 		func(t *testing.T, c *cluster, target string) {
 			assert.Assert(t, announceStop(t, c.entries[0].address, stopOf("S", target), a.Revision).Announced)
-		}, soon)
+		}, maxPropagationDelay)
 }
 
 // During an outage of the table service an operator announces a stop at one
@@ -199,7 +199,7 @@
 // is in force once the table service is back.
 func TestAnnouncedStopOutlivesTheVMThatTookItIn(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{change: inOneZone})
+	c := startCluster(t, clusterOptions{editFleet: inOneZone})
 	c.waitLinked()
 	target := c.targets("llm")[0]
 	c.setFault(fault.ScopeTable, fault.Fault{Down: true})
@@ -209,14 +209,14 @@
 	c.waitReady(next)
 	c.waitLinked()
 	l := startLoad(c, 2, nil)
-	l.goOn(60, c.addresses()...)
+	l.waitServed(60, c.addresses()...)
 	assert.Equal(t, len(l.lastStart(target)), 0)
 	c.setFault(fault.ScopeTable, fault.Fault{})
 	for _, e := range c.entries {
 		waitFor(t, "the stop to be in force at "+e.address, func() bool { return stopInForce(e.address, "S") })
 	}
-	l.goOn(20, c.addresses()...)
-	l.flawless(t)
+	l.waitServed(20, c.addresses()...)
+	l.stopAndCheck(t)
 	assert.Equal(t, len(l.lastStart(target)), 0)
 }
 
@@ -235,7 +235,7 @@
 // was applied, and so nothing must be: the target he named stays in use.
 func TestRefusedStopTakesNothingOutOfUse(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{change: inOneZone})
+	c := startCluster(t, clusterOptions{editFleet: inOneZone})
 	c.waitLinked()
 	targets := c.targets("llm")
 	announceStop(t, c.entries[0].address, stopOf("S", targets[0]), 0)
@@ -257,5 +257,5 @@
 			return len(last) == len(c.entries)
 		})
 	}
-	l.flawless(t)
+	l.stopAndCheck(t)
 }
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -151,14 +151,14 @@
 	{
 		name: "requests a second", limit: 60, contract: config.Contract{RequestsPerSecond: 60, Burst: 6},
 		demand: func() *demand {
-			return &demand{units: 1, request: func(n int64) request { return lookUp(fmt.Sprint("r", n)) }}
+			return &demand{units: 1, request: func(n int64) request { return lookupRequest(fmt.Sprint("r", n)) }}
 		},
 		measure: rateHeld,
 	},
 	{
 		name: "in flight", limit: 24, contract: config.Contract{InFlight: 24}, slow: 400 * time.Millisecond,
 		demand: func() *demand {
-			return &demand{units: 1, request: func(n int64) request { return lookUp(fmt.Sprint("f", n)) }}
+			return &demand{units: 1, request: func(n int64) request { return lookupRequest(fmt.Sprint("f", n)) }}
 		},
 		measure: inFlightHeld,
 	},
@@ -237,11 +237,11 @@
 		}
 	}
 	if count == len(c.entries) {
-		rows = c.allRows
+		rows = c.initialVMRows
 	}
 	raw, err := json.Marshal(rows)
 	assert.NilError(c.t, err)
-	req, err := http.NewRequest(http.MethodPut, "http://"+c.control+"/vms", bytes.NewReader(raw))
+	req, err := http.NewRequest(http.MethodPut, "http://"+c.controlAddress+"/vms", bytes.NewReader(raw))
 	assert.NilError(c.t, err)
 	resp, err := client.Do(req)
 	assert.NilError(c.t, err)
@@ -251,13 +251,13 @@
 
 func (c *cluster) vmRows() []vmlist.Row {
 	c.t.Helper()
-	resp, err := client.Get("http://" + c.control + "/vms")
+	resp, err := client.Get("http://" + c.controlAddress + "/vms")
 	assert.NilError(c.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	var rows []vmlist.Row
 	assert.NilError(c.t, json.NewDecoder(resp.Body).Decode(&rows))
-	if c.allRows == nil {
-		c.allRows = rows
+	if c.initialVMRows == nil {
+		c.initialVMRows = rows
 		return c.vmRows()
 	}
 	return rows
@@ -271,7 +271,7 @@
 // measureLimit runs one case and says how the limit was held.
 func measureLimit(t *testing.T, tc limitCase, kind limitKind, flags ...string) held {
 	t.Helper()
-	c := startCluster(t, shape{flags: flags, flagsOf: tc.flagsOf})
+	c := startCluster(t, clusterOptions{flags: flags, flagsFor: tc.flagsOf})
 	contract := kind.contract
 	contract.Customer, contract.KeyHashes = customer, []string{hashOf(customerKey)}
 	c.waitInForce(c.put(c.entries[0].address, "contracts/"+customer, contract, c.lastChange(c.entries[0].address, config.KindContract, customer)))
@@ -287,7 +287,7 @@
 		if place == 2 && moved.Load() {
 			place = 0
 		}
-		return c.file.Entries[place].Address
+		return c.fleetFile.Entries[place].Address
 	})
 	<-time.After(limitWarmUp)
 	from := time.Now()
--- a/test/load_test.go
+++ b/test/load_test.go
@@ -15,14 +15,14 @@
 	"github.com/vanillagate/vanillagate/internal/entry"
 )
 
-// load sends requests at every entry VM of a cluster for as long as it runs:
+// loadGenerator sends requests at every entry VM of a cluster for as long as it runs:
 // pipelines as JSON, and calls of the plain service that may run again.
-type load struct {
+type loadGenerator struct {
 	c      *cluster
 	cancel context.CancelFunc
 	wait   sync.WaitGroup
 
-	wrong complaints
+	wrong failureList
 
 	mu   sync.Mutex // guards the rest
 	sent int
@@ -35,9 +35,9 @@
 
 // startLoad begins with some senders for each entry VM. Each goes to one VM,
 // or where choose is given to what it says.
-func startLoad(c *cluster, senders int, choose func() []string) *load {
+func startLoad(c *cluster, senders int, choose func() []string) *loadGenerator {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &load{c: c, cancel: cancel, byID: map[string]string{}, per: map[string]int{}}
+	l := &loadGenerator{c: c, cancel: cancel, byID: map[string]string{}, per: map[string]int{}}
 	for i, e := range c.entries {
 		for j := range senders {
 			addresses := func() []string { return []string{e.address} }
@@ -51,12 +51,12 @@
 	return l
 }
 
-func (l *load) send(ctx context.Context, name string, addresses func() []string) {
+func (l *loadGenerator) send(ctx context.Context, name string, addresses func() []string) {
 	for i := 0; ctx.Err() == nil; i++ {
 		ref := fmt.Sprintf("%s-%d", name, i)
 		address := addresses()[0]
 		if i%3 == 2 {
-			l.note(address, sendNow(address, lookUp(ref)), ref, "")
+			l.note(address, sendNow(address, lookupRequest(ref)), ref, "")
 		} else {
 			l.note(address, sendNow(address, pipelineRequest(ref, 8)), ref, wholeText(ref, 8))
 		}
@@ -67,16 +67,16 @@
 	}
 }
 
-// lookUp reads at the plain service, which may run any number of times.
-func lookUp(ref string) request {
+// lookupRequest reads at the plain service, which may run any number of times.
+func lookupRequest(ref string) request {
 	return request{method: http.MethodGet, path: "/v1/services/booking/halls?ref=" + ref}
 }
 
-func (l *load) note(address string, got reply, ref, want string) {
+func (l *loadGenerator) note(address string, got reply, ref, want string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sent++
-	fault := faultOf(got, want)
+	fault := replyError(got, want)
 	if fault != "" {
 		l.wrong.add(fmt.Sprintf("%s at %s: %s", ref, address, fault))
 		return
@@ -85,8 +85,8 @@
 	l.byID[got.id] = address
 }
 
-// faultOf says what is wrong with an answer; empty for nothing.
-func faultOf(got reply, want string) string {
+// replyError says what is wrong with an answer; empty for nothing.
+func replyError(got reply, want string) string {
 	switch {
 	case got.err != nil:
 		return got.err.Error()
@@ -106,14 +106,14 @@
 }
 
 // served counts the requests that one entry VM served so far.
-func (l *load) served(address string) int {
+func (l *loadGenerator) served(address string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.per[address]
 }
 
-// goOn waits until each of the entry VMs has served so many more.
-func (l *load) goOn(more int, addresses ...string) {
+// waitServed waits until each of the entry VMs has served so many more.
+func (l *loadGenerator) waitServed(more int, addresses ...string) {
 	l.c.t.Helper()
 	until := map[string]int{}
 	for _, a := range addresses {
@@ -129,41 +129,41 @@
 	})
 }
 
-// complaints is what users would complain of.
-type complaints struct {
+// failureList is what users would complain of.
+type failureList struct {
 	mu   sync.Mutex // guards list
 	list []string
 }
 
-func (c *complaints) add(what string) {
+func (c *failureList) add(what string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.list = append(c.list, what)
 }
 
-// none fails where there are any, and shows the first of them.
-func (c *complaints) none(t *testing.T) {
+// checkEmpty fails where there are any, and shows the first of them.
+func (c *failureList) checkEmpty(t *testing.T) {
 	t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	assert.Equal(t, len(c.list), 0, "%d complaints: %s", len(c.list), strings.Join(c.list[:min(3, len(c.list))], "\n"))
 }
 
-func (l *load) stop() {
+func (l *loadGenerator) stop() {
 	l.cancel()
 	l.wait.Wait()
 }
 
-// flawless ends the load and checks that every request was answered rightly.
-func (l *load) flawless(t *testing.T) {
+// stopAndCheck ends the load and checks that every request was answered rightly.
+func (l *loadGenerator) stopAndCheck(t *testing.T) {
 	t.Helper()
 	l.stop()
-	l.wrong.none(t)
+	l.wrong.checkEmpty(t)
 }
 
 // lastStart is when the last new request that an entry VM sent to a target
 // began there, for each entry VM.
-func (l *load) lastStart(target string) map[string]time.Time {
+func (l *loadGenerator) lastStart(target string) map[string]time.Time {
 	l.c.t.Helper()
 	all := l.c.executions()
 	l.mu.Lock()
--- a/test/long_test.go
+++ b/test/long_test.go
@@ -35,7 +35,7 @@
 type longRun struct {
 	c     *cluster
 	t     *testing.T
-	wrong complaints
+	wrong failureList
 
 	// mu guards the entry VMs, which faults replace, and the rest below.
 	mu     sync.Mutex
@@ -78,7 +78,7 @@
 func TestLongSeededRun(t *testing.T) {
 	seed := seedOf(t)
 	t.Logf("VANILLAGATE_SEED=%d", seed)
-	c := startCluster(t, shape{entries: 4})
+	c := startCluster(t, clusterOptions{entries: 4})
 	c.waitLinked()
 	r := &longRun{c: c, t: t}
 	watch := watchRevisions(c)
@@ -160,8 +160,8 @@
 	}
 	silent := func(f relay.Faults) func() func() {
 		return func() func() {
-			c.table.Set(f)
-			return func() { c.table.Set(relay.Faults{}); c.table.Cut() }
+			c.tableRelay.Set(f)
+			return func() { c.tableRelay.Set(relay.Faults{}); c.tableRelay.Cut() }
 		}
 	}
 	return []happening{
@@ -204,7 +204,7 @@
 	}
 	return func() {
 		_ = e.cmd.Process.Signal(syscall.SIGCONT)
-		code := e.exited(r.t, patience)
+		code := e.waitExit(r.t, waitTimeout)
 		if code != 0 && e.cmd.ProcessState.Exited() {
 			r.wrong.add(fmt.Sprintf("%s ended with exit code %d", e.name, code))
 		}
@@ -235,18 +235,18 @@
 	return got, false
 }
 
-func whole(got reply) bool { return got.err == nil && got.status == http.StatusOK }
+func succeeded(got reply) bool { return got.err == nil && got.status == http.StatusOK }
 
 func (r *longRun) ask(ctx context.Context, name string) {
 	for i := 0; ctx.Err() == nil; i++ {
 		ref := fmt.Sprintf("%s-%d", name, i)
-		got, done := r.try(pipelineRequest(ref, 24), whole)
+		got, done := r.try(pipelineRequest(ref, 24), succeeded)
 		if !done {
 			r.gaveUp.Add(1)
 			continue
 		}
 		r.served.Add(1)
-		if wrong := faultOf(got, wholeText(ref, 24)); wrong != "" {
+		if wrong := replyError(got, wholeText(ref, 24)); wrong != "" {
 			r.wrong.add(ref + ": " + wrong)
 		}
 	}
@@ -282,7 +282,7 @@
 		key := fmt.Sprintf("%s-%d", name, i)
 		booking := confirm(key)
 		booking.timeout = 1500 * time.Millisecond
-		got, done := r.try(booking, whole)
+		got, done := r.try(booking, succeeded)
 		r.mu.Lock()
 		switch {
 		case done:
@@ -333,7 +333,7 @@
 	for _, e := range r.c.executions() {
 		switch started := time.UnixMicro(e.StartedUnixUS); {
 		case e.Target != target:
-		case started.After(at.Add(soon)):
+		case started.After(at.Add(maxPropagationDelay)):
 			late++
 			r.t.Logf("%s began %s after the announcement", e.RequestID, started.Sub(at))
 		default:
@@ -368,7 +368,7 @@
 		}
 	}
 	watch.never(t)
-	r.wrong.none(t)
+	r.wrong.checkEmpty(t)
 	ran := map[string]int{}
 	for _, e := range c.executions() {
 		if e.IdempotencyKey != "" {
--- a/test/not_run_test.go
+++ b/test/not_run_test.go
@@ -45,7 +45,7 @@
 // what the first VM has run, or is about to run.
 func TestRefusalByLimitTellsTheTruthOfTheKey(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	first, own := c.giveOwnTable(c.entries[0])
 	c.waitEntries()
 	limited := config.Contract{Customer: "upland", KeyHashes: []string{hashOf(limitedKey)}}
@@ -99,7 +99,7 @@
 // book again.
 func TestRefusalWhileTheTableIsDownTellsTheTruthOfTheKey(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	c.waitEntries()
 	byLiving, byDead := confirm(newKey()), confirm(newKey())
 	c.setFault(bookingPool, fault.Fault{LoseAnswerShare: 1})
@@ -129,7 +129,7 @@
 // can't be asked, and then nobody knows.
 func TestEntryVMsTogetherKnowThatNobodySentAKey(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{flags: []string{"--retry-window", "2s"}})
+	c := startCluster(t, clusterOptions{flags: []string{"--retry-window", "2s"}})
 	c.waitEntries()
 	c.setFault(fault.ScopeTable, fault.Fault{Refuse: true})
 	execution := func() problem.Execution {
@@ -150,7 +150,7 @@
 // target takes connections, or each says no before it begins.
 func TestNotRunWhereNothingRan(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 2})
+	c := startCluster(t, clusterOptions{entries: 2})
 	c.waitEntries()
 	at := c.entries[0].address
 	for name, f := range map[string]fault.Fault{"no connection": {Down: true}, "refused": {Refuse: true}} {
@@ -176,7 +176,7 @@
 // Callers must not be told "not_run".
 func TestNotRunIsNotSaidWhereSomethingRan(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 2})
+	c := startCluster(t, clusterOptions{entries: 2})
 	at := c.entries[0].address
 	c.setFault(bookingPool, fault.Fault{LoseAnswerShare: 1})
 	r := confirm(newKey())
@@ -219,7 +219,7 @@
 // the key. What the VM then reads must not run: nobody stands behind it.
 func TestBookingThatItsCallerGaveUpUnreadDoesNotRun(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 2})
+	c := startCluster(t, clusterOptions{entries: 2})
 	c.waitEntries()
 	first := c.entries[0]
 	first.freeze(t)
@@ -241,7 +241,7 @@
 // that for their saying no.
 func TestReplacedVMDoesNotSayNotRunBeforeItKnowsItsPeers(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 2})
+	c := startCluster(t, clusterOptions{entries: 2})
 	first, own := c.giveOwnTable(c.entries[0])
 	c.waitEntries()
 	own.Set(relay.Faults{FreezeToTarget: true})
--- a/test/once_test.go
+++ b/test/once_test.go
@@ -86,7 +86,7 @@
 // itself, not by way of a relay.
 func (c *cluster) claimStands(key string) bool {
 	table := dynamo.New(backing.StoreConfig{
-		URL: "http://" + c.file.Table, Region: "local", AccessKey: "test", SecretKey: "test",
+		URL: "http://" + c.fleetFile.Table, Region: "local", AccessKey: "test", SecretKey: "test",
 		HTTP: backing.DefaultHTTPConfig(),
 	})
 	row, err := table.Get(c.t.Context(), backing.Key{Partition: "claim/" + customer, Sort: key})
@@ -106,7 +106,7 @@
 // giveOwnTable puts a relay of its own between one entry VM and the table.
 func (c *cluster) giveOwnTable(e *entryVM) (*entryVM, *relay.Relay) {
 	c.t.Helper()
-	own := c.relayTo(c.file.Table)
+	own := c.startRelay(c.fleetFile.Table)
 	e.kill(c.t)
 	at := slices.Index(e.args, "--table-url")
 	e.args = slices.Clone(e.args)
@@ -228,7 +228,7 @@
 	for _, fencing := range []bool{true, false} {
 		t.Run(fmt.Sprintf("fencing checked %v", fencing), func(t *testing.T) {
 			t.Parallel()
-			c := startCluster(t, shape{entries: 3, change: bookingChecksFencing(fencing)})
+			c := startCluster(t, clusterOptions{entries: 3, editFleet: bookingChecksFencing(fencing)})
 			first, own := c.giveOwnTable(c.entries[0])
 			for _, step := range bookingSteps {
 				for _, failure := range vmFailures {
@@ -281,7 +281,7 @@
 // the booking was made.
 func TestSilentHolderIsNeverTakenOver(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 2, change: bookingChecksFencing(true)})
+	c := startCluster(t, clusterOptions{entries: 2, editFleet: bookingChecksFencing(true)})
 	key := newKey()
 	c.setFault(bookingPool, fault.Fault{StraggleFactor: 150})
 	background(c.entries[0].address, confirm(key))
@@ -302,7 +302,7 @@
 // give up a booking that nobody else may run, nor run it beside somebody.
 func TestBookingRunsAtMostOnceWhenAnswersOfTheTableAreLost(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	c.setFault(fault.ScopeTable, fault.Fault{LoseAnswerShare: 0.5})
 	answered := 0
 	for range 8 {
@@ -319,12 +319,12 @@
 
 	// Each and every answer is lost, at the relay: the claim takes effect.
 	key := newKey()
-	c.table.Set(relay.Faults{LoseAnswer: true})
+	c.tableRelay.Set(relay.Faults{LoseAnswer: true})
 	got := sendNow(c.entries[0].address, quickConfirm(key, 300*time.Millisecond))
 	c.checkTrue("all answers are lost", key, got)
 	assert.Equal(t, c.ranWithKey(key), 0)
 	assert.Assert(t, c.claimStands(key))
-	c.table.Set(relay.Faults{})
+	c.tableRelay.Set(relay.Faults{})
 	// The claim that nobody used is given up, so the key is not blocked.
 	waitFor(t, "the booking to be made in the end", func() bool {
 		return sendNow(c.entries[1].address, quickConfirm(key, 500*time.Millisecond)).status == http.StatusOK
@@ -337,7 +337,7 @@
 // wherever.
 func TestNothingRunsWhileTheTableIsDown(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	c.setFault(fault.ScopeTable, fault.Fault{Refuse: true})
 	key := newKey()
 	r := quickConfirm(key, 300*time.Millisecond)
@@ -360,7 +360,7 @@
 // all, where they take the close for an old one: the booking would run twice.
 func TestLostAnswerOfATargetRunsOnceWithEveryMethod(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 2})
+	c := startCluster(t, clusterOptions{entries: 2})
 	for _, kept := range []bool{false, true} {
 		for _, method := range []string{http.MethodPost, http.MethodPut, http.MethodDelete, http.MethodGet} {
 			what := fmt.Sprintf("%s, kept connections %v", method, kept)
@@ -410,7 +410,7 @@
 // answer.
 func TestPathCannotPassABookingOffAsARead(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 1})
+	c := startCluster(t, clusterOptions{entries: 1})
 	c.setFault(bookingPool, fault.Fault{LoseAnswerShare: 1})
 	for _, path := range []string{"look/%252e%252e/once/hall", "look%252f%252e%252e%252fonce/hall", "%252e/once/hall", "look/%2e%2e/once/hall"} {
 		sendNow(c.entries[0].address, request{method: http.MethodGet, path: "/v1/services/booking/" + path})
@@ -426,7 +426,7 @@
 // waits for nothing.
 func TestDeadHoldersCallerIsToldAtOnce(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	c.waitEntries()
 	c.setFault(bookingPool, fault.Fault{DelayMS: 60_000})
 	key := newKey()
--- a/test/outage_test.go
+++ b/test/outage_test.go
@@ -66,8 +66,8 @@
 	{"a stage refuses", "reranker", fault.Fault{Refuse: true}, failedAt("rerank"), quote},
 	{"all engines lose their answers", "llm", fault.Fault{LoseAnswerShare: 1}, ranAt("llm"), quote},
 	{"all engines refuse", "llm", fault.Fault{Refuse: true}, failedAt("generate"), quote},
-	{"a service loses its answers", "booking", fault.Fault{LoseAnswerShare: 1}, ranAt("booking"), func(n int64) request { return lookUp(fmt.Sprint("o", n)) }},
-	{"a service refuses", "booking", fault.Fault{Refuse: true}, failedAt("booking"), func(n int64) request { return lookUp(fmt.Sprint("o", n)) }},
+	{"a service loses its answers", "booking", fault.Fault{LoseAnswerShare: 1}, ranAt("booking"), func(n int64) request { return lookupRequest(fmt.Sprint("o", n)) }},
+	{"a service refuses", "booking", fault.Fault{Refuse: true}, failedAt("booking"), func(n int64) request { return lookupRequest(fmt.Sprint("o", n)) }},
 }
 
 const (
@@ -79,7 +79,7 @@
 // request of the callers that can have come so far.
 func loadFactor(t *testing.T, o outage, policy string) float64 {
 	t.Helper()
-	c := startCluster(t, shape{flags: []string{"--policy", policy}})
+	c := startCluster(t, clusterOptions{flags: []string{"--policy", policy}})
 	d := &demand{units: 1, request: o.request}
 	startDemand(c, d, []float64{outageRate, outageRate, outageRate}, func(place int) string { return c.entries[place].address })
 	waitFor(t, "answers before the outage", func() bool { return len(d.between(time.Now().Add(-forever), 2*forever)) > 100 })
--- a/test/path_test.go
+++ b/test/path_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestWholePath(t *testing.T) {
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	for _, e := range c.entries {
 		got := sendNow(e.address, pipelineRequest("Q1", 16))
 		assert.Equal(t, got.output(t), wholeText("Q1", 16))
@@ -23,7 +23,7 @@
 }
 
 func TestBadInputGetsClearProblems(t *testing.T) {
-	c := startCluster(t, shape{entries: 1, flags: []string{"--max-body", "4096"}})
+	c := startCluster(t, clusterOptions{entries: 1, flags: []string{"--max-body", "4096"}})
 	address := c.entries[0].address
 	tests := []struct {
 		name   string
--- a/test/planned_stop_test.go
+++ b/test/planned_stop_test.go
@@ -67,7 +67,7 @@
 // could be cut when the VMs go, so there must be none.
 func TestPlannedStopOfTwoTargetsCutsNothing(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{change: inOneZone})
+	c := startCluster(t, clusterOptions{editFleet: inOneZone})
 	c.waitLinked()
 	streams := startStreams("T", 12, c.addresses()...)
 	waitFor(t, "all streams to be at engines", func() bool { return c.running("llm") == 12 })
@@ -79,7 +79,7 @@
 	}
 	assert.Equal(t, len(stopping), 2)
 	l := startLoad(c, 2, nil)
-	l.goOn(10, c.addresses()...)
+	l.waitServed(10, c.addresses()...)
 	began := time.Now()
 	var both sync.WaitGroup
 	for i, target := range stopping {
@@ -92,8 +92,8 @@
 		c.setFault(fault.TargetScope(target), fault.Fault{Down: true})
 	}
 	t.Logf("both engines free %d ms after the announcement", time.Since(began).Milliseconds())
-	l.goOn(50, c.addresses()...)
-	l.flawless(t)
+	l.waitServed(50, c.addresses()...)
+	l.stopAndCheck(t)
 	streams.whole(t, "T")
 	for _, target := range stopping {
 		for from, last := range l.lastStart(target) {
@@ -128,7 +128,7 @@
 		if ctx.Err() != nil && got.err != nil {
 			return keys // sent when the VM was gone, as planned
 		}
-		if fault := faultOf(got, ""); fault != "" {
+		if fault := replyError(got, ""); fault != "" {
 			wrong(key + ": " + fault)
 		}
 		keys = append(keys, key)
@@ -154,14 +154,14 @@
 // program ends by itself with exit code 0.
 func TestPlannedStopOfEntryVMCutsNothing(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	c.waitLinked()
 	leaving := c.entries[0]
 	streams := startStreams("E", 6, leaving.address)
 	waitFor(t, "all streams to be at engines", func() bool { return c.running("llm") == 6 })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var wrong complaints
+	var wrong failureList
 	var callers sync.WaitGroup
 	var keys []string
 	callers.Go(func() { keys = book(ctx, c, leaving.address, "B", wrong.add) })
@@ -180,10 +180,10 @@
 	waitFor(t, "the address to have run out", func() bool { return time.Since(told) > held })
 	cancel()
 	callers.Wait()
-	assert.Equal(t, leaving.exited(t, patience), 0)
+	assert.Equal(t, leaving.waitExit(t, waitTimeout), 0)
 	t.Logf("left after %d ms", time.Since(told).Milliseconds())
 	streams.whole(t, "E")
-	wrong.none(t)
+	wrong.checkEmpty(t)
 	assert.Assert(t, len(keys) > 10)
 	c.ranOnce(t, keys)
 }
@@ -192,7 +192,7 @@
 func askOn(ctx context.Context, kept *http.Client, address string, wrong func(string)) {
 	for i := 0; ctx.Err() == nil; i++ {
 		ref := fmt.Sprintf("A%d", i)
-		if fault := faultOf(sendBy(kept, pipelineRequest(ref, 4).build(address)), wholeText(ref, 4)); fault != "" && ctx.Err() == nil {
+		if fault := replyError(sendBy(kept, pipelineRequest(ref, 4).build(address)), wholeText(ref, 4)); fault != "" && ctx.Err() == nil {
 			wrong(ref + ": " + fault)
 		}
 	}
@@ -210,7 +210,7 @@
 
 // names says whether one entry VM tells callers of an address.
 func names(asked, address string) bool {
-	for _, e := range entriesAt(asked).Entries {
+	for _, e := range queryEntries(asked).Entries {
 		if e.Address == address {
 			return true
 		}
@@ -218,7 +218,7 @@
 	return false
 }
 
-func entriesAt(address string) entry.Entries {
+func queryEntries(address string) entry.Entries {
 	got := sendNow(address, request{method: http.MethodGet, path: "/v1/entries"})
 	var all entry.Entries
 	if got.err != nil || json.Unmarshal(got.body, &all) != nil {
@@ -249,7 +249,7 @@
 func (g *guide) renew() {
 	asked := time.Now()
 	for _, address := range g.known {
-		all := entriesAt(address)
+		all := queryEntries(address)
 		if len(all.Entries) == 0 {
 			continue
 		}
@@ -267,11 +267,11 @@
 // one request may fail, and none be lost.
 func TestRollingReplacementCutsNothing(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 4})
+	c := startCluster(t, clusterOptions{entries: 4})
 	c.waitLinked()
 	first := &guide{known: c.addresses()}
 	l := startLoad(c, 2, first.next)
-	l.goOn(20, c.addresses()...)
+	l.waitServed(20, c.addresses()...)
 	for _, pair := range [][]*entryVM{{c.entries[0], c.entries[1]}, {c.entries[2], c.entries[3]}} {
 		streams := startStreams("R", 4, pair[0].address, pair[1].address)
 		began := time.Now()
@@ -279,7 +279,7 @@
 			e.signal(t, syscall.SIGTERM)
 		}
 		for _, e := range pair {
-			assert.Equal(t, e.exited(t, patience), 0)
+			assert.Equal(t, e.waitExit(t, waitTimeout), 0)
 		}
 		gone := time.Since(began)
 		for _, e := range pair {
@@ -287,9 +287,9 @@
 		}
 		t.Logf("two VMs left after %d ms and are replaced after %d ms", gone.Milliseconds(), time.Since(began).Milliseconds())
 		streams.whole(t, "R")
-		l.goOn(20, c.addresses()...)
+		l.waitServed(20, c.addresses()...)
 	}
-	l.flawless(t)
+	l.stopAndCheck(t)
 	t.Logf("%d requests, none failed", l.sent)
 }
 
@@ -298,7 +298,7 @@
 // told sends its next request on it, and may find it closed with that request unread.
 func TestAnAnswerThatComesDuringALeaveSaysThatItsConnectionCloses(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	c.waitLinked()
 	leaving := c.entries[0]
 	answers := make(chan *http.Response, 1)
--- a/test/platform_explain_test.go
+++ b/test/platform_explain_test.go
@@ -23,12 +23,12 @@
 	time.Sleep(200 * time.Millisecond) // the last lines are on their way
 	folder := e.t.TempDir()
 	args := []string{"explain", id}
-	for i, p := range e.runs {
+	for i, p := range e.processes {
 		path := filepath.Join(folder, e.vms[i].Name+".log")
 		assert.NilError(e.t, os.WriteFile(path, []byte(p.logs()), 0o600))
 		args = append(args, path)
 	}
-	out, err := exec.Command(program("vgctl"), args...).CombinedOutput()
+	out, err := exec.Command(binaryPath("vgctl"), args...).CombinedOutput()
 	assert.NilError(e.t, err, string(out))
 	e.t.Log(string(out))
 	return string(out)
--- a/test/platform_planned_work_test.go
+++ b/test/platform_planned_work_test.go
@@ -116,8 +116,8 @@
 	done := make(chan standin.Tally, 1)
 	go func() { done <- callers.Run(context.Background(), (1+firstGrace)*time.Second) }()
 	time.Sleep(time.Second)
-	e.runs[0].signal(t, syscall.SIGTERM)
-	assert.Equal(t, e.runs[0].exited(t, firstGrace*time.Second), 0)
+	e.processes[0].signal(t, syscall.SIGTERM)
+	assert.Equal(t, e.processes[0].waitExit(t, firstGrace*time.Second), 0)
 	tally := <-done
 	t.Log(tally)
 	notSent := 0
@@ -151,7 +151,7 @@
 		return err == nil
 	})
 	for range 5 {
-		e.runs[0].signal(t, syscall.SIGHUP)
+		e.processes[0].signal(t, syscall.SIGHUP)
 	}
 	text, err := os.ReadFile(path + ".whole")
 	assert.NilError(t, err)
@@ -170,19 +170,19 @@
 	e := newEdges(t, 12) // each meets the moment by chance only
 	e.startAll()
 	until := time.Now().Add(firstGrace * time.Second)
-	for _, run := range e.runs {
+	for _, run := range e.processes {
 		for time.Now().Before(until) && run.cmd.Process.Signal(syscall.SIGTERM) == nil {
 			e.askAll()
 		}
 	}
-	for _, run := range e.runs {
-		assert.Check(t, run.exited(t, firstGrace*time.Second) == 0, "%s: %s", run.name, run.cmd.ProcessState)
+	for _, run := range e.processes {
+		assert.Check(t, run.waitExit(t, firstGrace*time.Second) == 0, "%s: %s", run.name, run.cmd.ProcessState)
 	}
 }
 
 // askAll asks all processes to leave; those that have left don't mind.
 func (e *edgeSite) askAll() {
-	for _, run := range e.runs {
+	for _, run := range e.processes {
 		_ = run.cmd.Process.Signal(syscall.SIGTERM)
 	}
 }
@@ -216,7 +216,7 @@
 	w := &plannedWork{
 		t: t, seed: seed, edges: startEdges(t, vms), files: make([]sync.Mutex, vms), asked: map[*process]bool{},
 	}
-	w.all = append(w.all, w.edges.runs...)
+	w.all = append(w.all, w.edges.processes...)
 	for _, vm := range w.edges.vms {
 		text, err := os.ReadFile(vm.Settings)
 		assert.NilError(t, err)
@@ -290,7 +290,7 @@
 func (w *plannedWork) run(i int) *process {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.edges.runs[i]
+	return w.edges.processes[i]
 }
 
 // tell sends a signal to whatever process a VM has now, if any runs.
@@ -508,7 +508,7 @@
 func (w *plannedWork) comeBack(i, told int, pause time.Duration) {
 	w.files[i].Lock()
 	defer w.files[i].Unlock()
-	limit := time.Now().Add(patience)
+	limit := time.Now().Add(waitTimeout)
 	for !w.startAgain(i, told, pause, limit) {
 		told = 0
 	}
@@ -519,7 +519,7 @@
 func (w *plannedWork) startAgain(i, told int, pause time.Duration, limit time.Time) bool {
 	w.mu.Lock()
 	w.edges.start(i)
-	run := w.edges.runs[i]
+	run := w.edges.processes[i]
 	w.all = append(w.all, run)
 	w.mu.Unlock()
 	w.note("%d starts again, SIGHUP %d times every %s", i, told, pause)
@@ -538,7 +538,7 @@
 			w.fault("VM %d isn't ready", i)
 			return true
 		}
-		time.Sleep(pollStep)
+		time.Sleep(pollInterval)
 	}
 	return true
 }
--- a/test/platform_shutdown_test.go
+++ b/test/platform_shutdown_test.go
@@ -91,14 +91,14 @@
 			s := newShutdown(t, seed)
 			callers(s)
 			time.Sleep(time.Second)
-			s.runs[0].signal(t, syscall.SIGTERM)
+			s.processes[0].signal(t, syscall.SIGTERM)
 			s.stopped = time.Now()
 			close(s.begun)
 			if trouble != nil {
 				go trouble(s)
 			}
 			s.callers.Wait()
-			assert.Equal(t, s.runs[0].exited(t, firstGrace*time.Second), 0)
+			assert.Equal(t, s.processes[0].waitExit(t, firstGrace*time.Second), 0)
 			check(t, s)
 		})
 	}
@@ -152,7 +152,7 @@
 
 // starve lets the process run for a small share of the time, until it ends.
 func (s *shutdown) starve() {
-	p := s.runs[0]
+	p := s.processes[0]
 	for {
 		_ = p.cmd.Process.Signal(syscall.SIGSTOP) // fails once it has ended
 		time.Sleep(stoppedFor)
@@ -168,9 +168,9 @@
 // standStill stops the process before its port closes, and lets it go on long after.
 func (s *shutdown) standStill() {
 	time.Sleep(portOpen - stillFor/2)
-	_ = s.runs[0].cmd.Process.Signal(syscall.SIGSTOP)
+	_ = s.processes[0].cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(stillFor)
-	_ = s.runs[0].cmd.Process.Signal(syscall.SIGCONT)
+	_ = s.processes[0].cmd.Process.Signal(syscall.SIGCONT)
 }
 
 // at has a caller do something at a time after SIGTERM.
@@ -334,7 +334,7 @@
 			idle := between(s.r, 500*time.Millisecond, 15*time.Second)
 			s.at(between(s.r, 0, portOpen), func() { s.publishTails(idle) })
 			for _, signal := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
-				s.at(between(s.r, 0, 7*time.Second), func() { _ = s.runs[0].cmd.Process.Signal(signal) })
+				s.at(between(s.r, 0, 7*time.Second), func() { _ = s.processes[0].cmd.Process.Signal(signal) })
 			}
 		}
 	}, func(t *testing.T, s *shutdown) {
@@ -356,7 +356,7 @@
 // logged gives the times after SIGTERM of the process's lines that have some text.
 func (s *shutdown) logged(t *testing.T, text string) (times []time.Duration) {
 	t.Helper()
-	for _, line := range regexp.MustCompile(regexp.QuoteMeta(text)+`.*"after_stop":([0-9.]+)`).FindAllStringSubmatch(s.runs[0].logs(), -1) {
+	for _, line := range regexp.MustCompile(regexp.QuoteMeta(text)+`.*"after_stop":([0-9.]+)`).FindAllStringSubmatch(s.processes[0].logs(), -1) {
 		after, err := strconv.ParseFloat(line[1], 64)
 		assert.NilError(t, err)
 		times = append(times, time.Duration(after*float64(time.Second)))
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -16,10 +16,10 @@
 
 // edgeSite is a stand-in of the users' platform with real entry processes.
 type edgeSite struct {
-	t    *testing.T
-	site *standin.Site
-	vms  []standin.VM
-	runs []*process
+	t         *testing.T
+	site      *standin.Site
+	vms       []standin.VM
+	processes []*process
 }
 
 // newEdges has a site's VMs, on which nothing runs yet.
@@ -32,7 +32,7 @@
 	assert.NilError(t, err)
 	vms, err := site.WriteVMSettings(t.TempDir(), base, n)
 	assert.NilError(t, err)
-	return &edgeSite{t: t, site: site, vms: vms, runs: make([]*process, n)}
+	return &edgeSite{t: t, site: site, vms: vms, processes: make([]*process, n)}
 }
 
 func startEdges(t *testing.T, n int) *edgeSite {
@@ -62,7 +62,7 @@
 // startAfter starts a process after prepare has changed how.
 func (e *edgeSite) startAfter(i int, prepare func(*exec.Cmd)) {
 	e.t.Helper()
-	e.runs[i] = launchCommand(e.t, e.vms[i].Name, func(cmd *exec.Cmd) {
+	e.processes[i] = launchCommand(e.t, e.vms[i].Name, func(cmd *exec.Cmd) {
 		cmd.Env = append(cmd.Environ(), "VANILLAGATE_SETTINGS="+e.vms[i].Settings)
 		prepare(cmd)
 	}, "vgedge", "--peer-keys="+peerKeys, "--metrics=9464/metrics")
@@ -70,17 +70,17 @@
 
 func (e *edgeSite) waitReady(i int) {
 	e.t.Helper()
-	limit := time.Now().Add(patience)
+	limit := time.Now().Add(waitTimeout)
 	for time.Now().Before(limit) {
 		select {
-		case <-e.runs[i].done:
+		case <-e.processes[i].done:
 			e.t.Fatalf("%s has ended", e.vms[i].Name)
 		default:
 		}
 		if e.vms[i].IsReady() {
 			return
 		}
-		time.Sleep(pollStep)
+		time.Sleep(pollInterval)
 	}
 	e.t.Fatalf("%s isn't ready", e.vms[i].Name)
 }
@@ -122,13 +122,13 @@
 	tally := e.load(60, 4*time.Second, func() {
 		for range 5 {
 			time.Sleep(500 * time.Millisecond)
-			for _, run := range e.runs {
+			for _, run := range e.processes {
 				run.signal(t, syscall.SIGHUP)
 			}
 		}
 	})
 	assert.Assert(t, tally.Attainment() > 0.98, "%v", tally)
-	for _, run := range e.runs {
+	for _, run := range e.processes {
 		select {
 		case <-run.done:
 			t.Errorf("%s ended", run.name)
@@ -146,7 +146,7 @@
 	tally := e.load(60, 8*time.Second, func() {
 		for i := range 3 {
 			time.Sleep(1500 * time.Millisecond)
-			e.runs[i].kill(t)
+			e.processes[i].kill(t)
 			time.Sleep(300 * time.Millisecond)
 			e.start(i)
 		}
@@ -161,9 +161,9 @@
 	e := startEdges(t, 4)
 	tally := e.load(60, 8*time.Second, func() {
 		time.Sleep(1500 * time.Millisecond)
-		e.runs[1].signal(t, syscall.SIGSTOP)
+		e.processes[1].signal(t, syscall.SIGSTOP)
 		time.Sleep(3 * time.Second)
-		e.runs[1].signal(t, syscall.SIGCONT)
+		e.processes[1].signal(t, syscall.SIGCONT)
 	})
 	assert.Assert(t, tally.Attainment() > 0.7, "%v", tally)
 }
@@ -175,8 +175,8 @@
 	tally := e.load(60, 14*time.Second, func() {
 		for i := range 3 {
 			time.Sleep(500 * time.Millisecond)
-			e.runs[i].signal(t, syscall.SIGTERM)
-			assert.Equal(t, e.runs[i].exited(t, 8*time.Second), 0)
+			e.processes[i].signal(t, syscall.SIGTERM)
+			assert.Equal(t, e.processes[i].waitExit(t, 8*time.Second), 0)
 			e.start(i)
 			e.waitReady(i)
 		}
@@ -192,13 +192,13 @@
 	t.Parallel()
 	e := startEdges(t, 3)
 	e.site.Publish(func(config map[string]any) { config["tenants"] = []any{} })
-	for _, p := range e.runs {
+	for _, p := range e.processes {
 		p.kill(t)
 	}
-	for i := range e.runs {
+	for i := range e.processes {
 		e.start(i)
 	}
-	for i := range e.runs {
+	for i := range e.processes {
 		e.waitReady(i)
 	}
 	tally := e.load(40, 4*time.Second, nil)
@@ -219,7 +219,7 @@
 			}
 			return standin.Normal
 		})
-		e.runs[0].kill(t)
+		e.processes[0].kill(t)
 		e.start(0)
 		time.Sleep(4 * time.Second)
 		e.site.Store.SetFault(nil)
@@ -231,9 +231,9 @@
 func TestPlatformSettingsThatCannotBeUsed(t *testing.T) {
 	t.Parallel()
 	p := launchWith(t, "no settings", "vgedge", []string{"VANILLAGATE_SETTINGS="}, "--peer-keys="+peerKeys)
-	assert.Equal(t, p.exited(t, patience), 2)
+	assert.Equal(t, p.waitExit(t, waitTimeout), 2)
 	p = launchWith(t, "no file", "vgedge", []string{"VANILLAGATE_SETTINGS=/nowhere/settings.toml"}, "--peer-keys="+peerKeys)
-	assert.Equal(t, p.exited(t, patience), 2)
+	assert.Equal(t, p.waitExit(t, waitTimeout), 2)
 	p = launchWith(t, "short key", "vgedge", []string{"VANILLAGATE_SETTINGS=/nowhere/settings.toml"}, "--peer-keys=short")
-	assert.Equal(t, p.exited(t, patience), 2)
+	assert.Equal(t, p.waitExit(t, waitTimeout), 2)
 }
--- a/test/recovery_test.go
+++ b/test/recovery_test.go
@@ -14,7 +14,7 @@
 // tableStats tells what the table service did so far.
 func (c *cluster) tableStats() table.Stats {
 	c.t.Helper()
-	resp, err := client.Get("http://" + c.control + "/table/stats")
+	resp, err := client.Get("http://" + c.controlAddress + "/table/stats")
 	assert.NilError(c.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	var stats table.Stats
@@ -22,10 +22,10 @@
 	return stats
 }
 
-// serves waits until an entry VM serves a request and gives the time since.
-func (c *cluster) serves(address string, since time.Time) time.Duration {
+// waitServing waits until an entry VM waitServing a request and gives the time since.
+func (c *cluster) waitServing(address string, since time.Time) time.Duration {
 	c.t.Helper()
-	waitFor(c.t, address+" to serve", func() bool { return faultOf(sendNow(address, pipelineRequest("Q", 4)), wholeText("Q", 4)) == "" })
+	waitFor(c.t, address+" to serve", func() bool { return replyError(sendNow(address, pipelineRequest("Q", 4)), wholeText("Q", 4)) == "" })
 	return time.Since(since)
 }
 
@@ -34,7 +34,7 @@
 // table service, the object store with the snapshot, or the VM list.
 func TestNewVMServesSoon(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	c.waitLinked()
 	outages := []struct {
 		name   string
@@ -53,7 +53,7 @@
 		victim.kill(t)
 		began := time.Now()
 		next := c.restartKnowing(victim)
-		took := c.serves(next.address, began)
+		took := c.waitServing(next.address, began)
 		t.Logf("%s: serves after %d ms", outage.name, took.Milliseconds())
 		assert.Assert(t, took < 5*time.Second, "%s: took %s", outage.name, took)
 		for _, scope := range outage.scopes {
@@ -83,7 +83,7 @@
 func TestAllVMsStartAtOnce(t *testing.T) {
 	t.Parallel()
 	const vms = 8
-	c := startCluster(t, shape{entries: vms})
+	c := startCluster(t, clusterOptions{entries: vms})
 	c.waitLinked()
 	c.snapshotHas(stateAt(c.entries[0].address).Revision)
 	for _, e := range c.entries {
@@ -96,7 +96,7 @@
 	}
 	longest := time.Duration(0)
 	for _, e := range c.entries {
-		longest = max(longest, c.serves(e.address, began))
+		longest = max(longest, c.waitServing(e.address, began))
 	}
 	after := c.tableStats()
 	reads := after.Reads - before.Reads
--- a/test/signals_test.go
+++ b/test/signals_test.go
@@ -34,7 +34,7 @@
 // load without the signal was whole.
 func TestAskedToReadSettingsAgainCutsNothing(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	s := c.startSteward("steward")
 	c.waitLinked()
 	all := []*process{s.process}
@@ -45,14 +45,14 @@
 	waitFor(t, "all streams to be at engines", func() bool { return c.running("llm") == 6 })
 	l := startLoad(c, 2, nil)
 	for range 3 {
-		l.goOn(5, c.addresses()...)
+		l.waitServed(5, c.addresses()...)
 		runs(t, all...)
 		for _, p := range all {
 			p.signal(t, syscall.SIGHUP)
 		}
 	}
 	streams.whole(t, "H")
-	l.flawless(t)
+	l.stopAndCheck(t)
 	runs(t, all...)
 }
 
@@ -64,7 +64,7 @@
 	t.Parallel()
 	t.Run("vanillagate", func(t *testing.T) {
 		t.Parallel()
-		c := startCluster(t, shape{})
+		c := startCluster(t, clusterOptions{})
 		reader, out := logPipe(t)
 		e := c.replaceEntry(2, writesTo(out), "--log-level", "debug")
 		c.waitLinked()
@@ -83,17 +83,17 @@
 		t.Parallel()
 		e := startEdges(t, 3)
 		reader, out := logPipe(t)
-		e.runs[0].kill(t)
+		e.processes[0].kill(t)
 		e.startAfter(0, writesTo(out))
 		e.waitReady(0)
 		tally := e.load(60, 3*time.Second, func() {
 			assert.NilError(t, reader.Close())
 			for range 4 {
 				time.Sleep(500 * time.Millisecond)
-				e.runs[0].signal(t, syscall.SIGHUP) // something to write about
+				e.processes[0].signal(t, syscall.SIGHUP) // something to write about
 			}
 		})
-		runs(t, e.runs...)
+		runs(t, e.processes...)
 		assert.Equal(t, tally.Lost, 0)
 		assert.Equal(t, tally.Failed, 0)
 	})
@@ -104,7 +104,7 @@
 // to a pipe that was full.
 func TestAStuckLogReaderDelaysNobody(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	_, out := logPipe(t)
 	fillPipe(t, out)
 	e := c.replaceEntry(2, writesTo(out), "--log-level", "debug")
--- a/test/status_test.go
+++ b/test/status_test.go
@@ -24,7 +24,7 @@
 // switched off. Where the VM counts the asking itself as a request, or doesn't
 // see that its own stop was announced, the wait never ends.
 func TestAnnouncedStopOfEntryVMBecomesSafe(t *testing.T) {
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	c.waitLinked()
 	leaving := c.entries[2]
 	c.put(c.entries[0].address, "stops/disk", config.Stop{
@@ -47,7 +47,7 @@
 }
 
 func TestStatusShowsTheWholeSystem(t *testing.T) {
-	c := startCluster(t, shape{})
+	c := startCluster(t, clusterOptions{})
 	c.waitLinked()
 	st := c.status(c.entries[1].address)
 	assert.Equal(t, len(st.VMs), 3)
--- a/test/steward_test.go
+++ b/test/steward_test.go
@@ -34,10 +34,10 @@
 
 func (c *cluster) startSteward(name string) *steward {
 	c.t.Helper()
-	r := c.relayTo(c.file.Table)
+	r := c.startRelay(c.fleetFile.Table)
 	return &steward{table: r, process: launch(c.t, name, "vgsteward",
-		"--table-url", "http://"+r.Address(), "--objects-url", "http://"+c.objs.Address(),
-		"--vm-list-url", "http://"+c.file.VMList, "--zone", "a", "--region", "r1",
+		"--table-url", "http://"+r.Address(), "--objects-url", "http://"+c.objectsRelay.Address(),
+		"--vm-list-url", "http://"+c.fleetFile.VMList, "--zone", "a", "--region", "r1",
 		"--peer-listen", fmt.Sprintf("127.0.0.1:%d", freePorts(1)), "--peer-keys", peerKeys, "--config-period", "500ms",
 		"--lease-term", leaseTerm.String(), "--period", "100ms", "--loads-at-once", "2", "--log-level", "debug",
 	)}
@@ -126,7 +126,7 @@
 	for _, checks := range []bool{true, false} {
 		t.Run("engines check "+strconv.FormatBool(checks), func(t *testing.T) {
 			t.Parallel()
-			c := startCluster(t, shape{entries: 1, change: slowLoads(checks)})
+			c := startCluster(t, clusterOptions{entries: 1, editFleet: slowLoads(checks)})
 			one, two := c.startSteward("steward one"), c.startSteward("steward two")
 			c.wants("2")
 			waitFor(t, "the engines to serve version 2", func() bool { return c.allServe("2") })
@@ -167,14 +167,14 @@
 // get an answer from there.
 func TestEnginesThatIgnoreFencingEndAsWanted(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 1, change: slowLoads(false)})
+	c := startCluster(t, clusterOptions{entries: 1, editFleet: slowLoads(false)})
 	c.startSteward("steward one")
 	c.startSteward("steward two")
 	c.wants("2")
 	waitFor(t, "the engines to serve version 2", func() bool { return c.allServe("2") })
 	victim := c.targets("llm")[0]
 	late := order.Order{SetModel: &targetapi.SetModelRequest{Model: "m1", Version: "1", Role: "both"}}
-	var wrong complaints
+	var wrong failureList
 	var sending sync.WaitGroup
 	done := make(chan struct{})
 	sending.Go(func() {
@@ -185,7 +185,7 @@
 			default:
 			}
 			ref := "V" + strconv.Itoa(i)
-			if fault := faultOf(sendNow(c.entries[0].address, pipelineRequest(ref, 8)), wholeText(ref, 8)); fault != "" {
+			if fault := replyError(sendNow(c.entries[0].address, pipelineRequest(ref, 8)), wholeText(ref, 8)); fault != "" {
 				wrong.add(fault)
 			}
 		}
@@ -198,7 +198,7 @@
 	t.Logf("wanted version served again %d ms after the old order", time.Since(arrived).Milliseconds())
 	close(done)
 	sending.Wait()
-	wrong.none(t)
+	wrong.checkEmpty(t)
 }
 
 // The steward that holds the lease is stopped as planned while an engine loads
@@ -207,7 +207,7 @@
 // lease to lapse, and what was begun is not begun anew.
 func TestPlannedStopOfStewardHoldingALease(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 1, change: slowLoads(true)})
+	c := startCluster(t, clusterOptions{entries: 1, editFleet: slowLoads(true)})
 	one, two := c.startSteward("steward one"), c.startSteward("steward two")
 	c.wants("2")
 	waitFor(t, "the engines to serve version 2", func() bool { return c.allServe("2") })
@@ -219,7 +219,7 @@
 	assert.Assert(t, !c.allServe("3"))
 	stopped := time.Now()
 	leaving.signal(t, syscall.SIGTERM)
-	assert.Equal(t, leaving.exited(t, patience), 0)
+	assert.Equal(t, leaving.waitExit(t, waitTimeout), 0)
 	gone := time.Since(stopped)
 	waitFor(t, "version 3 to be served", func() bool { return c.allServe("3") })
 	took := time.Since(stopped)
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -55,15 +55,15 @@
 
 func TestTLSBetweenProcesses(t *testing.T) {
 	cert, key, _ := certificate(t)
-	c := startCluster(t, shape{flags: []string{"--peer-tls-cert", cert, "--peer-tls-key", key}})
+	c := startCluster(t, clusterOptions{flags: []string{"--peer-tls-cert", cert, "--peer-tls-key", key}})
 	c.waitLinked()
 	assert.Equal(t, sendNow(c.entries[1].address, pipelineRequest("Q", 8)).output(t), wholeText("Q", 8))
 }
 
 func TestTLSTowardsCallers(t *testing.T) {
 	cert, key, trusted := certificate(t)
-	c := startCluster(t, shape{})
-	row := c.file.Entries[2]
+	c := startCluster(t, clusterOptions{})
+	row := c.fleetFile.Entries[2]
 	c.entries[2].kill(t)
 	secure := c.startEntry(row, "--tls-cert", cert, "--tls-key", key)
 	https := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: trusted}}}
--- a/test/together_test.go
+++ b/test/together_test.go
@@ -160,7 +160,7 @@
 // told must be true in the end: of each key, and of each answer.
 func TestFaultsTogetherAndTwice(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 4})
+	c := startCluster(t, clusterOptions{entries: 4})
 	var own []*relay.Relay
 	var addresses []string
 	for i := range c.entries {
--- a/test/whole_answer_test.go
+++ b/test/whole_answer_test.go
@@ -33,7 +33,7 @@
 // twice, as a stream and as JSON.
 func TestCutStreamIsResumedFromWhatWasSent(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 2}) // each has its own budget for retries
+	c := startCluster(t, clusterOptions{entries: 2}) // each has its own budget for retries
 	c.setFault(enginePool, fault.Fault{DropStreamAfterTokens: 6})
 	s := stream(context.Background(), c.entries[0].address, "S", 16, nil)
 	assert.NilError(t, s.err)
@@ -50,7 +50,7 @@
 // be sent to a guest.
 func TestAnswerThatCantBeCompletedEndsInAnError(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 1})
+	c := startCluster(t, clusterOptions{entries: 1})
 	at := c.entries[0].address
 	c.setFault(enginePool, fault.Fault{DropStreamAfterTokens: 2})
 	s := stream(context.Background(), at, "S", 16, nil)
@@ -65,7 +65,7 @@
 // gets the whole answer from another one.
 func TestEngineThatDiesInMidStreamIsReplaced(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 1})
+	c := startCluster(t, clusterOptions{entries: 1})
 	at := c.entries[0].address
 	c.setFault(enginePool, fault.Fault{StraggleFactor: 15})
 	since := len(c.executions())
@@ -89,7 +89,7 @@
 // and get their own answers there.
 func TestCallersOfAnEntryVMThatDiesGetTheirAnswersElsewhere(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 2})
+	c := startCluster(t, clusterOptions{entries: 2})
 	first, second := c.entries[0], c.entries[1]
 	c.setFault(enginePool, fault.Fault{StraggleFactor: 15})
 	started := make(chan struct{})
@@ -102,7 +102,7 @@
 	waiting := background(first.address, pipelineRequest("J", 64))
 	select {
 	case <-started:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("no stream began")
 	}
 	waitFor(t, "both to be generated", func() bool { return len(c.generations(0)) == 2 })
@@ -123,8 +123,8 @@
 // time. No caller gets a short answer that looks whole, or words of another's.
 func TestNoSilentShortAnswerUnderManyFaults(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{entries: 2})
-	first := c.file.Pools[0].FirstAddress
+	c := startCluster(t, clusterOptions{entries: 2})
+	first := c.fleetFile.Pools[0].FirstAddress
 	c.setFault(enginePool, fault.Fault{DropStreamAfterTokens: 5, WrongIdentityShare: 0.1, LoseAnswerShare: 0.1})
 	c.setFault(fault.TargetScope(first), fault.Fault{StraggleFactor: 20})
 	total := 0
