--- a/internal/load/caller/caller_test.go
+++ b/internal/load/caller/caller_test.go
@@ -51,7 +51,7 @@
 	first.entries = []Entry{{Address: between.Address(), Zone: "a"}, {Address: second.address, Zone: "b"}}
 	c := New([]string{first.address})
 	defer c.Close()
-	between.Set(relay.Faults{LoseAnswer: true})
+	between.SetFaults(relay.Faults{LoseAnswer: true})
 
 	got := c.Do(context.Background(), callOf(KindService))
 	assert.Equal(t, got.Outcome, Answered, got.Detail)
@@ -126,7 +126,7 @@
 	assert.NilError(t, err)
 	defer between.Close()
 	frozen.entries = []Entry{{Address: between.Address(), Zone: "a"}, {Address: alive.address, Zone: "b"}}
-	between.Set(relay.Faults{FreezeToCaller: true})
+	between.SetFaults(relay.Faults{FreezeToCaller: true})
 	for _, kind := range []Kind{KindPipeline, KindStream} {
 		c := New([]string{frozen.address}, WithFirstTryShare(0.05))
 		got := c.Do(context.Background(), callOf(kind))
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -14,8 +14,8 @@
 type Faults struct {
 	// Delay holds every piece back for this long in each direction.
 	Delay time.Duration
-	// Refuse closes new connections at once.
-	Refuse bool
+	// RefuseConnections closes new connections at once.
+	RefuseConnections bool
 	// FreezeToTarget and FreezeToCaller stop forwarding in one direction and
 	// keep the connections, so that neither side learns of it. One alone is a
 	// one-way cut. What was held back is forwarded once the freeze ends.
@@ -70,8 +70,8 @@
 // Address is the IP:port on which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Set replaces the faults, also for connections that are open.
-func (r *Relay) Set(faults Faults) {
+// SetFaults replaces the faults, also for connections that are open.
+func (r *Relay) SetFaults(faults Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = faults
@@ -85,18 +85,18 @@
 	return r.faults
 }
 
-// Cut closes every open connection with a reset.
-func (r *Relay) Cut() {
+// ResetConnections closes every open connection with a reset.
+func (r *Relay) ResetConnections() {
 	for _, l := range r.links() {
 		l.reset()
 	}
 }
 
-// Open counts the open connections.
-func (r *Relay) Open() int { return len(r.links()) }
+// OpenConnections counts the open connections.
+func (r *Relay) OpenConnections() int { return len(r.links()) }
 
-// Accepted counts the connections that were forwarded since the start.
-func (r *Relay) Accepted() int {
+// AcceptedConnections counts the connections that were forwarded since the start.
+func (r *Relay) AcceptedConnections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.accepted
@@ -109,7 +109,7 @@
 	r.wake()
 	r.mu.Unlock()
 	_ = r.listener.Close()
-	r.Cut()
+	r.ResetConnections()
 	r.serving.Wait()
 }
 
@@ -138,7 +138,7 @@
 		if err != nil {
 			continue
 		}
-		if r.Faults().Refuse {
+		if r.Faults().RefuseConnections {
 			resetConn(conn)
 			continue
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -74,19 +74,19 @@
 	got, err := ask(t, conn, "hello")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "hello\n")
-	assert.Equal(t, r.Open(), 1)
+	assert.Equal(t, r.OpenConnections(), 1)
 	assert.NilError(t, conn.Close())
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if r.Open() == 0 {
+		if r.OpenConnections() == 0 {
 			return poll.Success()
 		}
-		return poll.Continue("open: %d", r.Open())
+		return poll.Continue("open: %d", r.OpenConnections())
 	})
 }
 
 func TestDelayHoldsBothWays(t *testing.T) {
 	_, r, conn := startRelay(t)
-	r.Set(Faults{Delay: 60 * time.Millisecond})
+	r.SetFaults(Faults{Delay: 60 * time.Millisecond})
 	start := time.Now()
 	_, err := ask(t, conn, "slow")
 	assert.NilError(t, err)
@@ -97,14 +97,14 @@
 	_, r, conn := startRelay(t)
 	_, err := ask(t, conn, "one")
 	assert.NilError(t, err)
-	r.Cut()
+	r.ResetConnections()
 	_, err = ask(t, conn, "two")
 	assert.Assert(t, err != nil && !errors.Is(err, os.ErrDeadlineExceeded), err)
 }
 
 func TestRefuse(t *testing.T) {
 	_, r, _ := startRelay(t)
-	r.Set(Faults{Refuse: true})
+	r.SetFaults(Faults{RefuseConnections: true})
 	conn, err := net.Dial("tcp", r.Address())
 	if err == nil {
 		_, err = ask(t, conn, "x")
@@ -116,7 +116,7 @@
 // broken connection and can't know that the call took effect.
 func TestLoseAnswer(t *testing.T) {
 	e, r, conn := startRelay(t)
-	r.Set(Faults{LoseAnswer: true})
+	r.SetFaults(Faults{LoseAnswer: true})
 	_, err := ask(t, conn, "effect")
 	assert.Assert(t, err != nil && !errors.Is(err, os.ErrDeadlineExceeded), err)
 	assert.Equal(t, e.lines.Load(), int64(1))
@@ -127,7 +127,7 @@
 // back arrives in order once the path is back.
 func TestFreezeOneWay(t *testing.T) {
 	e, r, conn := startRelay(t)
-	r.Set(Faults{FreezeToCaller: true})
+	r.SetFaults(Faults{FreezeToCaller: true})
 	fmt.Fprintln(conn, "held")
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if e.lines.Load() == 1 {
@@ -139,14 +139,14 @@
 	_, err := conn.Read(make([]byte, 1))
 	assert.Assert(t, errors.Is(err, os.ErrDeadlineExceeded), err)
 
-	r.Set(Faults{})
+	r.SetFaults(Faults{})
 	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(10*time.Second)))
 	got := make([]byte, len("held\n"))
 	_, err = io.ReadFull(conn, got)
 	assert.NilError(t, err)
 	assert.Equal(t, string(got), "held\n")
 
-	r.Set(Faults{FreezeToTarget: true})
+	r.SetFaults(Faults{FreezeToTarget: true})
 	fmt.Fprintln(conn, "stopped")
 	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
 	_, err = conn.Read(make([]byte, 1))
@@ -156,8 +156,8 @@
 
 func TestCloseEndsFrozenConnections(t *testing.T) {
 	_, r, conn := startRelay(t)
-	r.Set(Faults{FreezeToTarget: true, FreezeToCaller: true})
+	r.SetFaults(Faults{FreezeToTarget: true, FreezeToCaller: true})
 	fmt.Fprintln(conn, "x")
 	r.Close()
-	assert.Equal(t, r.Open(), 0)
+	assert.Equal(t, r.OpenConnections(), 0)
 }
--- a/internal/standin/bounds/bounds.go
+++ b/internal/standin/bounds/bounds.go
@@ -3,14 +3,14 @@
 
 import "github.com/vanillagate/vanillagate/internal/settings"
 
-// Most bounds every cost and size, so that none overflows.
-const Most = 1 << 30
+// Max bounds every cost and size, so that none overflows.
+const Max = 1 << 30
 
-// Count wants a number from zero to Most.
-func Count(c *settings.Checker, field string, n int) { c.IntBetween(field, n, 0, Most) }
+// CheckCount wants a number from zero to Most.
+func CheckCount(c *settings.Checker, field string, n int) { c.IntBetween(field, n, 0, Max) }
 
-// Share wants a share from 0 to 1.
-func Share(c *settings.Checker, field string, share float64) {
+// CheckShare wants a share from 0 to 1.
+func CheckShare(c *settings.Checker, field string, share float64) {
 	if !(share >= 0 && share <= 1) {
 		c.Reject(field, share, "0 to 1")
 	}
--- a/internal/standin/count/count.go
+++ b/internal/standin/count/count.go
@@ -55,16 +55,16 @@
 	Crashes          int   `json:"crashes"`
 }
 
-// Ledger holds the executions of all targets of a process. The zero value is
+// ExecutionLog holds the executions of all targets of a process. The zero value is
 // ready for use.
-type Ledger struct {
+type ExecutionLog struct {
 	mu         sync.Mutex // guards all below, and what the executions point to
 	executions []*Execution
 	crashes    map[string]int
 }
 
 // Start notes that a target begins to run a call. StartedUnixUS is set here.
-func (l *Ledger) Start(e Execution) *Running {
+func (l *ExecutionLog) Start(e Execution) *Running {
 	e.StartedUnixUS = time.Now().UnixMicro()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,8 +72,8 @@
 	return &Running{ledger: l, execution: &e}
 }
 
-// Crashed counts a crash of a target of the pool.
-func (l *Ledger) Crashed(pool string) {
+// RecordCrash counts a crash of a target of the pool.
+func (l *ExecutionLog) RecordCrash(pool string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.crashes == nil {
@@ -83,7 +83,7 @@
 }
 
 // Executions copies all records, oldest first.
-func (l *Ledger) Executions() []Execution {
+func (l *ExecutionLog) Executions() []Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := make([]Execution, len(l.executions))
@@ -94,7 +94,7 @@
 }
 
 // Reset forgets everything.
-func (l *Ledger) Reset() {
+func (l *ExecutionLog) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.executions = nil
@@ -102,7 +102,7 @@
 }
 
 // Summary adds up by pool.
-func (l *Ledger) Summary() map[string]PoolSummary {
+func (l *ExecutionLog) Summary() map[string]PoolSummary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	pools := map[string]PoolSummary{}
@@ -134,12 +134,12 @@
 
 // Running is an execution whose end is still to come.
 type Running struct {
-	ledger    *Ledger
+	ledger    *ExecutionLog
 	execution *Execution
 }
 
-// End notes what became of the execution.
-func (r *Running) End(result Result) {
+// Finish notes what became of the execution.
+func (r *Running) Finish(result Result) {
 	r.ledger.mu.Lock()
 	defer r.ledger.mu.Unlock()
 	r.execution.Finished = result.Finished
--- a/internal/standin/engine/costs.go
+++ b/internal/standin/engine/costs.go
@@ -43,17 +43,17 @@
 
 // Check rejects values that no engine can have. Field is put before each name.
 func (c Costs) Check(checker *settings.Checker, field string) {
-	bounds.Count(checker, field+"step_us", c.StepUS)
-	bounds.Count(checker, field+"per_sequence_us", c.PerSequenceUS)
-	bounds.Count(checker, field+"prefill_token_us", c.PrefillTokenUS)
-	bounds.Count(checker, field+"prefill_chunk", c.PrefillChunk)
-	bounds.Count(checker, field+"max_batch", c.MaxBatch)
-	bounds.Count(checker, field+"max_queue", c.MaxQueue)
-	bounds.Count(checker, field+"cache_blocks", c.CacheBlocks)
-	bounds.Count(checker, field+"model_load_ms", c.ModelLoadMS)
-	bounds.Count(checker, field+"adapter_load_ms", c.AdapterLoadMS)
-	bounds.Share(checker, field+"cache_event_drop_share", c.CacheEventDropShare)
-	bounds.Share(checker, field+"jitter_share", c.JitterShare)
+	bounds.CheckCount(checker, field+"step_us", c.StepUS)
+	bounds.CheckCount(checker, field+"per_sequence_us", c.PerSequenceUS)
+	bounds.CheckCount(checker, field+"prefill_token_us", c.PrefillTokenUS)
+	bounds.CheckCount(checker, field+"prefill_chunk", c.PrefillChunk)
+	bounds.CheckCount(checker, field+"max_batch", c.MaxBatch)
+	bounds.CheckCount(checker, field+"max_queue", c.MaxQueue)
+	bounds.CheckCount(checker, field+"cache_blocks", c.CacheBlocks)
+	bounds.CheckCount(checker, field+"model_load_ms", c.ModelLoadMS)
+	bounds.CheckCount(checker, field+"adapter_load_ms", c.AdapterLoadMS)
+	bounds.CheckShare(checker, field+"cache_event_drop_share", c.CacheEventDropShare)
+	bounds.CheckShare(checker, field+"jitter_share", c.JitterShare)
 }
 
 // WithDefaults fills in what was left out.
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -36,7 +36,7 @@
 	weights  *WeightStore
 	orders   chan struct{} // holds an element while an order is carried out
 	wake     chan struct{}
-	load     *history.Lagging[targetapi.LoadReport]
+	load     *history.DelayedValue[targetapi.LoadReport]
 
 	mu       sync.Mutex // guards all below; a leaf
 	batch    batch
@@ -192,7 +192,7 @@
 func (s *Sequence) Text(from, to int) string { return s.text.text(from, to) }
 
 // Load is the report as it is seen now, with its lag.
-func (e *Engine) Load() targetapi.LoadReport { return e.load.Seen(time.Now()) }
+func (e *Engine) Load() targetapi.LoadReport { return e.load.Delayed(time.Now()) }
 
 // Events lists the cache events that may be seen now.
 func (e *Engine) Events(after uint64) targetapi.CacheEvents {
--- a/internal/standin/engine/work.go
+++ b/internal/standin/engine/work.go
@@ -97,7 +97,7 @@
 
 // note records how the attempt stands.
 func (a *attempt) note(p Progress) {
-	a.running.End(count.Result{
+	a.running.Finish(count.Result{
 		Finished:         p.End == Complete,
 		Cancelled:        p.End == Cancelled && a.call.HungUp(),
 		EngineUS:         p.CostUS,
@@ -248,7 +248,7 @@
 	}
 	running := c.Start()
 	err := carryOut(c.Lifetime())
-	running.End(count.Result{Finished: err == nil})
+	running.Finish(count.Result{Finished: err == nil})
 	switch {
 	case err == nil:
 		c.JSON(target.Answer{Load: w.Engine.Load(), Version: w.Engine.Serving().Version}, w.models())
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -42,7 +42,7 @@
 
 	log    *zap.Logger
 	faults *fault.Set
-	ledger *count.Ledger
+	ledger *count.ExecutionLog
 	table  *table.Table
 	vms    *vmlist.List
 
@@ -59,7 +59,7 @@
 		Targets: map[string][]string{},
 		log:     log,
 		faults:  fault.NewSet(f.Seed),
-		ledger:  &count.Ledger{},
+		ledger:  &count.ExecutionLog{},
 		weights: engine.NewWeightStore(f.weightLoads()),
 		cancel:  cancel,
 	}
--- a/internal/standin/history/history.go
+++ b/internal/standin/history/history.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Lagging answers what a value was a fixed time ago. Use New.
-type Lagging[T any] struct {
+// DelayedValue answers what a value was a fixed time ago. Use New.
+type DelayedValue[T any] struct {
 	lag   time.Duration
 	every time.Duration
 
@@ -24,12 +24,12 @@
 // New starts with a first value that is seen at once. To bound what is kept,
 // a value that comes within every of the last sample replaces it, and so is
 // seen up to that much early; zero keeps them all.
-func New[T any](lag, every time.Duration, first T) *Lagging[T] {
-	return &Lagging[T]{lag: lag, every: every, samples: []sample[T]{{value: first}}}
+func New[T any](lag, every time.Duration, first T) *DelayedValue[T] {
+	return &DelayedValue[T]{lag: lag, every: every, samples: []sample[T]{{value: first}}}
 }
 
 // Set notes the value as of now.
-func (l *Lagging[T]) Set(now time.Time, value T) {
+func (l *DelayedValue[T]) Set(now time.Time, value T) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.prune(now)
@@ -41,8 +41,8 @@
 	l.samples = append(l.samples, sample[T]{at: now, value: value})
 }
 
-// Seen is the value as it was the lag before now.
-func (l *Lagging[T]) Seen(now time.Time) T {
+// Delayed is the value as it was the lag before now.
+func (l *DelayedValue[T]) Delayed(now time.Time) T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.prune(now)
@@ -50,14 +50,14 @@
 }
 
 // Latest is the value without the lag.
-func (l *Lagging[T]) Latest() T {
+func (l *DelayedValue[T]) Latest() T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.samples[len(l.samples)-1].value
 }
 
 // prune drops what is older than the newest sample that may be seen.
-func (l *Lagging[T]) prune(now time.Time) {
+func (l *DelayedValue[T]) prune(now time.Time) {
 	seen := 0
 	for i, s := range l.samples {
 		if !s.at.After(now.Add(-l.lag)) {
--- a/internal/standin/history/history_test.go
+++ b/internal/standin/history/history_test.go
@@ -16,7 +16,7 @@
 		after time.Duration
 		want  string
 	}{{0, "old"}, {999 * time.Millisecond, "old"}, {time.Second, "new"}, {1100 * time.Millisecond, "newer"}} {
-		assert.Equal(t, l.Seen(start.Add(c.after)), c.want, "after %s", c.after)
+		assert.Equal(t, l.Delayed(start.Add(c.after)), c.want, "after %s", c.after)
 	}
 	assert.Equal(t, l.Latest(), "newer")
 }
--- a/internal/standin/stagepool/run.go
+++ b/internal/standin/stagepool/run.go
@@ -46,7 +46,7 @@
 func (s *Server) execute(c *target.Call, j Job) {
 	running := c.Start()
 	spent, err := s.Spend(j.context(c), j.Items)
-	running.End(count.Result{
+	running.Finish(count.Result{
 		Finished:     err == nil,
 		Cancelled:    err != nil && c.HungUp(),
 		EngineUS:     spent.Microseconds(),
--- a/internal/standin/stagepool/server.go
+++ b/internal/standin/stagepool/server.go
@@ -34,11 +34,11 @@
 
 // Check rejects values that no server can have. Field is put before each name.
 func (c Costs) Check(checker *settings.Checker, field string) {
-	bounds.Count(checker, field+"base_us", c.BaseUS)
-	bounds.Count(checker, field+"per_item_us", c.PerItemUS)
-	bounds.Count(checker, field+"concurrency", c.Concurrency)
-	bounds.Count(checker, field+"max_queue", c.MaxQueue)
-	bounds.Share(checker, field+"jitter_share", c.JitterShare)
+	bounds.CheckCount(checker, field+"base_us", c.BaseUS)
+	bounds.CheckCount(checker, field+"per_item_us", c.PerItemUS)
+	bounds.CheckCount(checker, field+"concurrency", c.Concurrency)
+	bounds.CheckCount(checker, field+"max_queue", c.MaxQueue)
+	bounds.CheckShare(checker, field+"jitter_share", c.JitterShare)
 }
 
 // WithDefaults fills in what was left out.
@@ -59,7 +59,7 @@
 	costs    Costs
 	straggle func() float64
 	places   chan struct{}
-	load     *history.Lagging[targetapi.LoadReport]
+	load     *history.DelayedValue[targetapi.LoadReport]
 
 	mu      sync.Mutex // guards all below
 	dice    *rand.Rand
@@ -117,7 +117,7 @@
 }
 
 // Load is the report as it is seen now, with its lag.
-func (s *Server) Load() targetapi.LoadReport { return s.load.Seen(time.Now()) }
+func (s *Server) Load() targetapi.LoadReport { return s.load.Delayed(time.Now()) }
 
 func (s *Server) cost(items int) time.Duration {
 	us := float64(s.costs.BaseUS+s.costs.PerItemUS*items) * s.straggle()
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -32,7 +32,7 @@
 	pool   string
 	work   Work
 	faults *fault.Set
-	ledger *count.Ledger
+	ledger *count.ExecutionLog
 	gate   *gate.Gate
 
 	mu           sync.Mutex // guards all below; a leaf
@@ -44,7 +44,7 @@
 	Address string
 	Pool    string
 	Faults  *fault.Set
-	Ledger  *count.Ledger
+	Ledger  *count.ExecutionLog
 }
 
 // Open serves the work on the target's address.
@@ -119,7 +119,7 @@
 func (t *Target) crash(c *Call) {
 	c.Start()
 	if t.gate.Crash(c.fault.Restart()) {
-		t.ledger.Crashed(t.pool)
+		t.ledger.RecordCrash(t.pool)
 		t.work.Crash()
 	}
 	abort()
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -44,7 +44,7 @@
 // List is the VM list. Use New.
 type List struct {
 	faults *fault.Set
-	rows   *history.Lagging[[]Row]
+	rows   *history.DelayedValue[[]Row]
 
 	mu sync.Mutex // orders changes of the truth; taken before the history's
 }
@@ -94,7 +94,7 @@
 	if l.faults.Hits(f.LoseAnswerShare) {
 		outage.Abort()
 	}
-	raw, err := json.Marshal(l.rows.Seen(time.Now()))
+	raw, err := json.Marshal(l.rows.Delayed(time.Now()))
 	if err != nil {
 		panic(err) // our own type can always be encoded
 	}
--- a/test/cost_test.go
+++ b/test/cost_test.go
@@ -189,10 +189,10 @@
 				defer close(half)
 				c.everyone(3, 20, withoutBookings)
 			}()
-			c.table.Set(relay.Faults{LoseAnswer: true})
+			c.table.SetFaults(relay.Faults{LoseAnswer: true})
 			<-half
 			<-time.After(3 * costPeriod) // rows are written again and again
-			c.table.Set(relay.Faults{})
+			c.table.SetFaults(relay.Faults{})
 			c.everyone(3, 20, withoutBookings)
 		}},
 		{name: "hedges", estimates: true, run: func(c *cluster) {
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -84,15 +84,15 @@
 		},
 		{
 			name: "table service silent", within: soon,
-			broken:   func(c *cluster) { c.table.Set(relay.Faults{FreezeToCaller: true}) },
+			broken:   func(c *cluster) { c.table.SetFaults(relay.Faults{FreezeToCaller: true}) },
 			announce: operator,
 		},
 		{
 			name: "at one VM, the others cut from the table", within: soon, shape: shape{flagsOf: cutTables},
 			broken: func(c *cluster) {
 				for _, r := range c.cut {
-					r.Set(relay.Faults{Refuse: true})
-					r.Cut()
+					r.SetFaults(relay.Faults{RefuseConnections: true})
+					r.ResetConnections()
 				}
 			},
 			announce: operator,
--- a/test/long_test.go
+++ b/test/long_test.go
@@ -160,8 +160,8 @@
 	}
 	silent := func(f relay.Faults) func() func() {
 		return func() func() {
-			c.table.Set(f)
-			return func() { c.table.Set(relay.Faults{}); c.table.Cut() }
+			c.table.SetFaults(f)
+			return func() { c.table.SetFaults(relay.Faults{}); c.table.ResetConnections() }
 		}
 	}
 	return []happening{
--- a/test/not_run_test.go
+++ b/test/not_run_test.go
@@ -62,7 +62,7 @@
 	answer := background(first.address, running)
 	waitFor(t, "the booking to run", func() bool { return c.ranWithKey(running.key) == 1 })
 	// The third one's claim is on its way to the table.
-	own.Set(relay.Faults{FreezeToTarget: true})
+	own.SetFaults(relay.Faults{FreezeToTarget: true})
 	claiming := asLimited(quickConfirm(newKey(), 6*time.Second))
 	claimed := background(first.address, claiming)
 
@@ -86,7 +86,7 @@
 	fresh := asLimited(confirm(newKey()))
 	c.told("nobody has the key", fresh.key, refused(fresh), problem.NotRun)
 
-	own.Set(relay.Faults{})
+	own.SetFaults(relay.Faults{})
 	c.setFault(bookingPool, fault.Fault{})
 	<-answer
 	<-claimed
@@ -244,7 +244,7 @@
 	c := startCluster(t, shape{entries: 2})
 	first, own := c.giveOwnTable(c.entries[0])
 	c.waitEntries()
-	own.Set(relay.Faults{FreezeToTarget: true})
+	own.SetFaults(relay.Faults{FreezeToTarget: true})
 	r := quickConfirm(newKey(), 10*time.Second)
 	claimed := background(first.address, r)
 	c.entries[1].kill(t)
@@ -259,7 +259,7 @@
 		}
 		return len(told) >= 20
 	})
-	own.Set(relay.Faults{})
+	own.SetFaults(relay.Faults{})
 	<-claimed
 	for _, got := range told {
 		c.checkTrue("the replaced VM", r.key, got)
--- a/test/once_test.go
+++ b/test/once_test.go
@@ -149,7 +149,7 @@
 		"kill",
 		func(c *cluster, e *entryVM, _ *relay.Relay) { e.kill(c.t) },
 		func(c *cluster, e *entryVM, own *relay.Relay) *entryVM {
-			own.Set(relay.Faults{})
+			own.SetFaults(relay.Faults{})
 			e = c.restart(e)
 			c.waitReady(e)
 			return e
@@ -161,7 +161,7 @@
 		"freeze past the deadline",
 		func(c *cluster, e *entryVM, own *relay.Relay) {
 			e.freeze(c.t)
-			own.Set(relay.Faults{})
+			own.SetFaults(relay.Faults{})
 		},
 		func(c *cluster, e *entryVM, _ *relay.Relay) *entryVM {
 			e.signal(c.t, syscall.SIGCONT)
@@ -171,11 +171,11 @@
 	{
 		"cut from the table",
 		func(_ *cluster, _ *entryVM, own *relay.Relay) {
-			own.Set(relay.Faults{Refuse: true, FreezeToCaller: true, FreezeToTarget: true})
-			own.Cut()
+			own.SetFaults(relay.Faults{RefuseConnections: true, FreezeToCaller: true, FreezeToTarget: true})
+			own.ResetConnections()
 		},
 		func(_ *cluster, e *entryVM, own *relay.Relay) *entryVM {
-			own.Set(relay.Faults{})
+			own.SetFaults(relay.Faults{})
 			return e
 		},
 	},
@@ -193,7 +193,7 @@
 var bookingSteps = []bookingStep{
 	{
 		"between claim and dispatch",
-		func(_ *cluster, own *relay.Relay) { own.Set(relay.Faults{FreezeToCaller: true}) },
+		func(_ *cluster, own *relay.Relay) { own.SetFaults(relay.Faults{FreezeToCaller: true}) },
 		func(c *cluster, _ *relay.Relay, key string) bool { return c.claimStands(key) },
 		0,
 	},
@@ -210,7 +210,7 @@
 			if c.ranWithKey(key) == 0 {
 				return false
 			}
-			own.Set(relay.Faults{FreezeToTarget: true})
+			own.SetFaults(relay.Faults{FreezeToTarget: true})
 			return c.finishedWithKey(key)
 		},
 		1,
@@ -319,12 +319,12 @@
 
 	// Each and every answer is lost, at the relay: the claim takes effect.
 	key := newKey()
-	c.table.Set(relay.Faults{LoseAnswer: true})
+	c.table.SetFaults(relay.Faults{LoseAnswer: true})
 	got := sendNow(c.entries[0].address, quickConfirm(key, 300*time.Millisecond))
 	c.checkTrue("all answers are lost", key, got)
 	assert.Equal(t, c.ranWithKey(key), 0)
 	assert.Assert(t, c.claimStands(key))
-	c.table.Set(relay.Faults{})
+	c.table.SetFaults(relay.Faults{})
 	// The claim that nobody used is given up, so the key is not blocked.
 	waitFor(t, "the booking to be made in the end", func() bool {
 		return sendNow(c.entries[1].address, quickConfirm(key, 500*time.Millisecond)).status == http.StatusOK
--- a/test/together_test.go
+++ b/test/together_test.go
@@ -122,10 +122,10 @@
 		add(fmt.Sprintf("kill %d", i),
 			func() { c.entries[i].kill(c.t) }, func() { c.restart(c.entries[i]) })
 		for _, f := range []relay.Faults{
-			{FreezeToCaller: true, FreezeToTarget: true, Refuse: true}, {FreezeToCaller: true}, {LoseAnswer: true},
+			{FreezeToCaller: true, FreezeToTarget: true, RefuseConnections: true}, {FreezeToCaller: true}, {LoseAnswer: true},
 		} {
 			add(fmt.Sprintf("table of %d, %+v", i, f),
-				func() { own[i].Set(f); own[i].Cut() }, func() { own[i].Set(relay.Faults{}) })
+				func() { own[i].SetFaults(f); own[i].ResetConnections() }, func() { own[i].SetFaults(relay.Faults{}) })
 		}
 	}
 	scopes := []struct {
