--- a/test/cost_test.go
+++ b/test/cost_test.go
@@ -189,10 +189,10 @@
 				defer close(half)
 				c.everyone(3, 20, withoutBookings)
 			}()
-			c.tableRelay.Set(relay.Faults{LoseAnswer: true})
+			c.tableRelay.SetFaults(relay.Faults{LoseAnswer: true})
 			<-half
 			<-time.After(3 * costPeriod) // rows are written again and again
-			c.tableRelay.Set(relay.Faults{})
+			c.tableRelay.SetFaults(relay.Faults{})
 			c.everyone(3, 20, withoutBookings)
 		}},
 		{name: "hedges", estimates: true, run: func(c *cluster) {
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -84,15 +84,15 @@
 		},
 		{
 			name: "table service silent", within: maxPropagationDelay,
-			broken:   func(c *cluster) { c.tableRelay.Set(relay.Faults{FreezeToCaller: true}) },
+			broken:   func(c *cluster) { c.tableRelay.SetFaults(relay.Faults{FreezeToCaller: true}) },
 			announce: operator,
 		},
 		{
 			name: "at one VM, the others cut from the table", within: maxPropagationDelay, shape: clusterOptions{flagsFor: cutTables},
 			broken: func(c *cluster) {
 				for _, r := range c.extraRelays {
-					r.Set(relay.Faults{Refuse: true})
-					r.Cut()
+					r.SetFaults(relay.Faults{RefuseConnections: true})
+					r.ResetConnections()
 				}
 			},
 			announce: operator,
--- a/test/long_test.go
+++ b/test/long_test.go
@@ -160,8 +160,8 @@
 	}
 	silent := func(f relay.Faults) func() func() {
 		return func() func() {
-			c.tableRelay.Set(f)
-			return func() { c.tableRelay.Set(relay.Faults{}); c.tableRelay.Cut() }
+			c.tableRelay.SetFaults(f)
+			return func() { c.tableRelay.SetFaults(relay.Faults{}); c.tableRelay.ResetConnections() }
 		}
 	}
 	return []happening{
