--- a/cmd/vanillagate/main.go
+++ b/cmd/vanillagate/main.go
@@ -1,5 +1,5 @@
-// Command vanillagate is the entry process of every entry VM: it tells callers
-// which addresses to use, admits their requests and runs them.
+// Command vanillagate is the entry process that runs on every entry VM: it tells
+// callers which addresses to use, admits their requests and runs them.
 package main
 
 import (
--- a/cmd/vgctl/main.go
+++ b/cmd/vgctl/main.go
@@ -1,4 +1,4 @@
-// Command vgctl is the operators' desk.
+// Command vgctl is the command-line tool for operators.
 package main
 
 import (
--- a/cmd/vgedge/main.go
+++ b/cmd/vgedge/main.go
@@ -1,4 +1,4 @@
-// Command vgedge is the entry process of every VM on the users' platform.
+// Command vgedge is the entry process that runs on every VM of the users' platform.
 package main
 
 import (
--- a/cmd/vgload/main.go
+++ b/cmd/vgload/main.go
@@ -1,4 +1,4 @@
-// Command vgload is the load and experiment tool.
+// Command vgload generates load and runs experiments.
 package main
 
 import (
--- a/cmd/vgstandin/main.go
+++ b/cmd/vgstandin/main.go
@@ -1,6 +1,6 @@
-// Command vgstandin emulates what vanillagate meets outside: engines, stage
-// pools, plain services, the table service, the object store and the VM list.
-// It is for tests and experiments only.
+// Command vgstandin emulates the systems around vanillagate: engines, stage pools,
+// plain services, the table service, the object store and the VM list. It is for
+// tests and experiments only.
 package main
 
 import (
--- a/cmd/vgsteward/main.go
+++ b/cmd/vgsteward/main.go
@@ -1,4 +1,5 @@
-// Command vgsteward gives the engines of each pool their orders.
+// Command vgsteward tells the engines of each pool which models and adapters to
+// load.
 package main
 
 import (
--- a/internal/backing/backing.go
+++ b/internal/backing/backing.go
@@ -1,6 +1,6 @@
-// Package backing is the client side of the services behind the system: a
-// transactional table service, an object store and a VM list. The
-// interfaces here are what the rest of the system sees of it.
+// Package backing defines the interfaces to the services of the platform that the
+// system depends on: a transactional table service, an object store and a VM list.
+// The clients are in its subpackages.
 package backing
 
 import (
@@ -8,46 +8,47 @@
 	"errors"
 )
 
-// Errors of the platform's services. Each may be wrapped; test with errors.Is.
+// Errors of the platform's services. They may be wrapped; test with errors.Is.
 var (
-	// ErrNotRun means that the call certainly had no effect (refused, or never
-	// sent).
+	// ErrNotRun means that the call certainly had no effect: it was rejected, or
+	// never sent.
 	ErrNotRun = errors.New("backing: call had no effect")
-	// ErrUnknown means that the answer was lost: the call may have had its
-	// effect. Read again by the write's own identity before saying anything.
+	// ErrUnknown means that no usable answer arrived: the call may have taken effect.
+	// Before reporting an outcome, read whether the write, identified by a unique ID
+	// in its row, is there.
 	ErrUnknown = errors.New("backing: effect of call is unknown")
 	// ErrNotFound means that the object does not exist.
 	ErrNotFound = errors.New("backing: not found")
 )
 
-// Key names a row. Rows of a partition are ordered by Sort.
+// Key identifies a row. The rows of a partition are sorted by Sort.
 type Key struct {
 	Partition string
 	Sort      string
 }
 
-// Row is a row of the table. Version is 1 for a new row and grows by one with
-// each write made through IfVersion.
+// Row is a row of the table. Version is 1 for a new row and increases by one with
+// each write that uses IfVersion.
 type Row struct {
 	Key
 	Version uint64
 	Body    []byte
 }
 
-// Condition guards a Write.
+// Condition is the precondition of a Write.
 type Condition int
 
 // The conditions.
 const (
-	// Always writes whatever is there.
+	// Always writes unconditionally.
 	Always Condition = iota
-	// IfAbsent writes only where no row stands.
+	// IfAbsent writes only if the row does not exist.
 	IfAbsent
-	// IfVersion writes only where the row stands at the given version.
+	// IfVersion writes only if the row exists with the given version.
 	IfVersion
 )
 
-// Write puts one row.
+// Write puts or deletes one row.
 type Write struct {
 	Row     Row
 	If      Condition
@@ -55,8 +56,8 @@
 	Delete  bool   // delete instead of put
 }
 
-// Conflict says that the write at Index failed its condition. Found is the
-// row that stands there, nil if there is none.
+// Conflict reports that the condition of the write at Index did not hold. Found is
+// the existing row, nil if there is none.
 type Conflict struct {
 	Index int
 	Found *Row
@@ -64,23 +65,23 @@
 
 // Table is the transactional table service.
 type Table interface {
-	// Get reads one row with strong consistency; nil if there is none.
+	// Get reads one row with strong consistency. It returns nil if there is none.
 	Get(ctx context.Context, key Key) (*Row, error)
-	// Scan reads rows of a partition with Sort greater than after, in order,
-	// at most limit of them.
+	// Scan reads at most limit rows of a partition whose Sort is greater than after,
+	// in order.
 	Scan(ctx context.Context, partition, after string, limit int) ([]Row, error)
-	// Commit applies all writes (100 at most) or none. Conflicts are an
-	// outcome, not an error: when any is returned nothing was written.
+	// Commit applies all writes (at most 100) or none. Conflicts are not an error: if
+	// any are returned, nothing was written.
 	Commit(ctx context.Context, writes []Write) ([]Conflict, error)
 }
 
-// ObjectStore keeps whole objects by name.
+// ObjectStore stores objects by name.
 type ObjectStore interface {
 	Get(ctx context.Context, name string) ([]byte, error)
 	Put(ctx context.Context, name string, body []byte) error
 }
 
-// VMState is what the VM list says of a VM.
+// VMState is the state of a VM in the VM list.
 type VMState string
 
 // The states of a listed VM.
@@ -89,7 +90,7 @@
 	VMLeaving VMState = "leaving"
 )
 
-// VMRole says what runs on a listed VM.
+// VMRole is what runs on a listed VM.
 type VMRole string
 
 // The roles of listed VMs.
@@ -100,9 +101,11 @@
 
 // VM is one row of the VM list.
 type VM struct {
-	// Address is the IP:port where callers (entry) or we (target) connect.
+	// Address is the IP:port to which callers connect (entry VM), or to which entry
+	// processes connect (target).
 	Address string
-	// PeerAddress is the IP:port of an entry VM's peer side; empty for targets.
+	// PeerAddress is the IP:port on which an entry VM listens for its peers; empty
+	// for targets.
 	PeerAddress string
 	Role        VMRole
 	// Pool is the pool that a target belongs to.
@@ -112,7 +115,7 @@
 	State  VMState
 }
 
-// VMList is the platform's lagging list of VMs.
+// VMList is the platform's list of VMs. It lags behind the actual state.
 type VMList interface {
 	List(ctx context.Context) ([]VM, error)
 }
--- a/internal/backing/clients_test.go
+++ b/internal/backing/clients_test.go
@@ -1,4 +1,4 @@
-// The clients of the platform are tested against its stand-ins.
+// The clients are tested against the stand-ins of the platform's services.
 package backing_test
 
 import (
@@ -28,7 +28,7 @@
 
 const anyPort = "127.0.0.1:0"
 
-func open(t *testing.T) *fleet.Fleet {
+func startFleet(t *testing.T) *fleet.Fleet {
 	f, err := fleet.Open(fleet.File{
 		Seed: 1, Table: anyPort, Objects: anyPort, VMList: anyPort, Control: anyPort,
 		Entries: []fleet.Entry{{Address: "127.0.0.1:7501", PeerAddress: "127.0.0.1:7601", Zone: "a"}},
@@ -75,7 +75,7 @@
 }
 
 func TestTableConditionsAndPages(t *testing.T) {
-	rows := table(open(t).Table)
+	rows := table(startFleet(t).Table)
 	ctx := t.Context()
 	conflicts, err := rows.Commit(ctx, []backing.Write{put("p", "1", "one"), put("p", "2", "two"), put("q", "1", "other")})
 	assert.NilError(t, err)
@@ -113,12 +113,12 @@
 
 func keyOnly(row *backing.Row) backing.Row { return backing.Row{Key: row.Key} }
 
-// The table service takes a write and its answer is lost, or it can't be
-// reached at all. The first must be "unknown" and the second "had no effect";
-// the other way round a change would be made twice, or a caller told that
-// nothing ran though it did.
+// The table service applies a write and its answer is lost, or the service can't be
+// reached at all. The first must give ErrUnknown and the second ErrNotRun; otherwise
+// a change would be made twice, or a caller would be told that nothing ran although
+// it did.
 func TestTableFailures(t *testing.T) {
-	f := open(t)
+	f := startFleet(t)
 	rows := table(f.Table)
 	setFault(t, f, fault.ScopeTable, fault.Fault{LoseAnswerShare: 1})
 	_, err := rows.Commit(t.Context(), []backing.Write{put("p", "1", "one")})
@@ -131,7 +131,8 @@
 	setFault(t, f, fault.ScopeTable, fault.Fault{Down: true})
 	_, err = rows.Commit(t.Context(), []backing.Write{put("p", "2", "two")})
 	if err != nil && errors.Is(err, backing.ErrUnknown) {
-		// The first call after the outage may meet a kept connection.
+		// The first call after the start of the outage may use a connection from
+		// before it.
 		_, err = rows.Commit(t.Context(), []backing.Write{put("p", "2", "two")})
 	}
 	assert.ErrorIs(t, err, backing.ErrNotRun)
@@ -139,18 +140,18 @@
 	assert.ErrorIs(t, err, backing.ErrNotRun)
 }
 
-// The service closes the connection after it has read a request. Whatever the
-// SDK or the HTTP library underneath would like to do, the write goes out once.
+// The service closes the connection after it has read a request. Neither the SDK
+// nor net/http may send the write a second time.
 func TestNoCallIsSentTwice(t *testing.T) {
-	for _, kept := range []bool{false, true} {
-		t.Run(fmt.Sprintf("kept connection: %t", kept), func(t *testing.T) {
-			var calls, good atomic.Int64
-			if kept {
-				good.Store(1)
+	for _, reused := range []bool{false, true} {
+		t.Run(fmt.Sprintf("reused connection: %t", reused), func(t *testing.T) {
+			var calls, successes atomic.Int64
+			if reused {
+				successes.Store(1)
 			}
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				calls.Add(1)
-				if good.Add(-1) >= 0 {
+				if successes.Add(-1) >= 0 {
 					w.Header().Set("Content-Type", "application/x-amz-json-1.0")
 					_, _ = w.Write([]byte("{}"))
 					return
@@ -159,7 +160,7 @@
 			}))
 			defer server.Close()
 			rows := table(server.Listener.Addr().String())
-			if kept {
+			if reused {
 				_, err := rows.Commit(t.Context(), []backing.Write{put("p", "0", "zero")})
 				assert.NilError(t, err)
 			}
@@ -171,7 +172,7 @@
 	}
 }
 
-func TestStatusesOfTheTable(t *testing.T) {
+func TestTableStatusCodes(t *testing.T) {
 	cases := []struct {
 		status int
 		code   string
@@ -194,9 +195,9 @@
 	}
 }
 
-// The service accepts connections and never answers. A call must end by its
-// own time limit, as unknown.
-func TestSilentTable(t *testing.T) {
+// The service accepts connections and never answers. A call must end at its
+// deadline with ErrUnknown.
+func TestUnresponsiveTable(t *testing.T) {
 	listener, err := net.Listen("tcp", anyPort)
 	assert.NilError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -207,7 +208,7 @@
 }
 
 func TestObjects(t *testing.T) {
-	f := open(t)
+	f := startFleet(t)
 	objectStore := store(f.Objects)
 	ctx := t.Context()
 	_, err := objectStore.Get(ctx, "config/none.json")
@@ -222,7 +223,7 @@
 }
 
 func TestVMList(t *testing.T) {
-	f := open(t)
+	f := startFleet(t)
 	vms, err := vmlist.New("http://" + f.VMList + "/").List(t.Context())
 	assert.NilError(t, err)
 	assert.DeepEqual(t, vms, []backing.VM{
--- a/internal/backing/dynamo/dynamo.go
+++ b/internal/backing/dynamo/dynamo.go
@@ -1,6 +1,6 @@
-// Package dynamo is the client of the platform's table service, which speaks
-// the DynamoDB protocol. Rows stand in one table with the key attributes pk
-// and sk, a number ver and a binary body.
+// Package dynamo is a client for the platform's table service, which implements
+// the DynamoDB protocol. All rows are in one table with the key attributes pk and
+// sk, a number ver and a binary body.
 package dynamo
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/vanillagate/vanillagate/internal/backing"
 )
 
-// TableName is the one table that the system uses.
+// TableName is the name of the table for all rows of the system.
 const TableName = "vanillagate"
 
 // Attributes of a row.
@@ -30,7 +30,7 @@
 	attrBody      = "body"
 )
 
-// MaxWrites is how many rows one transaction may write.
+// MaxWrites is the maximum number of writes per transaction.
 const MaxWrites = 100
 
 // Table is a backing.Table over the DynamoDB protocol.
@@ -38,14 +38,14 @@
 
 var _ backing.Table = (*Table)(nil)
 
-// New builds a Table. It makes no connection yet.
+// New returns a Table. It does not connect yet.
 func New(cfg backing.StoreConfig) *Table {
 	return &Table{client: dynamodb.New(dynamodb.Options{
 		BaseEndpoint: aws.String(cfg.URL),
 		Region:       cfg.Region,
 		Credentials:  credentials.NewStaticCredentialsProvider(cfg.AccessKey, cfg.SecretKey, ""),
-		// The SDK would send a write again by itself. Whether that is safe is
-		// for the caller to decide, who knows the write's own identity.
+		// The SDK would retry writes by itself. Whether that is safe is for the caller
+		// to decide, who can tell whether the first attempt took effect.
 		Retryer:    aws.NopRetryer{},
 		HTTPClient: backing.NewHTTPClient(cfg.HTTP),
 	})}
@@ -59,7 +59,7 @@
 		ConsistentRead: aws.Bool(true),
 	})
 	if err != nil {
-		return nil, outcome("get", err)
+		return nil, classifyError("get", err)
 	}
 	if len(out.Item) == 0 {
 		return nil, nil
@@ -74,7 +74,7 @@
 	for len(rows) < limit {
 		out, err := t.query(ctx, partition, after, limit-len(rows), from)
 		if err != nil {
-			return nil, outcome("scan", err)
+			return nil, classifyError("scan", err)
 		}
 		for _, item := range out.Items {
 			row, err := rowOf(item)
@@ -83,7 +83,7 @@
 			}
 			rows = append(rows, *row)
 		}
-		// A page may end early, by its size in bytes, with more to come.
+		// A page may have fewer rows than the limit because of its size in bytes.
 		from = out.LastEvaluatedKey
 		if len(from) == 0 {
 			break
@@ -114,7 +114,7 @@
 		return nil, nil
 	}
 	if len(writes) > MaxWrites {
-		return nil, fmt.Errorf("dynamo: %d writes in one transaction: %w", len(writes), backing.ErrNotRun)
+		return nil, fmt.Errorf("dynamo: too many writes in one transaction (%d): %w", len(writes), backing.ErrNotRun)
 	}
 	items := make([]types.TransactWriteItem, 0, len(writes))
 	for _, w := range writes {
@@ -128,13 +128,13 @@
 	if errors.As(err, &cancelled) {
 		return conflictsOf(writes, cancelled)
 	}
-	return nil, outcome("commit", err)
+	return nil, classifyError("commit", err)
 }
 
 const conditionFailed = "ConditionalCheckFailed"
 
-// conflictsOf reads why a transaction was cancelled. A cancelled transaction
-// wrote nothing, whatever the reason.
+// conflictsOf returns the failed conditions of a cancelled transaction. A cancelled
+// transaction wrote nothing, whatever the reason.
 func conflictsOf(writes []backing.Write, cancelled *types.TransactionCanceledException) ([]backing.Conflict, error) {
 	var conflicts []backing.Conflict
 	for i, reason := range cancelled.CancellationReasons {
@@ -205,8 +205,8 @@
 	return &types.AttributeValueMemberN{Value: strconv.FormatUint(n, 10)}
 }
 
-// rowOf reads a row. A row that isn't ours is an error of unknown effect: it
-// says nothing about what was written.
+// rowOf decodes a row. A row in another layout gives ErrUnknown, since it does not
+// show whether a write took effect.
 func rowOf(item map[string]types.AttributeValue) (*backing.Row, error) {
 	partition, ok1 := item[attrPartition].(*types.AttributeValueMemberS)
 	sort, ok2 := item[attrSort].(*types.AttributeValueMemberS)
@@ -216,7 +216,7 @@
 	}
 	number, err := strconv.ParseUint(version.Value, 10, 64)
 	if err != nil {
-		return nil, fmt.Errorf("dynamo: row with version %q: %w", version.Value, backing.ErrUnknown)
+		return nil, fmt.Errorf("dynamo: row with invalid version %q: %w", version.Value, backing.ErrUnknown)
 	}
 	row := &backing.Row{Key: backing.Key{Partition: partition.Value, Sort: sort.Value}, Version: number}
 	switch body := item[attrBody].(type) {
@@ -228,9 +228,10 @@
 	return row, nil
 }
 
-// outcome tells a call that certainly had no effect from one that may have had
-// it. A 4xx answer is a refusal; a 5xx may come after the write.
-func outcome(call string, err error) error {
+// classifyError wraps the error of a call with ErrNotRun if the call certainly had
+// no effect, and with ErrUnknown otherwise. A call answered with a 4xx status was
+// rejected; a 5xx status may follow a write that took effect.
+func classifyError(call string, err error) error {
 	if errors.Is(err, backing.ErrNotRun) {
 		return fmt.Errorf("dynamo: %s: %w", call, err)
 	}
@@ -238,13 +239,13 @@
 	if errors.As(err, &inProgress) {
 		return fmt.Errorf("dynamo: %s: %w: %w", call, backing.ErrUnknown, err)
 	}
-	var answer *smithyhttp.ResponseError
-	if errors.As(err, &answer) && isRefusal(answer.HTTPStatusCode()) {
+	var respErr *smithyhttp.ResponseError
+	if errors.As(err, &respErr) && isClientError(respErr.HTTPStatusCode()) {
 		return fmt.Errorf("dynamo: %s: %w: %w", call, backing.ErrNotRun, err)
 	}
 	return fmt.Errorf("dynamo: %s: %w: %w", call, backing.ErrUnknown, err)
 }
 
-func isRefusal(status int) bool {
+func isClientError(status int) bool {
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError
 }
--- a/internal/backing/memory/memory.go
+++ b/internal/backing/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory keeps a table and objects in memory, with faults that a test
-// switches on. It serves tests of decisions; nothing it holds lasts.
+// Package memory implements the table service and the object store in memory for
+// unit tests, with fault injection.
 package memory
 
 import (
@@ -11,34 +11,33 @@
 	"github.com/vanillagate/vanillagate/internal/backing"
 )
 
-// Fault is what happens to a call.
+// Fault is a fault to inject into a call.
 type Fault int
 
 // The faults.
 const (
-	// None lets the call through.
+	// None lets the call succeed.
 	None Fault = iota
-	// NotRun refuses the call before it had any effect.
+	// NotRun rejects the call before it takes effect.
 	NotRun
-	// LostAnswer lets the call have its effect and loses the answer.
+	// LostAnswer lets the call take effect and loses the answer.
 	LostAnswer
-	// LostCall loses the call itself; its sender can't tell this from
-	// LostAnswer.
+	// LostCall loses the call before it takes effect. The caller gets the same error
+	// as for LostAnswer.
 	LostCall
 )
 
-// Call tells a Faults function which call is about to be made.
+// Call describes a call to the function set by SetFaults.
 type Call struct {
-	// Write says that the call is a Commit or a Put.
+	// Write is set for a Commit or a Put.
 	Write bool
 	// Writes are the rows of a Commit.
 	Writes []backing.Write
 }
 
-// Store is a Table; Objects gives its ObjectStore. The zero value is not
-// ready: use New.
+// Store is a backing.Table; Objects returns its object store. Create it with New.
 type Store struct {
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards the fields below
 	rows    map[backing.Key]backing.Row
 	objects map[string][]byte
 	faults  func(Call) Fault
@@ -47,34 +46,34 @@
 
 var _ backing.Table = (*Store)(nil)
 
-// New is an empty store without faults.
+// New returns an empty store without faults.
 func New() *Store {
 	return &Store{rows: map[backing.Key]backing.Row{}, objects: map[string][]byte{}}
 }
 
-// SetFaults has fn decide the fate of each call from now on; nil clears it.
-// The function is called under the store's lock and must not call the store.
+// SetFaults sets a function that chooses the fault of each call from now on; nil
+// removes it. It is called under the store's lock and must not call the store.
 func (s *Store) SetFaults(fn func(Call) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = fn
 }
 
-// Commits counts the commits that were asked for.
+// Commits returns the number of calls of Commit, including failed ones.
 func (s *Store) Commits() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.commits
 }
 
-// Objects is the object store beside the table.
+// Objects returns the object store. It shares its faults with the table.
 func (s *Store) Objects() backing.ObjectStore { return objectStore{s} }
 
 // Get implements backing.Table.
 func (s *Store) Get(ctx context.Context, key backing.Key) (*backing.Row, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, err := s.begin(ctx, Call{}); err != nil {
+	if _, err := s.applyFault(ctx, Call{}); err != nil {
 		return nil, err
 	}
 	return s.find(key), nil
@@ -84,7 +83,7 @@
 func (s *Store) Scan(ctx context.Context, partition, after string, limit int) ([]backing.Row, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, err := s.begin(ctx, Call{}); err != nil {
+	if _, err := s.applyFault(ctx, Call{}); err != nil {
 		return nil, err
 	}
 	var found []backing.Row
@@ -102,7 +101,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.commits++
-	lost, err := s.begin(ctx, Call{Write: true, Writes: writes})
+	lost, err := s.applyFault(ctx, Call{Write: true, Writes: writes})
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +116,7 @@
 	var conflicts []backing.Conflict
 	for i, w := range writes {
 		found := s.find(w.Row.Key)
-		if !holds(w, found) {
+		if !conditionHolds(w, found) {
 			conflicts = append(conflicts, backing.Conflict{Index: i, Found: found})
 		}
 	}
@@ -150,8 +149,9 @@
 	return &row
 }
 
-// begin applies the fault; lost says that the answer will not arrive.
-func (s *Store) begin(ctx context.Context, call Call) (lost bool, err error) {
+// applyFault applies the fault of the call. It returns lost if the call takes effect
+// and its answer is lost.
+func (s *Store) applyFault(ctx context.Context, call Call) (lost bool, err error) {
 	if ctx.Err() != nil {
 		return false, backing.ErrNotRun
 	}
@@ -173,7 +173,7 @@
 	}
 }
 
-func holds(w backing.Write, found *backing.Row) bool {
+func conditionHolds(w backing.Write, found *backing.Row) bool {
 	switch w.If {
 	case backing.IfAbsent:
 		return found == nil
@@ -190,7 +190,7 @@
 func (o objectStore) Get(ctx context.Context, name string) ([]byte, error) {
 	o.s.mu.Lock()
 	defer o.s.mu.Unlock()
-	if _, err := o.s.begin(ctx, Call{}); err != nil {
+	if _, err := o.s.applyFault(ctx, Call{}); err != nil {
 		return nil, err
 	}
 	body, ok := o.s.objects[name]
@@ -204,7 +204,7 @@
 func (o objectStore) Put(ctx context.Context, name string, body []byte) error {
 	o.s.mu.Lock()
 	defer o.s.mu.Unlock()
-	lost, err := o.s.begin(ctx, Call{Write: true})
+	lost, err := o.s.applyFault(ctx, Call{Write: true})
 	if err != nil {
 		return err
 	}
--- a/internal/backing/objects/objects.go
+++ b/internal/backing/objects/objects.go
@@ -1,5 +1,5 @@
-// Package objects is the client of the platform's object store, which speaks
-// the S3 protocol with path-style addresses.
+// Package objects is a client for the platform's object store, which implements
+// the S3 protocol with path-style addressing.
 package objects
 
 import (
@@ -18,10 +18,10 @@
 	"github.com/vanillagate/vanillagate/internal/backing"
 )
 
-// Bucket is the one bucket that the system uses.
+// Bucket is the bucket for all objects of the system.
 const Bucket = "vanillagate"
 
-// MaxObjectBytes bounds what is read of an object.
+// MaxObjectBytes is the maximum size of an object that Get reads.
 const MaxObjectBytes = 64 << 20
 
 // Store is a backing.ObjectStore over the S3 protocol.
@@ -29,7 +29,7 @@
 
 var _ backing.ObjectStore = (*Store)(nil)
 
-// New builds a Store. It makes no connection yet.
+// New returns a Store. It does not connect yet.
 func New(cfg backing.StoreConfig) *Store {
 	return &Store{client: s3.New(s3.Options{
 		BaseEndpoint: aws.String(cfg.URL),
@@ -38,8 +38,8 @@
 		UsePathStyle: true,
 		Retryer:      aws.NopRetryer{},
 		HTTPClient:   backing.NewHTTPClient(cfg.HTTP),
-		// Without these the SDK sends bodies in signed chunks with trailers,
-		// which not every store of this protocol reads.
+		// By default the SDK sends bodies in signed chunks with trailers, which not
+		// every S3-compatible store supports.
 		RequestChecksumCalculation: aws.RequestChecksumCalculationWhenRequired,
 		ResponseChecksumValidation: aws.ResponseChecksumValidationWhenRequired,
 	})}
@@ -49,19 +49,19 @@
 func (s *Store) Get(ctx context.Context, name string) ([]byte, error) {
 	out, err := s.client.GetObject(ctx, &s3.GetObjectInput{Bucket: aws.String(Bucket), Key: aws.String(name)})
 	if err != nil {
-		return nil, outcome("get", name, err)
+		return nil, classifyError("get", name, err)
 	}
 	defer func() { _ = out.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(out.Body, MaxObjectBytes+1))
 	if err != nil {
-		return nil, outcome("get", name, err)
+		return nil, classifyError("get", name, err)
 	}
 	if len(body) > MaxObjectBytes {
-		return nil, fmt.Errorf("objects: get %s: more than %d bytes: %w", name, MaxObjectBytes, backing.ErrNotRun)
+		return nil, fmt.Errorf("objects: get %s: object is larger than %d bytes: %w", name, MaxObjectBytes, backing.ErrNotRun)
 	}
-	// An answer cut short must not pass as the whole object.
+	// A truncated response must not be taken for the whole object.
 	if want := aws.ToInt64(out.ContentLength); want > 0 && want != int64(len(body)) {
-		return nil, fmt.Errorf("objects: get %s: %d of %d bytes: %w", name, len(body), want, backing.ErrUnknown)
+		return nil, fmt.Errorf("objects: get %s: truncated response, %d of %d bytes: %w", name, len(body), want, backing.ErrUnknown)
 	}
 	return body, nil
 }
@@ -75,19 +75,19 @@
 		ContentLength: aws.Int64(int64(len(body))),
 	})
 	if err != nil {
-		return outcome("put", name, err)
+		return classifyError("put", name, err)
 	}
 	return nil
 }
 
-func outcome(call, name string, err error) error {
+func classifyError(call, name string, err error) error {
 	if errors.Is(err, backing.ErrNotRun) {
 		return fmt.Errorf("objects: %s %s: %w", call, name, err)
 	}
 	kind := backing.ErrUnknown
-	var answer *smithyhttp.ResponseError
-	if errors.As(err, &answer) {
-		status := answer.HTTPStatusCode()
+	var respErr *smithyhttp.ResponseError
+	if errors.As(err, &respErr) {
+		status := respErr.HTTPStatusCode()
 		switch {
 		case status == http.StatusNotFound:
 			kind = backing.ErrNotFound
--- a/internal/backing/transport.go
+++ b/internal/backing/transport.go
@@ -10,41 +10,41 @@
 	"time"
 )
 
-// StoreConfig says how to reach the table service or the object store.
+// StoreConfig configures the connection to the table service or the object store.
 type StoreConfig struct {
 	// URL is the base endpoint, such as http://10.0.0.1:8000.
 	URL string
-	// Region, AccessKey and SecretKey sign the requests.
+	// Region, AccessKey and SecretKey are used to sign the requests.
 	Region    string
 	AccessKey string
 	SecretKey string
 	HTTP      HTTPConfig
 }
 
-// HTTPConfig bounds the connections to one service of the platform.
+// HTTPConfig limits the connections and calls to one service of the platform.
 type HTTPConfig struct {
-	// Connections bounds the connections that are open at once.
+	// Connections is the maximum number of open connections.
 	Connections int
-	// DialTimeout bounds the connecting, CallTimeout the whole call.
+	// DialTimeout bounds connecting, CallTimeout the whole call.
 	DialTimeout time.Duration
 	CallTimeout time.Duration
 }
 
-// DefaultHTTPConfig suits one entry VM.
+// DefaultHTTPConfig returns the limits for one entry VM.
 func DefaultHTTPConfig() HTTPConfig {
 	return HTTPConfig{Connections: 32, DialTimeout: 500 * time.Millisecond, CallTimeout: 2 * time.Second}
 }
 
 const (
-	idleConnTimeout  = 30 * time.Second
-	maxResponseBytes = 64 << 10 // of header
+	idleConnTimeout        = 30 * time.Second
+	maxResponseHeaderBytes = 64 << 10
 )
 
-// HTTPClient is the client that the SDKs of the platform's services use. Its
-// errors match ErrNotRun where no byte of the request can have been sent.
+// HTTPClient is the HTTP client for the AWS SDKs. Its errors match ErrNotRun if no
+// byte of the request can have been sent.
 type HTTPClient struct{ client *http.Client }
 
-// NewHTTPClient builds a client with connections of its own.
+// NewHTTPClient returns a client with its own connection pool.
 func NewHTTPClient(cfg HTTPConfig) *HTTPClient {
 	dialer := &net.Dialer{Timeout: cfg.DialTimeout}
 	transport := &http.Transport{
@@ -53,7 +53,7 @@
 		MaxIdleConns:           cfg.Connections,
 		MaxIdleConnsPerHost:    cfg.Connections,
 		IdleConnTimeout:        idleConnTimeout,
-		MaxResponseHeaderBytes: maxResponseBytes,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		DisableCompression:     true,
 	}
 	return &HTTPClient{client: &http.Client{Transport: transport, Timeout: cfg.CallTimeout, CheckRedirect: noRedirect}}
@@ -61,13 +61,12 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Do sends one request. A write that is said to have had no effect may be
-// made again, so ErrNotRun is said only in two cases: no connection was ever
-// given to the request, or the last thing that failed was dialing. In the
-// second case an earlier connection may have been given to it, but net/http
-// goes on to dial for a request that is not replayable only after it knows
-// that nothing was written. A cancelled call that had a connection is not
-// among them: the connection's writer may still be sending it.
+// Do sends one request. Callers may repeat a write that failed with ErrNotRun, so
+// it is returned in two cases only: the request never got a connection, or the
+// last error came from dialing. In the second case the request may have had a
+// connection before, but net/http dials again for a request that is not replayable
+// only if it knows that nothing was written. A cancelled call that had a connection
+// does not count as not run: the connection may still be writing it.
 func (c *HTTPClient) Do(req *http.Request) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
--- a/internal/backing/version.go
+++ b/internal/backing/version.go
@@ -1,8 +1,8 @@
 package backing
 
-// NextVersion is the version that a put gives its row: one more than the one
-// expected by IfVersion, 1 for a new row, and for Always the version that the
-// writer names (1 where it names none).
+// NextVersion is the version of the row after a put: the expected version plus one
+// for IfVersion, 1 for IfAbsent, and for Always the version given in the row (1 if
+// that is zero).
 func NextVersion(w Write) uint64 {
 	switch {
 	case w.If == IfVersion:
--- a/internal/backing/vmlist/fuzz_test.go
+++ b/internal/backing/vmlist/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/vanillagate/vanillagate/internal/backing"
 )
 
-// The platform's list is read whole or not at all: a list that lost rows would
-// look like VMs that left.
+// Parse accepts a list as a whole or rejects it: if invalid rows were dropped,
+// their VMs would seem to have been removed.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`[{"targets":["127.0.0.1:7100"],"labels":{"role":"target","pool":"llm","zone":"a","region":"r1","state":"live"}}]`))
 	f.Add([]byte(`[{"targets":["127.0.0.1:7100","[::1]:2"],"labels":{"role":"entry","state":"leaving","peer_address":"x"}}]`))
--- a/internal/backing/vmlist/vmlist.go
+++ b/internal/backing/vmlist/vmlist.go
@@ -1,5 +1,5 @@
-// Package vmlist is the client of the platform's VM list, which is served in
-// the Prometheus HTTP service discovery format.
+// Package vmlist is a client for the platform's VM list, which is served in the
+// Prometheus HTTP service discovery format.
 package vmlist
 
 import (
@@ -15,7 +15,8 @@
 	"github.com/vanillagate/vanillagate/internal/backing"
 )
 
-// MaxBytes bounds the list: 12,640 VMs of about 250 bytes each, twice over.
+// MaxBytes bounds the size of the list. It is about twice the size of a list of
+// 12,640 VMs of about 250 bytes each.
 const MaxBytes = 8 << 20
 
 const (
@@ -28,20 +29,19 @@
 	url    string
 	client *fasthttp.Client
 
-	mu   sync.Mutex // guards last; a leaf
-	last tagged
+	mu     sync.Mutex // guards cached; no other lock is taken under it
+	cached taggedList
 }
 
-// tagged is the list as last read, with the entity tag under which the service
-// says whether it has changed.
-type tagged struct {
+// taggedList is the list as last read, with its ETag for conditional requests.
+type taggedList struct {
 	tag string
 	vms []backing.VM
 }
 
 var _ backing.VMList = (*List)(nil)
 
-// New builds a List that reads from the URL.
+// New returns a List that reads from the URL.
 func New(url string) *List {
 	return &List{url: url, client: &fasthttp.Client{
 		MaxConnsPerHost:           connections,
@@ -53,7 +53,7 @@
 	}}
 }
 
-// Group is one entry of the served JSON.
+// Group is one element of the served JSON array.
 type Group struct {
 	Targets []string `json:"targets"`
 	Labels  Labels   `json:"labels"`
@@ -69,17 +69,17 @@
 	PeerAddress string `json:"peer_address,omitempty"`
 }
 
-// List implements backing.VMList. The list is sent again only when it has
-// changed: at the target size it has 12,640 rows of some 140 bytes, and reading
-// them all each second would cost 300 times what a node may spend on control.
-// What it returns must not be changed.
+// List implements backing.VMList. It uses conditional requests, so that an
+// unchanged list is not sent again: at the target size the list has 12,640 rows of
+// about 140 bytes, and reading them all each second would cost 300 times a node's
+// budget for control traffic. The returned slice must not be modified.
 func (l *List) List(ctx context.Context) ([]backing.VM, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI(l.url)
-	last := l.latest()
+	last := l.loadCached()
 	if last.tag != "" {
 		req.Header.Set(fasthttp.HeaderIfNoneMatch, last.tag)
 	}
@@ -96,32 +96,32 @@
 	if err != nil {
 		return nil, err
 	}
-	l.keep(tagged{tag: string(resp.Header.Peek(fasthttp.HeaderETag)), vms: vms})
+	l.storeCached(taggedList{tag: string(resp.Header.Peek(fasthttp.HeaderETag)), vms: vms})
 	return vms, nil
 }
 
-func (l *List) latest() tagged {
+func (l *List) loadCached() taggedList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.last
+	return l.cached
 }
 
-func (l *List) keep(t tagged) {
+func (l *List) storeCached(t taggedList) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.last = t
+	l.cached = t
 }
 
 func deadline(ctx context.Context) time.Time {
 	limit := time.Now().Add(callTimeout)
-	if own, ok := ctx.Deadline(); ok && own.Before(limit) {
-		return own
+	if ctxDeadline, ok := ctx.Deadline(); ok && ctxDeadline.Before(limit) {
+		return ctxDeadline
 	}
 	return limit
 }
 
-// Parse reads the served JSON. A row that can't be used makes the whole list
-// unusable: a list that silently lost rows would look like VMs that left.
+// Parse parses the served JSON. One invalid row invalidates the whole list: if rows
+// were dropped silently, their VMs would seem to have been removed.
 func Parse(body []byte) ([]backing.VM, error) {
 	var groups []Group
 	if err := json.Unmarshal(body, &groups); err != nil {
@@ -130,7 +130,7 @@
 	var vms []backing.VM
 	for _, g := range groups {
 		for _, address := range g.Targets {
-			vm, err := vmOf(address, g.Labels)
+			vm, err := newVM(address, g.Labels)
 			if err != nil {
 				return nil, err
 			}
@@ -140,9 +140,9 @@
 	return vms, nil
 }
 
-func vmOf(address string, labels Labels) (backing.VM, error) {
+func newVM(address string, labels Labels) (backing.VM, error) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		return backing.VM{}, fmt.Errorf("vmlist: address %q: %w", address, backing.ErrUnknown)
+		return backing.VM{}, fmt.Errorf("vmlist: invalid address %q: %w", address, backing.ErrUnknown)
 	}
 	vm := backing.VM{
 		Address:     address,
@@ -154,10 +154,10 @@
 		State:       backing.VMState(labels.State),
 	}
 	if vm.Role != backing.RoleEntry && vm.Role != backing.RoleTarget {
-		return backing.VM{}, fmt.Errorf("vmlist: %s has role %q: %w", address, labels.Role, backing.ErrUnknown)
+		return backing.VM{}, fmt.Errorf("vmlist: %s has unknown role %q: %w", address, labels.Role, backing.ErrUnknown)
 	}
 	if vm.State != backing.VMLive && vm.State != backing.VMLeaving {
-		return backing.VM{}, fmt.Errorf("vmlist: %s has state %q: %w", address, labels.State, backing.ErrUnknown)
+		return backing.VM{}, fmt.Errorf("vmlist: %s has unknown state %q: %w", address, labels.State, backing.ErrUnknown)
 	}
 	return vm, nil
 }
--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,5 +1,5 @@
-// Package buildinfo names the release that all programs report.
+// Package buildinfo holds the version that all programs report.
 package buildinfo
 
-// Version is the release, in semantic versioning.
+// Version is the semantic version of the release.
 const Version = "0.1.0"
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory is the shared table of targets: what the VM list says of
-// them, what this process has in flight at each, and how they behaved. Routing
-// decisions themselves are in package routing.
+// Package directory tracks the targets of all pools: their rows in the VM list,
+// the calls that this process has in flight at each, and their health. The
+// routing policies are in package routing.
 package directory
 
 import (
@@ -14,46 +14,47 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// unlistedGrace is how long a target that vanished from the VM list is still
-// used. The list lags and may lose a row, while the target goes on serving.
+// unlistedGrace is how long a target that disappeared from the VM list is still
+// used. The list lags and may lose a row while the target keeps serving.
 const unlistedGrace = 15 * time.Second
 
 // Options are the settings of a Table.
 type Options struct {
-	// Node names this process; subsets of large pools are drawn by it.
+	// Node identifies this process. It determines which subset of a large pool the
+	// process uses.
 	Node string
 	// Zone is this process's availability zone.
 	Zone     string
 	Policy   routing.Policy
 	Ejection routing.Ejection
-	// FetchReports asks targets that have not reported for a while for their
-	// load. A policy that doesn't weigh reports needs none: 32 targets of a pool
-	// asked each second cost a node several times what it may spend on control.
+	// FetchReports polls targets whose last load report is stale. Leave it off for
+	// a policy that ignores load reports: polling 32 targets of a pool each second
+	// costs a node several times its budget for control traffic.
 	FetchReports bool
-	// NoEjection keeps every target in use: for the baselines.
+	// NoEjection disables outlier ejection. Baseline experiments use it.
 	NoEjection bool
 }
 
 // Table holds the targets of all pools.
 //
-// Lock order: Table.applying before Table.mu before Pool.mu. No lock is held
+// Lock order: Table.updateMu before Table.mu before Pool.mu. No lock is held
 // during I/O.
 type Table struct {
 	opts Options
 
-	// applying is held while a VM list or the planned stops are put in place.
-	// An Update that began with the stops of before would otherwise undo a
-	// SetStops beside it, and a stopped target would get work until the next
-	// Update, which never comes while the VM list is down. It guards last.
-	applying sync.Mutex
-	last     []backing.VM // the list as taken in last; never changed
+	// updateMu serializes Update and SetStops. Otherwise an Update that had read
+	// the old stops could overwrite those of a concurrent SetStops, and a stopped
+	// target would get work until the next Update, which never comes while the VM
+	// list is down. It guards lastList.
+	updateMu sync.Mutex
+	lastList []backing.VM // the most recently applied list; never modified
 
 	mu      sync.RWMutex // guards pools and stopped
 	pools   map[string]*Pool
-	stopped map[string]bool // addresses under a planned stop
+	stopped map[string]bool // addresses with a planned stop
 }
 
-// New makes an empty table.
+// New returns an empty table.
 func New(opts Options) *Table {
 	return &Table{opts: opts, pools: map[string]*Pool{}, stopped: map[string]bool{}}
 }
@@ -63,38 +64,38 @@
 	name string
 	opts *Options
 
-	mu      sync.Mutex // guards what follows, and all fields of the targets
-	targets map[string]*entry
-	missing int      // targets that the VM list lacks
-	usable  []*entry // the subset that this process works with, by address
-	random  *rand.Rand
-	full    float64 // most calls that a target reported to run at once
+	mu            sync.Mutex // guards the fields below, and all fields of the targets
+	targets       map[string]*targetState
+	unlistedCount int            // targets that are missing from the VM list
+	subset        []*targetState // the subset that this process uses, sorted by address
+	random        *rand.Rand
+	maxRunning    float64 // highest number of concurrent calls that any target reported
 }
 
-// entry is one target. Pool.mu guards it.
-type entry struct {
-	vm         backing.VM
-	unlisted   time.Time // since when the VM list lacks it; zero while listed
-	stopped    bool
-	down       bool // refused the last connection; back when a probe succeeds
-	reason     routing.Reason
-	health     routing.Health
-	inFlight   int
-	report     *targetapi.LoadReport
-	reportAt   time.Time
-	ownAtRep   int
-	quarantine int // suspects of this process that run here
+// targetState is what this process knows of one target. Pool.mu guards it.
+type targetState struct {
+	vm               backing.VM
+	unlistedSince    time.Time // when it disappeared from the VM list; zero while listed
+	stopped          bool
+	down             bool // refused the last connection; cleared when a probe succeeds
+	ejectReason      routing.Reason
+	health           routing.Health
+	inFlight         int
+	report           *targetapi.LoadReport
+	reportAt         time.Time
+	inFlightAtReport int
+	quarantined      int // suspected requests of this process that are running here
 }
 
-// Update takes in what the VM list says. Targets that it no longer lists stay
-// for a while.
+// Update applies a VM list. Targets that are no longer listed are kept for a
+// grace period.
 func (t *Table) Update(vms []backing.VM, now time.Time) {
-	t.applying.Lock()
-	defer t.applying.Unlock()
-	if sameList(vms, t.last) && !t.anyMissing() {
+	t.updateMu.Lock()
+	defer t.updateMu.Unlock()
+	if isSameSlice(vms, t.lastList) && !t.hasUnlisted() {
 		return
 	}
-	t.last = vms
+	t.lastList = vms
 	byPool := map[string][]backing.VM{}
 	for _, vm := range vms {
 		if vm.Role == backing.RoleTarget {
@@ -102,25 +103,25 @@
 		}
 	}
 	for name := range byPool {
-		t.ensure(name)
+		t.getOrCreatePool(name)
 	}
-	for _, p := range t.all() {
-		p.update(byPool[p.name], t.stops(), now)
+	for _, p := range t.allPools() {
+		p.update(byPool[p.name], t.stoppedAddresses(), now)
 	}
 }
 
-// sameList says that the list is the very one that was taken in last, which a
-// VM list that has not changed gives. Going through 12,000 rows each second
-// would cost more than a node may spend on control.
-func sameList(a, b []backing.VM) bool {
+// isSameSlice reports whether both slices share their backing array. The VM list
+// client returns the same slice while the list is unchanged. Processing 12,000
+// rows each second would exceed a node's budget for control traffic.
+func isSameSlice(a, b []backing.VM) bool {
 	return len(a) == len(b) && len(a) > 0 && &a[0] == &b[0]
 }
 
-// anyMissing says that targets wait to be forgotten.
-func (t *Table) anyMissing() bool {
-	for _, p := range t.all() {
+// hasUnlisted reports whether any known target is missing from the VM list.
+func (t *Table) hasUnlisted() bool {
+	for _, p := range t.allPools() {
 		p.mu.Lock()
-		missing := p.missing
+		missing := p.unlistedCount
 		p.mu.Unlock()
 		if missing > 0 {
 			return true
@@ -129,13 +130,13 @@
 	return false
 }
 
-func (t *Table) ensure(name string) *Pool {
+func (t *Table) getOrCreatePool(name string) *Pool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.pools[name]
 	if p == nil {
 		p = &Pool{
-			name: name, opts: &t.opts, targets: map[string]*entry{},
+			name: name, opts: &t.opts, targets: map[string]*targetState{},
 			random: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		}
 		t.pools[name] = p
@@ -143,7 +144,7 @@
 	return p
 }
 
-func (t *Table) all() []*Pool {
+func (t *Table) allPools() []*Pool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	pools := make([]*Pool, 0, len(t.pools))
@@ -153,26 +154,26 @@
 	return pools
 }
 
-func (t *Table) stops() map[string]bool {
+func (t *Table) stoppedAddresses() map[string]bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.stopped
 }
 
-// SetStops replaces the addresses under a planned stop. They get no new work
-// from now on; what they have goes on to its end.
+// SetStops replaces the addresses with a planned stop. They get no new calls from
+// now on; calls in flight run to completion.
 func (t *Table) SetStops(addresses map[string]bool) {
-	t.applying.Lock()
-	defer t.applying.Unlock()
+	t.updateMu.Lock()
+	defer t.updateMu.Unlock()
 	t.mu.Lock()
 	t.stopped = addresses
 	t.mu.Unlock()
-	for _, p := range t.all() {
+	for _, p := range t.allPools() {
 		p.setStops(addresses)
 	}
 }
 
-// Pool gives the pool of a name; nil where there is none.
+// Pool returns the pool with the given name, or nil if there is none.
 func (t *Table) Pool(name string) *Pool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -185,37 +186,37 @@
 	for _, vm := range vms {
 		e := p.targets[vm.Address]
 		if e == nil {
-			e = &entry{}
+			e = &targetState{}
 			p.targets[vm.Address] = e
 		}
 		e.vm = vm
-		e.unlisted = time.Time{}
+		e.unlistedSince = time.Time{}
 		e.stopped = stops[vm.Address]
 	}
-	p.forgetUnlisted(vms, now)
+	p.removeUnlisted(vms, now)
 	p.chooseSubset()
 }
 
-// forgetUnlisted drops the targets that the list has lacked for long enough, and
-// at once those that are down besides. Callers hold p.mu.
-func (p *Pool) forgetUnlisted(vms []backing.VM, now time.Time) {
+// removeUnlisted removes the targets whose grace period has passed, and without
+// waiting for it those that are also down and idle. Callers hold p.mu.
+func (p *Pool) removeUnlisted(vms []backing.VM, now time.Time) {
 	listed := make(map[string]bool, len(vms))
 	for _, vm := range vms {
 		listed[vm.Address] = true
 	}
-	p.missing = 0
+	p.unlistedCount = 0
 	for address, e := range p.targets {
 		if listed[address] {
 			continue
 		}
-		if e.unlisted.IsZero() {
-			e.unlisted = now
+		if e.unlistedSince.IsZero() {
+			e.unlistedSince = now
 		}
-		if now.Sub(e.unlisted) > unlistedGrace || (e.down && e.inFlight == 0) {
+		if now.Sub(e.unlistedSince) > unlistedGrace || (e.down && e.inFlight == 0) {
 			delete(p.targets, address)
 			continue
 		}
-		p.missing++
+		p.unlistedCount++
 	}
 }
 
@@ -228,42 +229,42 @@
 	p.chooseSubset()
 }
 
-// chooseSubset draws the targets to work with out of those that aren't
-// leaving. Callers hold p.mu.
+// chooseSubset selects the targets that this process uses among those that aren't
+// draining. Callers hold p.mu.
 func (p *Pool) chooseSubset() {
 	members := make([]routing.Member, 0, len(p.targets))
 	for address, e := range p.targets {
-		if !e.leaving() {
+		if !e.draining() {
 			members = append(members, routing.Member{Address: address, SameZone: e.vm.Zone == p.opts.Zone})
 		}
 	}
 	members = routing.Subset(p.opts.Node, members, routing.SubsetSize)
-	p.usable = p.usable[:0]
+	p.subset = p.subset[:0]
 	for _, m := range members {
-		p.usable = append(p.usable, p.targets[m.Address])
+		p.subset = append(p.subset, p.targets[m.Address])
 	}
-	sort.Slice(p.usable, func(i, j int) bool { return p.usable[i].vm.Address < p.usable[j].vm.Address })
+	sort.Slice(p.subset, func(i, j int) bool { return p.subset[i].vm.Address < p.subset[j].vm.Address })
 }
 
-func (e *entry) leaving() bool {
+func (e *targetState) draining() bool {
 	return e.stopped || e.vm.State == backing.VMLeaving
 }
 
-// TargetStatus is what an operator sees of one target.
+// TargetStatus is the state of one target as shown to operators.
 type TargetStatus struct {
 	Address  string
 	Pool     string
 	Zone     string
 	InFlight int
 	Leaving  bool
-	// OutOfUse says why no new work goes there; empty while in use.
+	// OutOfUse is the reason why the target gets no new calls; empty while in use.
 	OutOfUse string
 }
 
-// Status lists all targets by pool and address.
+// Status lists all targets, sorted by pool and address.
 func (t *Table) Status(now time.Time) []TargetStatus {
 	var list []TargetStatus
-	for _, p := range t.all() {
+	for _, p := range t.allPools() {
 		list = append(list, p.status(now)...)
 	}
 	sort.Slice(list, func(i, j int) bool {
@@ -282,18 +283,18 @@
 	for address, e := range p.targets {
 		list = append(list, TargetStatus{
 			Address: address, Pool: p.name, Zone: e.vm.Zone, InFlight: e.inFlight,
-			Leaving: e.leaving(), OutOfUse: e.outOfUse(now),
+			Leaving: e.draining(), OutOfUse: e.outOfUse(now),
 		})
 	}
 	return list
 }
 
-func (e *entry) outOfUse(now time.Time) string {
+func (e *targetState) outOfUse(now time.Time) string {
 	switch {
 	case e.down:
 		return "refuses connections"
 	case now.Before(e.health.EjectedUntil):
-		return string(e.reason)
+		return string(e.ejectReason)
 	default:
 		return ""
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -11,7 +11,7 @@
 	"github.com/vanillagate/vanillagate/internal/routing"
 )
 
-func listed(state backing.VMState, addresses ...string) []backing.VM {
+func targetVMs(state backing.VMState, addresses ...string) []backing.VM {
 	var vms []backing.VM
 	for _, a := range addresses {
 		vms = append(vms, backing.VM{Address: a, Role: backing.RoleTarget, Pool: "llm", Zone: "a", State: state})
@@ -24,10 +24,10 @@
 	return New(Options{Node: "n", Zone: "a", Policy: policy, Ejection: routing.DefaultEjection()})
 }
 
-func TestLeavingTargetGetsNoNewWork(t *testing.T) {
+func TestDrainingTargetGetsNoNewCalls(t *testing.T) {
 	table := newTable()
 	now := time.Unix(100, 0)
-	table.Update(append(listed(backing.VMLive, "a:1", "b:1"), listed(backing.VMLeaving, "c:1")...), now)
+	table.Update(append(targetVMs(backing.VMLive, "a:1", "b:1"), targetVMs(backing.VMLeaving, "c:1")...), now)
 	table.SetStops(map[string]bool{"b:1": true})
 	for range 20 {
 		lease := table.Pool("llm").Acquire(AcquireRequest{}, now)
@@ -36,18 +36,18 @@
 	assert.Assert(t, table.Pool("llm").Acquire(AcquireRequest{Exclude: []string{"a:1"}}, now) == nil)
 }
 
-func TestStopOutlivesUpdateOfVMList(t *testing.T) {
+func TestPlannedStopSurvivesVMListUpdate(t *testing.T) {
 	table := newTable()
 	now := time.Unix(100, 0)
 	table.SetStops(map[string]bool{"a:1": true})
-	table.Update(listed(backing.VMLive, "a:1"), now)
+	table.Update(targetVMs(backing.VMLive, "a:1"), now)
 	assert.Assert(t, table.Pool("llm").Acquire(AcquireRequest{}, now) == nil)
 }
 
-func TestUnlistedTargetStaysForAWhile(t *testing.T) {
+func TestUnlistedTargetIsKeptForGracePeriod(t *testing.T) {
 	table := newTable()
 	now := time.Unix(100, 0)
-	table.Update(listed(backing.VMLive, "a:1"), now)
+	table.Update(targetVMs(backing.VMLive, "a:1"), now)
 	table.Update(nil, now)
 	table.Update(nil, now.Add(unlistedGrace))
 	assert.Assert(t, table.Pool("llm").Acquire(AcquireRequest{}, now) != nil)
@@ -55,12 +55,13 @@
 	assert.Assert(t, table.Pool("llm").Acquire(AcquireRequest{}, now) == nil)
 }
 
-// The list stays the same for minutes, then loses a row by mistake. The target
-// serves on, and must not be forgotten for the time in which nothing changed.
-func TestGraceBeginsWhenTheRowIsLost(t *testing.T) {
+// The VM list is unchanged for an hour, then loses a row by mistake while the
+// target keeps serving. The grace period must start when the row disappears, not
+// at the last change of the list, or the target would be removed at once.
+func TestGracePeriodStartsWhenRowDisappears(t *testing.T) {
 	table := newTable()
 	now := time.Unix(100, 0)
-	both := listed(backing.VMLive, "a:1", "b:1")
+	both := targetVMs(backing.VMLive, "a:1", "b:1")
 	table.Update(both, now)
 	now = now.Add(time.Hour)
 	table.Update(both, now)
@@ -72,21 +73,21 @@
 	assert.Equal(t, len(table.Status(now)), 1)
 }
 
-func TestUnchangedListIsNotGoneThroughAgain(t *testing.T) {
+func TestUnchangedVMListIsNotProcessedAgain(t *testing.T) {
 	table := newTable()
 	var vms []backing.VM
 	for i := range 1000 {
-		vms = append(vms, listed(backing.VMLive, fmt.Sprintf("10.0.0.1:%d", i+1))...)
+		vms = append(vms, targetVMs(backing.VMLive, fmt.Sprintf("10.0.0.1:%d", i+1))...)
 	}
 	table.Update(vms, time.Unix(100, 0))
 	allocations := testing.AllocsPerRun(10, func() { table.Update(vms, time.Unix(101, 0)) })
 	assert.Assert(t, allocations < 10, "%f allocations", allocations)
 }
 
-func TestDownTargetIsPassedOverUntilProbed(t *testing.T) {
+func TestDownTargetIsSkippedUntilProbeSucceeds(t *testing.T) {
 	table := newTable()
 	now := time.Unix(100, 0)
-	table.Update(listed(backing.VMLive, "a:1", "b:1"), now)
+	table.Update(targetVMs(backing.VMLive, "a:1", "b:1"), now)
 	pool := table.Pool("llm")
 	first := pool.Acquire(AcquireRequest{Exclude: []string{"b:1"}}, now)
 	first.Done(Refused, 0, now)
@@ -97,10 +98,10 @@
 	assert.Assert(t, pool.Acquire(AcquireRequest{Exclude: []string{"b:1"}}, now) != nil)
 }
 
-func TestQuarantineRunsOneSuspectAlone(t *testing.T) {
+func TestQuarantineRunsOneSuspectAtATime(t *testing.T) {
 	table := newTable()
 	now := time.Unix(100, 0)
-	table.Update(listed(backing.VMLive, "a:1", "b:1"), now)
+	table.Update(targetVMs(backing.VMLive, "a:1", "b:1"), now)
 	want := AcquireRequest{QuarantineFilter: func(address string) bool { return address == "b:1" }}
 	first := table.Pool("llm").Acquire(want, now)
 	assert.Equal(t, first.Address, "b:1")
--- a/internal/directory/probe.go
+++ b/internal/directory/probe.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// probeTimeout bounds a look at one target.
+	// probeTimeout bounds the probe of one target.
 	probeTimeout = 500 * time.Millisecond
-	// reportMaxAge is the age at which a load report is fetched anew; reports
-	// that come with answers are younger.
+	// reportMaxAge is the age after which a load report is fetched again. Reports
+	// that arrive with answers are usually younger.
 	reportMaxAge = time.Second
 )
 
-// Probe connects to the targets that refused and fetches the load of those
-// that have not reported for a while, one round, a few at a time.
+// Probe runs one round of probes: it connects to the targets that are down and
+// fetches stale load reports, one target at a time.
 func (t *Table) Probe(ctx context.Context, client *target.Client) {
-	for _, p := range t.all() {
+	for _, p := range t.allPools() {
 		p.probeDown(ctx)
 		if t.opts.FetchReports {
 			p.fetchReports(ctx, client)
@@ -28,11 +28,11 @@
 	}
 }
 
-func (p *Pool) addresses(pick func(*entry) bool) []string {
+func (p *Pool) addresses(pick func(*targetState) bool) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []string
-	for _, e := range p.usable {
+	for _, e := range p.subset {
 		if pick(e) {
 			list = append(list, e.vm.Address)
 		}
@@ -41,7 +41,7 @@
 }
 
 func (p *Pool) probeDown(ctx context.Context) {
-	for _, address := range p.addresses(func(e *entry) bool { return e.down }) {
+	for _, address := range p.addresses(func(e *targetState) bool { return e.down }) {
 		d := net.Dialer{Timeout: probeTimeout}
 		conn, err := d.DialContext(ctx, "tcp", address)
 		if err != nil {
@@ -52,7 +52,8 @@
 	}
 }
 
-// markUp brings a target back, gradually like one that was ejected.
+// markUp returns a target to use. Its weight rises gradually, like that of a
+// target that returns from ejection.
 func (p *Pool) markUp(address string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +68,7 @@
 
 func (p *Pool) fetchReports(ctx context.Context, client *target.Client) {
 	now := time.Now()
-	stale := p.addresses(func(e *entry) bool { return !e.down && now.Sub(e.reportAt) > reportMaxAge })
+	stale := p.addresses(func(e *targetState) bool { return !e.down && now.Sub(e.reportAt) > reportMaxAge })
 	for _, address := range stale {
 		report, ok := fetchReport(ctx, client, address)
 		if !ok {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,4 +1,4 @@
-// Package explain tells the story of one request from the logs of several
+// Package explain collects the lines about one request from the logs of several
 // processes.
 package explain
 
@@ -13,37 +13,37 @@
 	"time"
 )
 
-// Line is one line of a log about the request.
+// Line is one log line about the request.
 type Line struct {
-	// Source is the log that the line stands in.
+	// Source names the log that contains the line.
 	Source  string         `json:"source"`
 	At      time.Time      `json:"at"`
 	Message string         `json:"message"`
 	Fields  map[string]any `json:"fields"`
 }
 
-// RequestLog is what the logs say of a request, in order.
+// RequestLog holds all log lines about one request.
 type RequestLog struct {
 	Request string `json:"request"`
 	Lines   []Line `json:"lines"`
-	// LeftOut counts the lines that the logs say they left out: the story may
-	// lack some.
+	// LeftOut counts the lines that the logs report as omitted. Some of them may have
+	// been about this request.
 	LeftOut int `json:"left_out"`
 }
 
-// maxLine bounds one line of a log, in bytes.
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
-// messageLeftOut is how a log says that lines are missing.
-const messageLeftOut = "Log lines left out."
+// msgLinesLeftOut is the message by which a log reports omitted lines.
+const msgLinesLeftOut = "Log lines left out."
 
-// Read adds what a log says of the request. Lines that aren't JSON are passed
-// over: other programs may write to the same log.
-func (s *RequestLog) Read(source string, log io.Reader) error {
+// Read adds the lines of a log that are about the request. It skips lines that
+// aren't JSON, since other programs may write to the same log.
+func (r *RequestLog) Read(source string, log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
 	for scanner.Scan() {
-		s.add(source, scanner.Bytes())
+		r.add(source, scanner.Bytes())
 	}
 	if err := scanner.Err(); err != nil {
 		return fmt.Errorf("%s: %w", source, err)
@@ -51,7 +51,7 @@
 	return nil
 }
 
-func (s *RequestLog) add(source string, raw []byte) {
+func (r *RequestLog) add(source string, raw []byte) {
 	start := strings.IndexByte(string(raw), '{')
 	if start < 0 {
 		return
@@ -61,11 +61,11 @@
 		return
 	}
 	message, _ := fields["msg"].(string)
-	if message == messageLeftOut {
-		s.LeftOut += number(fields["repeated"]) + number(fields["dropped"])
+	if message == msgLinesLeftOut {
+		r.LeftOut += toInt(fields["repeated"]) + toInt(fields["dropped"])
 		return
 	}
-	if fields["request"] != s.Request {
+	if fields["request"] != r.Request {
 		return
 	}
 	stamp, _ := fields["ts"].(string)
@@ -73,30 +73,30 @@
 	if err != nil {
 		at = time.Time{}
 	}
-	for _, known := range []string{"msg", "ts", "request", "level", "caller"} {
-		delete(fields, known)
+	for _, key := range []string{"msg", "ts", "request", "level", "caller"} {
+		delete(fields, key)
 	}
-	s.Lines = append(s.Lines, Line{Source: source, At: at, Message: message, Fields: fields})
+	r.Lines = append(r.Lines, Line{Source: source, At: at, Message: message, Fields: fields})
 }
 
-func number(v any) int {
+func toInt(v any) int {
 	n, _ := v.(float64)
 	return int(n)
 }
 
-// Sort puts the lines into the order of their times. VMs' clocks differ a
-// little; lines of one log keep their order.
-func (s *RequestLog) Sort() {
-	slices.SortStableFunc(s.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
+// Sort sorts the lines by time. The order of lines from different VMs is
+// approximate, since their clocks differ; lines of the same time keep their order.
+func (r *RequestLog) Sort() {
+	slices.SortStableFunc(r.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
 }
 
-// Write writes the story as text.
-func (s *RequestLog) Write(w io.Writer) error {
-	if len(s.Lines) == 0 {
-		_, err := fmt.Fprintf(w, "No line about %s. It was answered by a target, in time, or never arrived here.\n", s.Request)
+// Write writes the lines as text.
+func (r *RequestLog) Write(w io.Writer) error {
+	if len(r.Lines) == 0 {
+		_, err := fmt.Fprintf(w, "No line about %s. It was answered by a target, in time, or never arrived here.\n", r.Request)
 		return err
 	}
-	for _, line := range s.Lines {
+	for _, line := range r.Lines {
 		names := make([]string, 0, len(line.Fields))
 		for name := range line.Fields {
 			names = append(names, name)
@@ -110,9 +110,9 @@
 			return err
 		}
 	}
-	if s.LeftOut == 0 {
+	if r.LeftOut == 0 {
 		return nil
 	}
-	_, err := fmt.Fprintf(w, "%d lines were left out of these logs; some may have been about this request.\n", s.LeftOut)
+	_, err := fmt.Fprintf(w, "%d lines were left out of these logs; some may have been about this request.\n", r.LeftOut)
 	return err
 }
--- a/internal/exposition/exposition.go
+++ b/internal/exposition/exposition.go
@@ -11,11 +11,11 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// quantiles are shown of each histogram.
+// quantiles are the quantiles written for each histogram.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
-// Write writes all metrics of a registry and what the process itself holds.
-// Names in the registry that carry labels are series already.
+// Write writes all metrics of a registry, and the memory and goroutines of the
+// process. Names in the registry that contain labels are written unchanged.
 func Write(w io.Writer, registry metrics.Registry) {
 	names := []string{}
 	all := map[string]any{}
@@ -25,21 +25,21 @@
 	})
 	sort.Strings(names)
 	for _, name := range names {
-		writeMetric(w, seriesOf(name), all[name])
+		writeMetric(w, seriesName(name), all[name])
 	}
 	writeRuntime(w)
 }
 
-// seriesOf turns a dotted name, such as "peer.probe.bytes_sent", into one that
-// the text format allows. Names with labels are series already.
-func seriesOf(name string) string {
+// seriesName converts a dotted name, such as "peer.probe.bytes_sent", into a valid
+// metric name. Names with labels are returned unchanged.
+func seriesName(name string) string {
 	if strings.Contains(name, "{") {
 		return name
 	}
 	return "vanillagate_" + strings.NewReplacer(".", "_", " ", "_").Replace(name)
 }
 
-// writeRuntime tells what the process itself holds.
+// writeRuntime writes the memory and the number of goroutines of the process.
 func writeRuntime(w io.Writer) {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/inforce/errors.go
+++ b/internal/inforce/errors.go
@@ -2,5 +2,6 @@
 
 import "errors"
 
-// errNotKnown answers a peer that asks a process which has read no source yet.
-var errNotKnown = errors.New("inforce: no configuration is known here yet")
+// errNoConfiguration is the answer to a peer while this process itself has no fresh
+// configuration.
+var errNoConfiguration = errors.New("inforce: this process has no current configuration")
--- a/internal/inforce/inforce.go
+++ b/internal/inforce/inforce.go
@@ -1,6 +1,6 @@
-// Package inforce keeps the configuration that is in force in this process:
-// read from the table service, passed on between peers, and taken from peers
-// or the object store's snapshot while the table service is down.
+// Package inforce holds this process's copy of the configuration in force. It
+// polls the table service, receives changes from peers, and falls back to peers or
+// to the snapshot in the object store while the table service is down.
 package inforce
 
 import (
@@ -22,16 +22,16 @@
 	querysnapshot "github.com/vanillagate/vanillagate/internal/query/snapshot"
 )
 
-// Method names of the calls between peers.
+// Names of the RPC methods between peers.
 const (
-	// MethodState answers with the whole State; its parameter is a revision
-	// from which the asker wants something newer.
+	// MethodState returns the whole config.State if it is newer than the revision in
+	// the parameter, null otherwise.
 	MethodState = "config.state"
-	// MethodRevision answers with a ProcessRevision.
+	// MethodRevision returns a ProcessRevision.
 	MethodRevision = "config.revision"
 )
 
-// ProcessRevision says which revision a process has in force.
+// ProcessRevision is the revision of the configuration that a process has in force.
 type ProcessRevision struct {
 	Incarnation   peer.Incarnation `json:"incarnation"`
 	CallerAddress string           `json:"caller_address,omitempty"`
@@ -45,88 +45,92 @@
 	Objects backing.ObjectStore
 	Network peer.Network
 	Log     *zap.Logger
-	// Period is how often the table is read; each wait is drawn between half
-	// and one and a half of it, so that VMs started together spread out.
+	// Period is the mean interval between reads of the table. Each wait is drawn at
+	// random from 0.5 to 1.5 times it, so that VMs that started together spread out.
 	Period time.Duration
-	// SnapshotPeriod is how often the process in charge looks whether the
-	// snapshot is behind.
+	// SnapshotPeriod is the mean interval at which the process that writes the
+	// snapshot checks whether it is outdated.
 	SnapshotPeriod time.Duration
-	// OnPeerAnswer, where not nil, is called with a peer that has answered, before its
-	// answer counts: what else a process must know before it serves.
+	// OnPeerAnswer, if not nil, is called with a peer that has answered, before the
+	// configuration counts as fresh. It fetches the other state that a process needs
+	// before it serves.
 	OnPeerAnswer func(ctx context.Context, of peer.Incarnation)
 }
 
 const (
-	// longestBackoff bounds the wait between reads while the table is down.
-	longestBackoff = 30 * time.Second
+	// maxBackoff bounds the wait between reads while the table is down.
+	maxBackoff = 30 * time.Second
 	// readTimeout bounds one round of reads.
 	readTimeout = 3 * time.Second
-	// peerTimeout bounds one call of a peer.
+	// peerTimeout bounds one call to a peer.
 	peerTimeout = time.Second
-	// changeTTL is how long peers keep an accepted change to pass on. After
-	// that the table's readers have it.
+	// changeTTL is how long peers keep and forward an accepted change. After that
+	// the processes read it from the table.
 	changeTTL = 2 * time.Minute
 )
 
-// Keeper holds the configuration in force. Its revision only ever grows: a
-// process that was frozen, an old snapshot and a late message of a peer are all
-// behind it or ahead of it, never instead of it.
+// Keeper holds the configuration in force. Its revision never decreases: an old
+// snapshot or a delayed message from a peer can't replace a newer state.
 type Keeper struct {
 	opts  Options
 	state atomic.Pointer[config.State]
-	// currency says whether the state may be gone by.
-	currency *currency
-	// tableUp says whether the last read of the table succeeded.
+	// freshness tells whether the state may be relied on.
+	freshness *freshness
+	// tableUp is set while the last read of the table succeeded.
 	tableUp atomic.Bool
 
-	mu       sync.Mutex // held while a newer state is put in force; a leaf
-	onChange []func(*config.State)
-	wake     chan struct{}
-	saved    config.Revision // snapshot's revision as last seen; the snapshot loop owns it
+	mu            sync.Mutex // held while a newer state is installed; no other lock is taken under it
+	onChange      []func(*config.State)
+	wake          chan struct{}
+	savedRevision config.Revision // last known revision of the snapshot; only the snapshot loop uses it
 }
 
-// New makes a Keeper at revision 0. Call before the network starts.
+// New returns a Keeper at revision 0. Call it before the network starts.
 func New(opts Options) *Keeper {
-	k := &Keeper{opts: opts, currency: newCurrency(time.Now()), wake: make(chan struct{}, 1)}
+	k := &Keeper{opts: opts, freshness: newFreshness(time.Now()), wake: make(chan struct{}, 1)}
 	k.state.Store(config.NewState())
-	opts.Network.Subscribe(peer.TopicChange, k.heard)
-	opts.Network.Handle(MethodState, k.answerState)
-	opts.Network.Handle(MethodRevision, k.answerRevision)
+	opts.Network.Subscribe(peer.TopicChange, k.onPeerChange)
+	opts.Network.Handle(MethodState, k.handleState)
+	opts.Network.Handle(MethodRevision, k.handleRevision)
 	return k
 }
 
-// State is what is in force now. It must not be changed.
+// State returns the state in force. It must not be modified.
 func (k *Keeper) State() *config.State { return k.state.Load() }
 
-// Fresh says that the configuration has been read from some source, and not
-// only before this process stood still.
-func (k *Keeper) Fresh() bool { return k.currency.is(time.Now()) }
+// Fresh reports whether a source has confirmed the configuration, and has done so
+// since the last time that this process was frozen.
+func (k *Keeper) Fresh() bool { return k.freshness.isFresh(time.Now()) }
 
-// AwaitFresh waits until the configuration is known, or says that it isn't in time.
-func (k *Keeper) AwaitFresh(most time.Duration) bool { return k.currency.await(time.Now(), most) }
+// AwaitFresh waits until the configuration is fresh. It returns false if that takes
+// longer than timeout.
+func (k *Keeper) AwaitFresh(timeout time.Duration) bool {
+	return k.freshness.await(time.Now(), timeout)
+}
 
-// TableUp says whether the last read of the table service succeeded.
+// TableUp reports whether the last read of the table service succeeded.
 func (k *Keeper) TableUp() bool { return k.tableUp.Load() }
 
-// OnChange has fn called with every newer state. Call before Run.
+// OnChange registers fn to be called with every newer state. Call it before Run.
 func (k *Keeper) OnChange(fn func(*config.State)) { k.onChange = append(k.onChange, fn) }
 
-// ApplyAndPublish puts a change that this process had accepted in force and tells the
-// peers.
+// ApplyAndPublish puts a change in force that was accepted through this process and
+// publishes it to the peers.
 func (k *Keeper) ApplyAndPublish(c config.Change) {
 	err := k.opts.Network.Publish(peer.TopicChange, revisionKey(c.Revision), uint64(c.Revision), changeTTL, c)
 	if err != nil {
-		k.opts.Log.Warn("Change not told to peers.", zap.Error(err))
+		k.opts.Log.Warn("Failed to publish a change to peers.", zap.Error(err))
 	}
 	if !k.apply(c) {
-		k.catchUp(c.Revision)
+		k.catchUpFromPeers(c.Revision)
 	}
 	k.TriggerRead()
 }
 
-// catchUp closes a gap before a change with what peers told. The table may go
-// down right after it accepted the change, and could not be asked then.
-func (k *Keeper) catchUp(to config.Revision) {
+// catchUpFromPeers applies the missing changes up to a revision, as received from
+// peers. The table may have gone down right after it accepted the last one, and
+// then can't be read.
+func (k *Keeper) catchUpFromPeers(to config.Revision) {
 	byRevision := map[config.Revision]config.Change{}
 	for _, item := range k.opts.Network.Items(peer.TopicChange) {
 		var c config.Change
@@ -144,7 +148,7 @@
 
 func revisionKey(r config.Revision) string { return strconv.FormatUint(uint64(r), 10) }
 
-// TriggerRead has the table read soon.
+// TriggerRead makes Run read the table without waiting for the next period.
 func (k *Keeper) TriggerRead() {
 	select {
 	case k.wake <- struct{}{}:
@@ -152,8 +156,8 @@
 	}
 }
 
-// apply puts changes in force that continue the present state; false where
-// there is a gap.
+// apply puts changes in force that directly follow the present revision. It
+// returns false if there is a gap.
 func (k *Keeper) apply(list ...config.Change) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -161,18 +165,18 @@
 	if err != nil {
 		return false
 	}
-	k.put(next)
+	k.setState(next)
 	return true
 }
 
-// adopt puts a whole state in force if it is newer.
+// adopt puts a complete state in force if it is newer.
 func (k *Keeper) adopt(s *config.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.put(s)
+	k.setState(s)
 }
 
-func (k *Keeper) put(next *config.State) {
+func (k *Keeper) setState(next *config.State) {
 	if next.Revision <= k.State().Revision {
 		return
 	}
@@ -183,9 +187,9 @@
 	}
 }
 
-// heard takes in a change that a peer passed on. After a gap the table is read
-// at once instead.
-func (k *Keeper) heard(item peer.Item) {
+// onPeerChange applies a change that a peer published. If changes before it are
+// missing, the table is read at once.
+func (k *Keeper) onPeerChange(item peer.Item) {
 	var c config.Change
 	if json.Unmarshal(item.Body, &c) != nil {
 		return
@@ -196,17 +200,17 @@
 	if k.apply(c) {
 		return
 	}
-	k.catchUp(c.Revision)
+	k.catchUpFromPeers(c.Revision)
 	if k.State().Revision < c.Revision {
 		k.TriggerRead()
 	}
 }
 
-// Run reads until the context ends. It begins with the snapshot, which saves
-// reading all changes. The snapshot may be old, so it is not gone by until the
-// table has answered or a peer, or nobody does.
+// Run polls the table until the context ends. It starts with the snapshot, which
+// saves reading all changes. Since the snapshot may be old, it is not relied on
+// until the table or a peer has answered, or no source does for standaloneAfter.
 func (k *Keeper) Run(ctx context.Context) {
-	go k.currency.run(ctx)
+	go k.freshness.runHeartbeat(ctx)
 	k.readSnapshot(ctx)
 	failures := 0
 	for {
@@ -215,36 +219,36 @@
 		} else {
 			failures++
 			k.askPeers(ctx)
-			k.goAlone()
+			k.acceptLastKnown()
 		}
-		if !k.pause(ctx, failures) {
+		if !k.waitForNextRead(ctx, failures) {
 			return
 		}
 	}
 }
 
-// goAlone goes by what there is when no source has answered for a while: a
-// process that is alone in an outage serves by the last snapshot, or by what
-// it had before it stood still, rather than not at all.
-func (k *Keeper) goAlone() {
+// acceptLastKnown marks the present state as fresh when no source has answered for
+// standaloneAfter: a process that is isolated in an outage serves by the last
+// snapshot, or by its state from before a freeze, rather than not at all.
+func (k *Keeper) acceptLastKnown() {
 	now := time.Now()
-	if k.State().Revision > 0 && k.currency.lacking(now) > aloneAfter {
-		k.opts.Log.Warn("No source answers, going by what is known.", zap.Uint64("revision", uint64(k.State().Revision)))
-		k.currency.confirm(now, now)
+	if k.State().Revision > 0 && k.freshness.staleFor(now) > standaloneAfter {
+		k.opts.Log.Warn("No configuration source answers; using the last known configuration.", zap.Uint64("revision", uint64(k.State().Revision)))
+		k.freshness.confirm(now, now)
 	}
 }
 
 const (
-	// hurry bounds the wait between reads while nothing is known, and
-	// mostHurried how many times it is doubled.
-	hurry       = 200 * time.Millisecond
-	mostHurried = 2
+	// staleReadInterval bounds the wait between reads while the configuration is not
+	// fresh. It doubles with each failure, at most maxStaleDoublings times.
+	staleReadInterval = 200 * time.Millisecond
+	maxStaleDoublings = 2
 )
 
-func (k *Keeper) pause(ctx context.Context, failures int) bool {
-	base := min(k.opts.Period<<min(failures, 8), longestBackoff)
+func (k *Keeper) waitForNextRead(ctx context.Context, failures int) bool {
+	base := min(k.opts.Period<<min(failures, 8), maxBackoff)
 	if !k.Fresh() {
-		base = min(base, hurry<<min(failures, mostHurried))
+		base = min(base, staleReadInterval<<min(failures, maxStaleDoublings))
 	}
 	timer := time.NewTimer(base/2 + rand.N(base))
 	defer timer.Stop()
@@ -261,24 +265,24 @@
 func (k *Keeper) readTable(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	asked := time.Now()
+	requestedAt := time.Now()
 	state, _, err := changes.CatchUp(ctx, k.opts.Table, k.State())
 	k.adopt(state)
-	k.noteTable(err)
+	k.recordTableResult(err)
 	if err != nil {
 		return false
 	}
-	k.currency.confirm(asked, time.Now())
+	k.freshness.confirm(requestedAt, time.Now())
 	return true
 }
 
-func (k *Keeper) noteTable(err error) {
+func (k *Keeper) recordTableResult(err error) {
 	was := k.tableUp.Swap(err == nil)
 	if err != nil && was {
-		k.opts.Log.Warn("Table service can't be read.", zap.Error(err))
+		k.opts.Log.Warn("Failed to read the table service.", zap.Error(err))
 	}
 	if err == nil && !was {
-		k.opts.Log.Info("Table service answers.")
+		k.opts.Log.Info("Table service is reachable.")
 	}
 }
 
@@ -287,14 +291,15 @@
 	defer cancel()
 	state, err := querysnapshot.Read(ctx, k.opts.Objects)
 	if err != nil {
-		k.opts.Log.Warn("Snapshot can't be read.", zap.Error(err))
+		k.opts.Log.Warn("Failed to read the configuration snapshot.", zap.Error(err))
 		return
 	}
-	k.saved = state.Revision
+	k.savedRevision = state.Revision
 	k.adopt(state)
 }
 
-// maxPeersAsked bounds the peers that are asked while the table is down.
+// maxPeersAsked bounds the peers that are asked in one round while the table is
+// down.
 const maxPeersAsked = 3
 
 func (k *Keeper) askPeers(ctx context.Context) {
@@ -312,7 +317,7 @@
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	var raw json.RawMessage
-	asked := time.Now()
+	requestedAt := time.Now()
 	if k.opts.Network.Call(ctx, to, MethodState, k.State().Revision, &raw) != nil {
 		return
 	}
@@ -320,7 +325,7 @@
 		k.opts.OnPeerAnswer(ctx, to)
 	}
 	if string(raw) == "null" {
-		k.currency.confirm(asked, time.Now())
+		k.freshness.confirm(requestedAt, time.Now())
 		return
 	}
 	state, err := querysnapshot.Decode(raw)
@@ -328,18 +333,18 @@
 		return
 	}
 	k.adopt(state)
-	k.currency.confirm(asked, time.Now())
+	k.freshness.confirm(requestedAt, time.Now())
 }
 
-// answerState gives the state if it is newer than the asker's. A process that
-// knows nothing itself must not tell another that nothing is in force.
-func (k *Keeper) answerState(_ context.Context, params json.RawMessage) (any, error) {
+// handleState serves MethodState. A process without a fresh configuration refuses:
+// it must not confirm to a peer that there is nothing newer.
+func (k *Keeper) handleState(_ context.Context, params json.RawMessage) (any, error) {
 	var after config.Revision
 	if err := json.Unmarshal(params, &after); err != nil {
 		return nil, err
 	}
 	if !k.Fresh() {
-		return nil, errNotKnown
+		return nil, errNoConfiguration
 	}
 	state := k.State()
 	if state.Revision <= after {
@@ -348,11 +353,11 @@
 	return state, nil
 }
 
-func (k *Keeper) answerRevision(context.Context, json.RawMessage) (any, error) {
+func (k *Keeper) handleRevision(context.Context, json.RawMessage) (any, error) {
 	return k.OwnRevision(), nil
 }
 
-// OwnRevision is what this process has in force.
+// OwnRevision returns the revision that this process has in force.
 func (k *Keeper) OwnRevision() ProcessRevision {
 	self := k.opts.Network.Self()
 	return ProcessRevision{
@@ -361,8 +366,8 @@
 	}
 }
 
-// RunSnapshots writes the snapshot anew when it is behind. Of all processes
-// only the first by incarnation does, so that the store isn't read by each.
+// RunSnapshots rewrites the snapshot when it is outdated. Only the entry process
+// with the lowest incarnation does so, which saves the others the store traffic.
 func (k *Keeper) RunSnapshots(ctx context.Context) {
 	for {
 		timer := time.NewTimer(k.opts.SnapshotPeriod/2 + rand.N(k.opts.SnapshotPeriod))
@@ -372,13 +377,13 @@
 			return
 		case <-timer.C:
 		}
-		if k.inCharge() && k.State().Revision > k.saved {
-			k.save(ctx)
+		if k.isSnapshotWriter() && k.State().Revision > k.savedRevision {
+			k.writeSnapshot(ctx)
 		}
 	}
 }
 
-func (k *Keeper) inCharge() bool {
+func (k *Keeper) isSnapshotWriter() bool {
 	self := k.opts.Network.Self().Incarnation
 	for _, m := range k.opts.Network.Members() {
 		if m.State == peer.Alive && m.CallerAddress != "" && m.Incarnation < self {
@@ -388,13 +393,13 @@
 	return true
 }
 
-func (k *Keeper) save(ctx context.Context) {
+func (k *Keeper) writeSnapshot(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	state := k.State()
 	if outcome, err := snapshot.Write(ctx, k.opts.Objects, state); outcome == snapshot.Unavailable {
-		k.opts.Log.Warn("Snapshot not written.", zap.Error(err))
+		k.opts.Log.Warn("Failed to write the configuration snapshot.", zap.Error(err))
 		return
 	}
-	k.saved = state.Revision
+	k.savedRevision = state.Revision
 }
--- a/internal/jsonbody/jsonbody.go
+++ b/internal/jsonbody/jsonbody.go
@@ -1,5 +1,5 @@
-// Package jsonbody finds JSON bodies that encoding/json takes quietly though
-// their sender must have meant something else.
+// Package jsonbody detects errors in JSON bodies that encoding/json silently
+// accepts: invalid UTF-8 and duplicate keys.
 package jsonbody
 
 import (
@@ -11,28 +11,28 @@
 	"unicode/utf8"
 )
 
-// ErrNotUTF8 means that a body has bytes that are no text. encoding/json would
-// put a replacement character in their place.
+// ErrNotUTF8 means that a body is not valid UTF-8. encoding/json would substitute
+// replacement characters.
 var ErrNotUTF8 = errors.New("the body is not valid UTF-8")
 
-// DuplicateKeyError means that an object has a key twice. encoding/json would
-// take the last value, where another reader takes the first.
+// DuplicateKeyError means that an object has the same key twice. encoding/json uses
+// the last value, other parsers may use the first.
 type DuplicateKeyError struct{ Key string }
 
-// Error describes the failure.
+// Error implements error.
 func (e *DuplicateKeyError) Error() string { return fmt.Sprintf("the key %q stands twice", e.Key) }
 
-// Check gives ErrNotUTF8, a *DuplicateKeyError, or the error of a body that is no
-// JSON. Text after the first value is left to the caller.
+// Check returns ErrNotUTF8, a *DuplicateKeyError, or a syntax error. It does not
+// check text after the first value.
 func Check(body []byte) error {
 	if !utf8.Valid(body) {
 		return ErrNotUTF8
 	}
-	return value(json.NewDecoder(bytes.NewReader(body)))
+	return checkValue(json.NewDecoder(bytes.NewReader(body)))
 }
 
-// value reads one value and all in it.
-func value(d *json.Decoder) error {
+// checkValue checks the next value with everything nested in it.
+func checkValue(d *json.Decoder) error {
 	token, err := d.Token()
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -42,29 +42,29 @@
 	}
 	switch token {
 	case json.Delim('{'):
-		return object(d)
+		return checkObject(d)
 	case json.Delim('['):
-		return array(d)
+		return checkArray(d)
 	}
 	return nil
 }
 
-func object(d *json.Decoder) error {
+func checkObject(d *json.Decoder) error {
 	seen := map[string]bool{}
 	for d.More() {
 		token, err := d.Token()
 		if err != nil {
 			return err
 		}
-		key, isText := token.(string)
-		if !isText {
+		key, isString := token.(string)
+		if !isString {
 			return fmt.Errorf("%v stands in place of a key", token)
 		}
 		if seen[key] {
 			return &DuplicateKeyError{Key: key}
 		}
 		seen[key] = true
-		if err := value(d); err != nil {
+		if err := checkValue(d); err != nil {
 			return err
 		}
 	}
@@ -72,9 +72,9 @@
 	return err
 }
 
-func array(d *json.Decoder) error {
+func checkArray(d *json.Decoder) error {
 	for d.More() {
-		if err := value(d); err != nil {
+		if err := checkValue(d); err != nil {
 			return err
 		}
 	}
--- a/internal/jsonbody/jsonbody_test.go
+++ b/internal/jsonbody/jsonbody_test.go
@@ -9,10 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A caller's program writes a text in another encoding, or sets a field twice.
-// Read as usual, the request would run with a text or a value that the caller
-// didn't mean, and nobody would notice.
-func TestBodiesThatMayBeMisreadAreFound(t *testing.T) {
+// A caller's program sends text in another encoding, or sets a field twice. With
+// encoding/json alone, the request would silently run with a text or a value that
+// the caller didn't mean.
+func TestInvalidUTF8AndDuplicateKeysAreDetected(t *testing.T) {
 	tests := []struct {
 		name, body string
 		repeated   string
@@ -41,7 +41,7 @@
 	}
 }
 
-// FuzzCheck compares with encoding/json: what it can't read never passes.
+// FuzzCheck verifies that encoding/json can decode every body that passes Check.
 func FuzzCheck(f *testing.F) {
 	for _, seed := range []string{`{}`, `[1,{"a":null}]`, `{"a":1,"a":2}`, `{"a"`, `{"a":}`, `[1 2]`, `{1:2}`, "", "\xff"} {
 		f.Add([]byte(seed))
--- a/internal/listentest/caller.go
+++ b/internal/listentest/caller.go
@@ -11,39 +11,39 @@
 	"gotest.tools/v3/assert"
 )
 
-// callerPatience bounds all that one caller waits for.
-const callerPatience = 5 * time.Second
+// callerTimeout bounds all reads and writes of one caller.
+const callerTimeout = 5 * time.Second
 
-// Caller keeps a connection.
+// Caller is a client with one open connection.
 type Caller struct{ conn net.Conn }
 
-// Dial opens the connections of n callers, which are closed with the test.
+// Dial opens the connections of n callers. They are closed when the test ends.
 func Dial(t *testing.T, address string, n int) []*Caller {
 	t.Helper()
-	var all []*Caller
+	var callers []*Caller
 	for range n {
-		conn, err := net.DialTimeout("tcp", address, callerPatience)
+		conn, err := net.DialTimeout("tcp", address, callerTimeout)
 		assert.NilError(t, err)
 		t.Cleanup(func() { _ = conn.Close() })
-		assert.NilError(t, conn.SetDeadline(time.Now().Add(callerPatience)))
-		all = append(all, &Caller{conn})
+		assert.NilError(t, conn.SetDeadline(time.Now().Add(callerTimeout)))
+		callers = append(callers, &Caller{conn})
 	}
-	return all
+	return callers
 }
 
-// DialReused has n callers whose connections have served a request each and carry the
-// next one.
+// DialReused opens the connections of n callers, completes one request on each, and
+// sends a second one.
 func DialReused(t *testing.T, address string, n int) []*Caller {
 	t.Helper()
-	kept := Dial(t, address, n)
-	for _, caller := range kept {
+	callers := Dial(t, address, n)
+	for _, caller := range callers {
 		caller.SendRequest(t)
 		caller.ReadResponse(t)
 	}
-	for _, caller := range kept {
+	for _, caller := range callers {
 		caller.SendRequest(t)
 	}
-	return kept
+	return callers
 }
 
 // SendRequest sends one request.
@@ -53,11 +53,12 @@
 	assert.NilError(t, err)
 }
 
-// ReadResponse reads a whole answer, and fails the test where there is none.
+// ReadResponse reads a complete response with status 200, and fails the test if there
+// is none.
 func (c *Caller) ReadResponse(t *testing.T) {
 	t.Helper()
 	answer, err := http.ReadResponse(bufio.NewReader(c.conn), nil)
-	if !assert.Check(t, err == nil, "no answer: %v", err) {
+	if !assert.Check(t, err == nil, "no response: %v", err) {
 		return
 	}
 	_, err = io.ReadAll(answer.Body)
--- a/internal/listentest/listener.go
+++ b/internal/listentest/listener.go
@@ -1,5 +1,5 @@
-// Package listentest has what tests of listeners need: a listener in trouble, and
-// callers who keep their connections.
+// Package listentest provides helpers for tests of listeners: a listener that runs
+// out of file descriptors, and callers that keep their connections open.
 package listentest
 
 import (
@@ -9,21 +9,23 @@
 	"syscall"
 )
 
-// FailingListener is a listener for which the system has no descriptor a few times.
+// FailingListener is a listener whose first calls of Accept fail for lack of file
+// descriptors.
 type FailingListener struct {
 	net.Listener
-	// FailuresLeft is how many times.
+	// FailuresLeft is the number of calls that will still fail.
 	FailuresLeft atomic.Int64
 }
 
-// NewFailingListener has a listener fail so many times.
+// NewFailingListener returns a listener that fails the given number of times.
 func NewFailingListener(l net.Listener, times int64) *FailingListener {
 	t := &FailingListener{Listener: l}
 	t.FailuresLeft.Store(times)
 	return t
 }
 
-// Accept fails as the system does, or waits for the next connection.
+// Accept fails with EMFILE while FailuresLeft is positive, then accepts the next
+// connection.
 func (t *FailingListener) Accept() (net.Conn, error) {
 	if t.FailuresLeft.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
--- a/internal/logging/bounded.go
+++ b/internal/logging/bounded.go
@@ -12,35 +12,36 @@
 )
 
 const (
-	// queueLines is how many lines wait for the writer. At 300 bytes a line that
-	// is 300 KB at most.
-	queueLines = 1024
-	// sampleTick, sampleFirst: of lines with the same message only so many are
-	// written in each tick; the rest are counted. In an outage every request
-	// would write the same line otherwise.
-	sampleTick  = time.Second
-	sampleFirst = 40
-	// summaryPeriod is how often lines that were left out are told of.
+	// queueCapacity is the maximum number of lines that wait to be written: about
+	// 300 KB at 300 bytes per line.
+	queueCapacity = 1024
+	// sampleWindow and sampleFirst limit the lines with the same message: the first
+	// sampleFirst in each window are written, the others are only counted. In an
+	// outage every request would write the same line otherwise.
+	sampleWindow = time.Second
+	sampleFirst  = 40
+	// summaryPeriod is the interval between log lines that report omitted lines.
 	summaryPeriod = 5 * time.Second
 )
 
-// Names of the counters of lines that weren't written.
+// Names of the counters of lines that were not written: MetricSampled counts
+// repeated messages, MetricDropped lines lost to a full queue or a failed write.
 const (
 	MetricSampled = "log.lines_left_out"
 	MetricDropped = "log.lines_dropped"
 )
 
-// Bounded is a logger that never blocks its caller and whose volume is bounded.
+// Bounded is a logger that never blocks its caller and limits repeated messages.
 type Bounded struct {
 	*zap.Logger
-	writer *queued
+	writer *queuedWriter
 	stop   chan struct{}
 	done   chan struct{}
 }
 
-// NewBounded logs JSON lines to standard output at the given level. Lines that
-// repeat are counted rather than written, and when the output doesn't keep up
-// lines are dropped; both are counted in the registry. Close it at the end.
+// NewBounded returns a logger that writes JSON lines to standard output at the
+// given level. It omits repeated lines, and drops lines when the output doesn't
+// keep up; both are counted in the registry. Close it at the end.
 func NewBounded(level string, registry metrics.Registry) (*Bounded, error) {
 	return newBounded(level, registry, os.Stdout)
 }
@@ -51,11 +52,11 @@
 		return nil, err
 	}
 	sampled := metrics.GetOrRegisterCounter(MetricSampled, registry)
-	w := &queued{out: out, lines: make(chan []byte, queueLines), dropped: metrics.GetOrRegisterCounter(MetricDropped, registry)}
+	w := &queuedWriter{out: out, lines: make(chan []byte, queueCapacity), dropped: metrics.GetOrRegisterCounter(MetricDropped, registry)}
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.EncodeTime = zapcore.ISO8601TimeEncoder
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoding), w, parsed)
-	core = zapcore.NewSamplerWithOptions(core, sampleTick, sampleFirst, 0, zapcore.SamplerHook(
+	core = zapcore.NewSamplerWithOptions(core, sampleWindow, sampleFirst, 0, zapcore.SamplerHook(
 		func(_ zapcore.Entry, decision zapcore.SamplingDecision) {
 			if decision&zapcore.LogDropped != 0 {
 				sampled.Inc(1)
@@ -63,48 +64,49 @@
 		}))
 	b := &Bounded{Logger: zap.New(core), writer: w, stop: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
-	go b.summarize(sampled)
+	go b.reportOmitted(sampled)
 	return b, nil
 }
 
-// summarize tells how many lines were left out, if any.
-func (b *Bounded) summarize(sampled metrics.Counter) {
+// reportOmitted logs at intervals how many lines were omitted, if any.
+func (b *Bounded) reportOmitted(sampled metrics.Counter) {
 	defer close(b.done)
 	ticker := time.NewTicker(summaryPeriod)
 	defer ticker.Stop()
-	var told, toldDropped int64
+	var reportedSampled, reportedDropped int64
 	for {
 		select {
 		case <-b.stop:
 			return
 		case <-ticker.C:
 		}
-		now, dropped := sampled.Count(), b.writer.dropped.Count()
-		if now > told || dropped > toldDropped {
-			b.Warn("Log lines left out.", zap.Int64("repeated", now-told), zap.Int64("dropped", dropped-toldDropped))
+		sampledCount, droppedCount := sampled.Count(), b.writer.dropped.Count()
+		if sampledCount > reportedSampled || droppedCount > reportedDropped {
+			b.Warn("Log lines left out.", zap.Int64("repeated", sampledCount-reportedSampled), zap.Int64("dropped", droppedCount-reportedDropped))
 		}
-		told, toldDropped = now, dropped
+		reportedSampled, reportedDropped = sampledCount, droppedCount
 	}
 }
 
-// Close writes what waits and ends the logger.
+// Close writes the queued lines and stops the logger.
 func (b *Bounded) Close() {
 	close(b.stop)
 	<-b.done
 	b.writer.close()
 }
 
-// queued writes lines from a queue, so that a slow output blocks nobody.
-type queued struct {
+// queuedWriter writes lines from a queue, so that a slow output does not block the
+// callers.
+type queuedWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped metrics.Counter
 	closed  atomic.Bool
-	ended   chan struct{}
+	drained chan struct{}
 }
 
-// Write queues a line, or drops it when the queue is full.
-func (q *queued) Write(line []byte) (int, error) {
+// Write queues a line, or drops it if the queue is full.
+func (q *queuedWriter) Write(line []byte) (int, error) {
 	if q.closed.Load() {
 		return len(line), nil
 	}
@@ -116,34 +118,35 @@
 	return len(line), nil
 }
 
-// Sync is part of zapcore.WriteSyncer; lines are written as they come.
-func (q *queued) Sync() error { return nil }
+// Sync implements zapcore.WriteSyncer. It does nothing: there is no buffer to
+// flush besides the queue, which Close writes.
+func (q *queuedWriter) Sync() error { return nil }
 
-func (q *queued) run() {
+func (q *queuedWriter) run() {
 	for line := range q.lines {
 		if line == nil {
-			close(q.ended)
+			close(q.drained)
 			return
 		}
 		if _, err := q.out.Write(line); err != nil {
-			q.dropped.Inc(1) // the log itself is the only place to tell of it
+			q.dropped.Inc(1) // can't be logged, since the log itself fails
 		}
 	}
 }
 
-// closeTimeout bounds how long the last lines may take.
+// closeTimeout bounds each wait of close for the last lines.
 const closeTimeout = 200 * time.Millisecond
 
-func (q *queued) close() {
+func (q *queuedWriter) close() {
 	q.closed.Store(true)
-	q.ended = make(chan struct{})
+	q.drained = make(chan struct{})
 	select {
 	case q.lines <- nil:
 	case <-time.After(closeTimeout):
 		return
 	}
 	select {
-	case <-q.ended:
+	case <-q.drained:
 	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/logging/bounded_test.go
+++ b/internal/logging/bounded_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// output is a slow or fast output.
+// output collects what is written. Writes block while block is not nil and open.
 type output struct {
 	mu    sync.Mutex
 	text  bytes.Buffer
@@ -29,7 +29,7 @@
 	return o.text.Write(p)
 }
 
-func TestLinesArriveInOrderAndToTheLast(t *testing.T) {
+func TestAllLinesAreWrittenInOrder(t *testing.T) {
 	out := &output{}
 	b, err := newBounded("info", metrics.NewRegistry(), out)
 	assert.NilError(t, err)
@@ -43,24 +43,25 @@
 	assert.Assert(t, strings.Contains(lines[29], `"msg":"line 29"`))
 }
 
-// Whatever reads the log has stopped reading. Requests must not wait for it.
-func TestAStuckOutputBlocksNobody(t *testing.T) {
+// The program that reads the log has stopped reading. Logging must not block.
+func TestBlockedOutputDoesNotBlockCallers(t *testing.T) {
 	out := &output{block: make(chan struct{})}
 	registry := metrics.NewRegistry()
 	b, err := newBounded("info", registry, out)
 	assert.NilError(t, err)
 	start := time.Now()
-	for i := range 3 * queueLines {
+	for i := range 3 * queueCapacity {
 		b.Info(fmt.Sprintf("line %d", i))
 	}
 	assert.Assert(t, time.Since(start) < time.Second)
 	dropped := metrics.GetOrRegisterCounter(MetricDropped, registry).Count()
-	assert.Assert(t, dropped >= queueLines, "%d", dropped)
+	assert.Assert(t, dropped >= queueCapacity, "%d", dropped)
 	b.Close()
 	close(out.block)
 }
 
-// In an outage every request writes the same line. They are counted instead.
+// In an outage every request writes the same line. Most of these lines must be
+// counted instead of written.
 func TestRepeatedLinesAreCounted(t *testing.T) {
 	out := &output{}
 	registry := metrics.NewRegistry()
@@ -71,21 +72,21 @@
 	}
 	b.Close()
 	written := strings.Count(out.text.String(), "the same")
-	left := metrics.GetOrRegisterCounter(MetricSampled, registry).Count()
+	omitted := metrics.GetOrRegisterCounter(MetricSampled, registry).Count()
 	assert.Assert(t, written <= 2*sampleFirst, "%d", written)
-	assert.Equal(t, int64(written)+left, int64(500))
+	assert.Equal(t, int64(written)+omitted, int64(500))
 }
 
-// gone is an output that nobody reads any more.
-type gone struct{}
+// brokenPipe is an output whose reader has exited.
+type brokenPipe struct{}
 
-func (gone) Write([]byte) (int, error) { return 0, syscall.EPIPE }
+func (brokenPipe) Write([]byte) (int, error) { return 0, syscall.EPIPE }
 
-// What reads the log has ended. Whoever looks at the metrics must see that lines
-// are missing.
-func TestLinesThatCannotBeWrittenAreCounted(t *testing.T) {
+// The program that reads the log has exited. The metrics must show that lines are
+// missing.
+func TestFailedWritesAreCounted(t *testing.T) {
 	registry := metrics.NewRegistry()
-	b, err := newBounded("info", registry, gone{})
+	b, err := newBounded("info", registry, brokenPipe{})
 	assert.NilError(t, err)
 	for i := range 30 {
 		b.Info(fmt.Sprintf("line %d", i))
@@ -94,10 +95,9 @@
 	assert.Equal(t, metrics.GetOrRegisterCounter(MetricDropped, registry).Count(), int64(30))
 }
 
-// In an outage every request writes the same line. Nearly all lines are those of a
-// part of the program: if theirs were not left out, the log would grow by as many
-// lines as there are requests.
-func TestRepeatedLinesOfAPartAreCounted(t *testing.T) {
+// Nearly all lines come from loggers of components. If sampling did not apply to
+// them, the log would grow by one line per request in an outage.
+func TestRepeatedLinesOfAComponentAreCounted(t *testing.T) {
 	out := &output{}
 	registry := metrics.NewRegistry()
 	b, err := newBounded("info", registry, out)
@@ -109,8 +109,8 @@
 	part.Debug("not asked for")
 	b.Close()
 	written := strings.Count(out.text.String(), `"msg":"request: the same","request":"r1"`)
-	left := metrics.GetOrRegisterCounter(MetricSampled, registry).Count()
+	omitted := metrics.GetOrRegisterCounter(MetricSampled, registry).Count()
 	assert.Assert(t, written <= 2*sampleFirst, "%d", written)
-	assert.Equal(t, int64(written)+left, int64(500))
+	assert.Equal(t, int64(written)+omitted, int64(500))
 	assert.Assert(t, !strings.Contains(out.text.String(), "not asked for"))
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging builds the structured logger that all programs share. Each
-// part of a program logs under a fixed prefix.
+// Package logging builds the structured loggers of all programs. Each component of
+// a program logs with a fixed prefix.
 package logging
 
 import (
@@ -7,9 +7,9 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// New logs JSON lines to standard error at the given level: "debug", "info",
-// "warn" or "error". It waits for who reads them; what serves others uses
-// NewBounded.
+// New returns a logger that writes JSON lines to standard error at the given
+// level: "debug", "info", "warn" or "error". It blocks while the output is blocked;
+// servers use NewBounded instead.
 func New(level string) (*zap.Logger, error) {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -24,28 +24,29 @@
 	return cfg.Build()
 }
 
-// WithComponent is the logger of one part: its messages carry the prefix "part: ".
-func WithComponent(log *zap.Logger, part string) *zap.Logger {
+// WithComponent returns a logger that prefixes its messages with the name of a
+// component and ": ".
+func WithComponent(log *zap.Logger, component string) *zap.Logger {
 	return log.WithOptions(zap.WrapCore(func(core zapcore.Core) zapcore.Core {
-		return prefixed{Core: core, prefix: part + ": "}
+		return prefixCore{Core: core, prefix: component + ": "}
 	}))
 }
 
-// RequestID is the field that carries a request's identity.
+// RequestID returns the log field with the ID of a request.
 func RequestID(id string) zap.Field { return zap.String("request", id) }
 
-type prefixed struct {
+type prefixCore struct {
 	zapcore.Core
 	prefix string
 }
 
-func (p prefixed) With(fields []zapcore.Field) zapcore.Core {
-	return prefixed{Core: p.Core.With(fields), prefix: p.prefix}
+func (p prefixCore) With(fields []zapcore.Field) zapcore.Core {
+	return prefixCore{Core: p.Core.With(fields), prefix: p.prefix}
 }
 
-// Check asks the core below, so that what it leaves out, as a sampler does, is
-// left out of the part's lines too.
-func (p prefixed) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+// Check delegates to the wrapped core, so that a sampler there also applies to the
+// prefixed messages.
+func (p prefixCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if !p.Enabled(entry.Level) {
 		return checked
 	}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,4 +1,4 @@
-// Package program holds what the programs' command lines have in common.
+// Package program holds the code that the main functions of all programs share.
 package program
 
 import (
@@ -19,39 +19,39 @@
 // Exit codes of all programs.
 const (
 	ExitFailed = 1
-	// ExitUsage means that a setting can't be used.
+	// ExitUsage means that a setting is invalid.
 	ExitUsage = 2
 )
 
-// EnvPrefix comes before the name of each flag's environment variable.
+// EnvPrefix is the prefix of the environment variable of each flag.
 const EnvPrefix = "VANILLAGATE_"
 
-// Env is the environment variable of a flag: "peer-keys" is set by
-// VANILLAGATE_PEER_KEYS.
+// Env returns the environment variable of a flag: VANILLAGATE_PEER_KEYS for
+// "peer-keys".
 func Env(flag string) cli.ValueSourceChain {
 	return cli.EnvVars(EnvPrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_")))
 }
 
-// Serve runs a program that serves others, like Run. Its command is made with
-// the signals that ask it to read its settings again: left to its default
-// action, SIGHUP ends a process with all that it serves, and its log doesn't say
-// why.
+// Serve runs a server, like Run. It passes the command a channel of reload signals
+// (SIGHUP): by default SIGHUP would kill the process with its requests in flight,
+// without a line in its log.
 func Serve(command func(reload <-chan os.Signal) *cli.Command) {
-	outliveLogReaders()
+	ignoreSIGPIPE()
 	Run(command(reload.Signals()))
 }
 
-// outliveLogReaders lets a process go on when nobody reads its standard output
-// or error any more, as when the program that collects logs is replaced. The
-// next line written would end it by SIGPIPE (code 141), with all that it serves;
-// now that write fails and the line is counted as dropped.
-func outliveLogReaders() {
+// ignoreSIGPIPE keeps a process running when the reader of its standard output or
+// error exits, as when the log collector is replaced. By default the next write
+// would kill the process by SIGPIPE (exit code 141) with its requests in flight;
+// when ignored, the write fails and the line is counted as dropped.
+func ignoreSIGPIPE() {
 	signal.Ignore(syscall.SIGPIPE)
 }
 
-// Run runs a command until it ends or SIGTERM or SIGINT asks it to leave, and
-// exits with its code. The signals stay caught to the end: one that comes last,
-// asking again, would end the process with another code than its own.
+// Run runs a command until it ends; SIGTERM and SIGINT cancel its context. If it
+// fails, the process exits with its code. The signals stay caught to the end:
+// otherwise a second signal during the shutdown would kill the process with
+// another exit code.
 func Run(command *cli.Command) {
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	err := command.Run(ctx, os.Args)
@@ -59,13 +59,13 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, command.Name+":", err)
-	var bad *settings.Error
-	if errors.As(err, &bad) {
+	var invalid *settings.Error
+	if errors.As(err, &invalid) {
 		os.Exit(ExitUsage)
 	}
-	var coded cli.ExitCoder
-	if errors.As(err, &coded) {
-		os.Exit(coded.ExitCode())
+	var exitCoder cli.ExitCoder
+	if errors.As(err, &exitCoder) {
+		os.Exit(exitCoder.ExitCode())
 	}
 	os.Exit(ExitFailed)
 }
--- a/internal/program/vmflags/vmflags.go
+++ b/internal/program/vmflags/vmflags.go
@@ -1,7 +1,7 @@
-// Package vmflags has the flags that vanillagate and vgsteward share, and what is
-// made from them. It stands apart from package program because it links the
-// clients of table service and object store: vgedge needs none of them, and pays
-// for what it links in memory and in time to start.
+// Package vmflags defines the flags that vanillagate and vgsteward share, and
+// builds the clients of the platform's services from them. It is separate from
+// package program because vgedge does not need these clients, and linking them
+// would cost it memory and startup time.
 package vmflags
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/vanillagate/vanillagate/internal/settings"
 )
 
-// Names of the flags that the programs on entry VMs share.
+// Names of the flags.
 const (
 	flagPeerListen  = "peer-listen"
 	flagPeerKeys    = "peer-keys"
@@ -40,30 +40,30 @@
 	flagLogLevel    = "log-level"
 )
 
-// All are the flags of every program on an entry VM.
+// All returns the flags of the programs on entry VMs.
 func All() []cli.Flag {
 	return []cli.Flag{
-		text(flagPeerListen, "127.0.0.1:7600", "`IP:PORT` for the system's own processes"),
-		text(flagPeerKeys, "", "shared `KEYS` between the processes, comma-separated; the first signs, all are accepted"),
-		text(flagPeers, "", "`IP:PORT,...` of peers to try besides those of the VM list"),
-		text(flagPeerCert, "", "PEM `FILE` with the certificate for TLS between the processes"),
-		text(flagPeerCertKey, "", "PEM `FILE` with that certificate's key"),
-		text(flagZone, "a", "availability `ZONE` of this VM"),
-		text(flagRegion, "r1", "`REGION` of this VM"),
-		text(flagTableURL, "http://127.0.0.1:7001", "`URL` of the table service (DynamoDB protocol)"),
-		text(flagObjectsURL, "http://127.0.0.1:7002", "`URL` of the object store (S3 protocol)"),
-		text(flagVMListURL, "http://127.0.0.1:7003", "`URL` of the VM list (HTTP service discovery JSON)"),
-		text(flagAccessKey, "vanillagate", "access `KEY` of table service and object store"),
-		text(flagSecretKey, "vanillagate", "secret `KEY` of table service and object store"),
-		text(flagLogLevel, "info", "`LEVEL` of logs: debug, info, warn or error"),
+		stringFlag(flagPeerListen, "127.0.0.1:7600", "`IP:PORT` to listen on for peer processes"),
+		stringFlag(flagPeerKeys, "", "shared `KEYS` of the peer processes, comma-separated; the first signs, all are accepted"),
+		stringFlag(flagPeers, "", "`IP:PORT,...` of peers to contact in addition to those in the VM list"),
+		stringFlag(flagPeerCert, "", "PEM `FILE` with the certificate for TLS between peer processes"),
+		stringFlag(flagPeerCertKey, "", "PEM `FILE` with the key of that certificate"),
+		stringFlag(flagZone, "a", "availability `ZONE` of this VM"),
+		stringFlag(flagRegion, "r1", "`REGION` of this VM"),
+		stringFlag(flagTableURL, "http://127.0.0.1:7001", "`URL` of the table service (DynamoDB protocol)"),
+		stringFlag(flagObjectsURL, "http://127.0.0.1:7002", "`URL` of the object store (S3 protocol)"),
+		stringFlag(flagVMListURL, "http://127.0.0.1:7003", "`URL` of the VM list (HTTP service discovery JSON)"),
+		stringFlag(flagAccessKey, "vanillagate", "access `KEY` for the table service and the object store"),
+		stringFlag(flagSecretKey, "vanillagate", "secret `KEY` for the table service and the object store"),
+		stringFlag(flagLogLevel, "info", "log `LEVEL`: debug, info, warn or error"),
 	}
 }
 
-func text(name, value, usage string) *cli.StringFlag {
+func stringFlag(name, value, usage string) *cli.StringFlag {
 	return &cli.StringFlag{Name: name, Value: value, Usage: usage, Sources: program.Env(name)}
 }
 
-// Values are the checked values of All.
+// Values holds the values of the flags, and the clients built from them.
 type Values struct {
 	PeerListen string
 	PeerKeys   []string
@@ -77,30 +77,30 @@
 	VMs        backing.VMList
 }
 
-// Check reads the values and notes what can't be used.
+// Check reads and validates the flags, and records invalid values in check.
 func Check(c *cli.Command, check *settings.Checker) Values {
-	sh := Values{
+	v := Values{
 		PeerListen: c.String(flagPeerListen),
-		PeerKeys:   list(c.String(flagPeerKeys)),
-		Peers:      list(c.String(flagPeers)),
+		PeerKeys:   splitList(c.String(flagPeerKeys)),
+		Peers:      splitList(c.String(flagPeers)),
 		Zone:       c.String(flagZone),
 		Region:     c.String(flagRegion),
 		LogLevel:   c.String(flagLogLevel),
 	}
-	check.Address(flagPeerListen, sh.PeerListen)
-	check.NotEmpty(flagZone, sh.Zone)
-	check.NotEmpty(flagRegion, sh.Region)
-	check.OneOf(flagLogLevel, sh.LogLevel, "debug", "info", "warn", "error")
-	checkKeys(sh.PeerKeys, check)
-	for _, address := range sh.Peers {
+	check.Address(flagPeerListen, v.PeerListen)
+	check.NotEmpty(flagZone, v.Zone)
+	check.NotEmpty(flagRegion, v.Region)
+	check.OneOf(flagLogLevel, v.LogLevel, "debug", "info", "warn", "error")
+	checkKeys(v.PeerKeys, check)
+	for _, address := range v.Peers {
 		check.Address(flagPeers, address)
 	}
 	for _, name := range []string{flagTableURL, flagObjectsURL, flagVMListURL} {
 		check.URL(name, c.String(name))
 	}
-	sh.PeerTLS = trustOwn(c, Certificate(c, flagPeerCert, flagPeerCertKey, check), check)
-	sh.connect(c)
-	return sh
+	v.PeerTLS = trustOwnCertificates(c, Certificate(c, flagPeerCert, flagPeerCertKey, check), check)
+	v.buildClients(c)
+	return v
 }
 
 func checkKeys(keys []string, check *settings.Checker) {
@@ -114,8 +114,8 @@
 	}
 }
 
-// Certificate loads a certificate and its key, or gives nil where neither
-// is set.
+// Certificate loads a certificate and its key. It returns nil if neither flag is
+// set.
 func Certificate(c *cli.Command, certFlag, keyFlag string, check *settings.Checker) *tls.Config {
 	certFile, keyFile := c.String(certFlag), c.String(keyFlag)
 	if certFile == "" && keyFile == "" {
@@ -129,10 +129,10 @@
 	return &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS12}
 }
 
-// trustOwn has processes accept each other by the certificates in their own
-// file: the same self-signed one everywhere, or one's own and behind it that of
-// the authority which signed all.
-func trustOwn(c *cli.Command, config *tls.Config, check *settings.Checker) *tls.Config {
+// trustOwnCertificates makes peers trust the certificates in the configured
+// certificate file: either one self-signed certificate that all processes use, or
+// the process's own certificate followed by that of the CA that signed all.
+func trustOwnCertificates(c *cli.Command, config *tls.Config, check *settings.Checker) *tls.Config {
 	if config == nil {
 		return nil
 	}
@@ -149,27 +149,28 @@
 	return config
 }
 
-// storeRegion signs requests; the platform's stores don't look at it.
+// storeRegion is the region in request signatures. The platform's services ignore
+// it.
 const storeRegion = "local"
 
-func (sh *Values) connect(c *cli.Command) {
+func (v *Values) buildClients(c *cli.Command) {
 	access, secret := c.String(flagAccessKey), c.String(flagSecretKey)
-	sh.Table = dynamo.New(backing.StoreConfig{
+	v.Table = dynamo.New(backing.StoreConfig{
 		URL: c.String(flagTableURL), Region: storeRegion, AccessKey: access, SecretKey: secret,
 		HTTP: backing.DefaultHTTPConfig(),
 	})
-	sh.Objects = objects.New(backing.StoreConfig{
+	v.Objects = objects.New(backing.StoreConfig{
 		URL: c.String(flagObjectsURL), Region: storeRegion, AccessKey: access, SecretKey: secret,
 		HTTP: backing.DefaultHTTPConfig(),
 	})
-	sh.VMs = vmlist.New(c.String(flagVMListURL))
+	v.VMs = vmlist.New(c.String(flagVMListURL))
 }
 
-// Seeds gives the peer addresses to join by: those of the VM list, and those
-// of the settings.
-func (sh *Values) Seeds(ctx context.Context) ([]string, error) {
-	seeds := append([]string(nil), sh.Peers...)
-	vms, err := sh.VMs.List(ctx)
+// Seeds returns the addresses of the peers to join: those from the flag and those
+// from the VM list.
+func (v *Values) Seeds(ctx context.Context) ([]string, error) {
+	seeds := append([]string(nil), v.Peers...)
+	vms, err := v.VMs.List(ctx)
 	if err != nil && len(seeds) == 0 {
 		return nil, eris.Wrap(err, "VM list")
 	}
@@ -181,14 +182,14 @@
 	return seeds, nil
 }
 
-// PeerOptions are the options of this process's Node.
-func (sh *Values) PeerOptions(self peer.Member) peer.Options {
+// PeerOptions returns the options for the peer.Node of this process.
+func (v *Values) PeerOptions(self peer.Member) peer.Options {
 	return peer.Options{
-		Self: self, Listen: sh.PeerListen, Keys: sh.PeerKeys, TLS: sh.PeerTLS, Seeds: sh.Seeds,
+		Self: self, Listen: v.PeerListen, Keys: v.PeerKeys, TLS: v.PeerTLS, Seeds: v.Seeds,
 	}
 }
 
-func list(value string) []string {
+func splitList(value string) []string {
 	var parts []string
 	for _, part := range strings.Split(value, ",") {
 		if part = strings.TrimSpace(part); part != "" {
--- a/internal/query/changes/changes.go
+++ b/internal/query/changes/changes.go
@@ -1,5 +1,5 @@
-// Package changes reads accepted configuration changes from the table
-// service. Its key layout is shared with command/change, which writes them.
+// Package changes reads accepted configuration changes from the table service.
+// Package command/change writes them with the same key layout.
 package changes
 
 import (
@@ -11,9 +11,9 @@
 	"github.com/vanillagate/vanillagate/internal/config"
 )
 
-// Partitions of the table that hold the configuration.
+// Partitions of the table for the configuration.
 const (
-	// PartitionConfig holds the head and the last change of each item.
+	// PartitionConfig holds the head row and the last change of each item.
 	PartitionConfig = "config"
 	// PartitionChange holds the changes by revision.
 	PartitionChange = "change"
@@ -21,31 +21,32 @@
 	PartitionChangeID = "change_id"
 )
 
-// PageSize is how many changes one read asks for.
+// PageSize is the maximum number of changes per read.
 const PageSize = 200
 
-// HeadKey is the row whose version is the revision of the last change.
+// HeadKey is the key of the row whose version is the revision of the last change.
 func HeadKey() backing.Key { return backing.Key{Partition: PartitionConfig, Sort: "head"} }
 
-// ItemRowKey is the row of an item's last change.
+// ItemRowKey is the key of the row with the last change of an item.
 func ItemRowKey(kind config.Kind, name string) backing.Key {
 	return backing.Key{Partition: PartitionConfig, Sort: "item/" + config.ItemKey(kind, name)}
 }
 
-// ChangeKey is the row of a change.
+// ChangeKey is the key of the row of a change.
 func ChangeKey(r config.Revision) backing.Key {
-	return backing.Key{Partition: PartitionChange, Sort: sortOf(r)}
+	return backing.Key{Partition: PartitionChange, Sort: sortKey(r)}
 }
 
-// ChangeIDKey is the row that finds a change by its ID.
+// ChangeIDKey is the key of the row that maps a change ID to its revision.
 func ChangeIDKey(id string) backing.Key {
 	return backing.Key{Partition: PartitionChangeID, Sort: id}
 }
 
-// sortOf orders rows as their numbers are ordered.
-func sortOf(r config.Revision) string { return fmt.Sprintf("%020d", uint64(r)) }
+// sortKey pads a revision with zeros, so that the lexical order of the sort keys is
+// the numerical order of the revisions.
+func sortKey(r config.Revision) string { return fmt.Sprintf("%020d", uint64(r)) }
 
-// Head is the revision of the last accepted change; zero before the first.
+// Head returns the revision of the last accepted change; zero before the first.
 func Head(ctx context.Context, table backing.Table) (config.Revision, error) {
 	row, err := table.Get(ctx, HeadKey())
 	if err != nil || row == nil {
@@ -54,9 +55,10 @@
 	return config.Revision(row.Version), nil
 }
 
-// ReadAfter reads up to limit changes above a revision, in order, without gaps.
+// ReadAfter reads up to limit changes after a revision, in order. It fails if one
+// is missing.
 func ReadAfter(ctx context.Context, table backing.Table, after config.Revision, limit int) ([]config.Change, error) {
-	rows, err := table.Scan(ctx, PartitionChange, sortOf(after), limit)
+	rows, err := table.Scan(ctx, PartitionChange, sortKey(after), limit)
 	if err != nil {
 		return nil, err
 	}
@@ -67,7 +69,7 @@
 			return nil, err
 		}
 		if want := after + config.Revision(i) + 1; change.Revision != want {
-			return nil, fmt.Errorf("changes: revision %d where %d was due: %w", change.Revision, want, backing.ErrUnknown)
+			return nil, fmt.Errorf("changes: found revision %d, expected %d: %w", change.Revision, want, backing.ErrUnknown)
 		}
 		found = append(found, change)
 	}
@@ -82,9 +84,9 @@
 	return change, nil
 }
 
-// CatchUp brings a state up to the last accepted change and returns the changes
-// that it applied, so that the caller can pass them on. After an error both
-// hold what had been read before it.
+// CatchUp applies all later accepted changes to a state. It returns the new state
+// and the changes that it applied, so that the caller can forward them. After an
+// error both contain what was read before the error.
 func CatchUp(ctx context.Context, table backing.Table, from *config.State) (*config.State, []config.Change, error) {
 	var all []config.Change
 	state := from
--- a/internal/query/changes/changes_test.go
+++ b/internal/query/changes/changes_test.go
@@ -12,7 +12,7 @@
 	"github.com/vanillagate/vanillagate/internal/config"
 )
 
-func put(t *testing.T, store *memory.Store, revision config.Revision) {
+func putChange(t *testing.T, store *memory.Store, revision config.Revision) {
 	body, err := json.Marshal(config.Change{
 		ID: fmt.Sprint(revision), Revision: revision, Kind: config.KindPool, Name: "llm", Body: []byte(`{"name":"llm"}`),
 	})
@@ -21,11 +21,11 @@
 	assert.NilError(t, err)
 }
 
-func TestFollowReadsAllPages(t *testing.T) {
+func TestCatchUpReadsAllPages(t *testing.T) {
 	store := memory.New()
 	const last = 2*PageSize + 1
 	for r := config.Revision(1); r <= last; r++ {
-		put(t, store, r)
+		putChange(t, store, r)
 	}
 	state, applied, err := CatchUp(t.Context(), store, config.NewState())
 	assert.NilError(t, err)
@@ -36,14 +36,13 @@
 	assert.Equal(t, len(applied), 0)
 }
 
-// A change is missing from the table, as after a restore that lost rows. What
-// comes after it must not come into force: it may undo or rely on the one that
-// is missing.
-func TestGapIsNotPassedOver(t *testing.T) {
+// A change is missing from the table, as after a restore that lost rows. Later
+// changes must not be applied: they may undo or depend on the missing one.
+func TestCatchUpStopsAtMissingRevision(t *testing.T) {
 	store := memory.New()
-	put(t, store, 1)
-	put(t, store, 3)
+	putChange(t, store, 1)
+	putChange(t, store, 3)
 	state, _, err := CatchUp(t.Context(), store, config.NewState())
-	assert.ErrorContains(t, err, "revision 3 where 2 was due")
+	assert.ErrorContains(t, err, "found revision 3, expected 2")
 	assert.Equal(t, state.Revision, config.Revision(0))
 }
--- a/internal/query/costs/costs.go
+++ b/internal/query/costs/costs.go
@@ -1,5 +1,5 @@
-// Package costs sums what requests cost, by customer and stage. Its row layout
-// is shared with command/cost, which writes the rows.
+// Package costs sums the costs of requests by customer, pipeline and stage.
+// Package command/cost writes the rows with the same layout.
 package costs
 
 import (
@@ -14,62 +14,64 @@
 	"github.com/vanillagate/vanillagate/internal/peer"
 )
 
-// PartitionIndex holds a row for each day on which a process wrote cost rows,
-// since the table can't list its partitions.
+// PartitionIndex holds one row per process and day on which the process wrote cost
+// rows, since the table service can't list partitions.
 const PartitionIndex = "cost"
 
-// dayFormat makes the rows of the index sort by time.
+// dayFormat is the prefix of the sort keys of the index, which sorts it by time.
 const dayFormat = "2006-01-02"
 
-// Partition holds the cost rows of one process by sequence number.
-func Partition(of peer.Incarnation) string { return PartitionIndex + "/" + string(of) }
+// Partition is the name of the partition with the cost rows of one process, which
+// are sorted by sequence number.
+func Partition(writer peer.Incarnation) string { return PartitionIndex + "/" + string(writer) }
 
-// RowKey is the key of one cost row. A row that is written again under its key
-// counts once.
-func RowKey(of peer.Incarnation, sequence uint64) backing.Key {
-	return backing.Key{Partition: Partition(of), Sort: fmt.Sprintf("%020d", sequence)}
+// RowKey is the key of one cost row. Writing a row again under the same key does
+// not count it twice.
+func RowKey(writer peer.Incarnation, sequence uint64) backing.Key {
+	return backing.Key{Partition: Partition(writer), Sort: fmt.Sprintf("%020d", sequence)}
 }
 
-// IndexKey is the key of a process's row in the index.
-func IndexKey(of peer.Incarnation, at time.Time) backing.Key {
-	return backing.Key{Partition: PartitionIndex, Sort: at.UTC().Format(dayFormat) + "/" + string(of)}
+// IndexKey is the key of the index row of a process for the day of a time.
+func IndexKey(writer peer.Incarnation, at time.Time) backing.Key {
+	return backing.Key{Partition: PartitionIndex, Sort: at.UTC().Format(dayFormat) + "/" + string(writer)}
 }
 
-// IndexRow is the body of a row of the index.
+// IndexRow is the body of an index row.
 type IndexRow struct {
 	Incarnation peer.Incarnation `json:"incarnation"`
 }
 
-// Key says whose cost it is and what for. Calls of a plain service stand under
-// its name as pipeline and stage.
+// Key identifies what a cost is attributed to. Calls to a plain service have its
+// name as both pipeline and stage.
 type Key struct {
 	Customer string `json:"customer"`
 	Pipeline string `json:"pipeline"`
 	Stage    string `json:"stage"`
 }
 
-// WasteReason says why a call at a target was of no use.
+// WasteReason is the reason why the result of a call at a target was not used.
 type WasteReason string
 
-// Amount is what calls at targets cost. The zero value is nothing.
+// Amount is the cost of a number of calls at targets.
 type Amount struct {
-	// Requests counts the calls that were of use.
+	// Requests counts the calls whose results were used.
 	Requests int64 `json:"requests"`
-	// EngineUS is the time that targets say all calls took, in microseconds.
+	// EngineUS is the processing time of all calls in microseconds, as reported by
+	// the targets or estimated.
 	EngineUS int64 `json:"engine_us"`
-	// EstimatedUS is the part of EngineUS that no target told: of calls that
-	// were cancelled or broke.
+	// EstimatedUS is the part of EngineUS that is estimated, because the call was
+	// cancelled or broke before the target reported its time.
 	EstimatedUS      int64 `json:"estimated_us,omitempty"`
 	PromptTokens     int64 `json:"prompt_tokens"`
 	CompletionTokens int64 `json:"completion_tokens"`
 	CachedTokens     int64 `json:"cached_tokens"`
-	// WastedUS is the part of EngineUS that was of no use, by reason.
+	// WastedUS is the part of EngineUS spent on unused results, by reason.
 	WastedUS map[WasteReason]int64 `json:"wasted_us,omitempty"`
-	// WastedCalls counts the calls that were of no use, by reason.
+	// WastedCalls counts the calls with unused results, by reason.
 	WastedCalls map[WasteReason]int64 `json:"wasted_calls,omitempty"`
 }
 
-// Add adds another amount.
+// Add adds b to a.
 func (a *Amount) Add(b Amount) {
 	a.Requests += b.Requests
 	a.EngineUS += b.EngineUS
@@ -77,11 +79,11 @@
 	a.PromptTokens += b.PromptTokens
 	a.CompletionTokens += b.CompletionTokens
 	a.CachedTokens += b.CachedTokens
-	addAll(&a.WastedUS, b.WastedUS)
-	addAll(&a.WastedCalls, b.WastedCalls)
+	addByReason(&a.WastedUS, b.WastedUS)
+	addByReason(&a.WastedCalls, b.WastedCalls)
 }
 
-func addAll(to *map[WasteReason]int64, from map[WasteReason]int64) {
+func addByReason(to *map[WasteReason]int64, from map[WasteReason]int64) {
 	if *to == nil && len(from) > 0 {
 		*to = map[WasteReason]int64{}
 	}
@@ -90,29 +92,30 @@
 	}
 }
 
-// Entry is the amount of one key.
+// Entry is the cost attributed to one key.
 type Entry struct {
 	Key
 	Amount
 }
 
-// Row is the body of a cost row: what came together up to a moment.
+// Row is the body of a cost row: the costs that one process accumulated until At
+// since its previous row.
 type Row struct {
 	At      time.Time `json:"at"`
 	Entries []Entry   `json:"entries"`
 }
 
-// Report is what rows within a time cost together.
+// Report is the sum of the cost rows within a period.
 type Report struct {
 	Since   time.Time `json:"since"`
 	Until   time.Time `json:"until"`
 	Entries []Entry   `json:"entries"`
 }
 
-// pageSize is how many rows one read asks for.
+// pageSize is the maximum number of rows per read.
 const pageSize = 500
 
-// Sum adds up the rows written from since on and before until.
+// Sum adds up the rows whose time is at or after since and before until.
 func Sum(ctx context.Context, table backing.Table, since, until time.Time) (Report, error) {
 	sums := map[Key]*Amount{}
 	writers, err := writersSince(ctx, table, since)
@@ -127,10 +130,11 @@
 			return Report{}, err
 		}
 	}
-	return Report{Since: since, Until: until, Entries: sorted(sums)}, nil
+	return Report{Since: since, Until: until, Entries: sortedEntries(sums)}, nil
 }
 
-// writersSince lists each process once that wrote on the day of since or later.
+// writersSince lists, without duplicates, the processes that wrote cost rows on
+// the day of since or later.
 func writersSince(ctx context.Context, table backing.Table, since time.Time) ([]peer.Incarnation, error) {
 	var writers []peer.Incarnation
 	err := scan(ctx, table, PartitionIndex, since.UTC().Format(dayFormat), func(row backing.Row) error {
@@ -145,14 +149,14 @@
 	return slices.Compact(writers), err
 }
 
-func scan(ctx context.Context, table backing.Table, partition, after string, take func(backing.Row) error) error {
+func scan(ctx context.Context, table backing.Table, partition, after string, visit func(backing.Row) error) error {
 	for {
 		rows, err := table.Scan(ctx, partition, after, pageSize)
 		if err != nil {
 			return err
 		}
 		for _, row := range rows {
-			if err := take(row); err != nil {
+			if err := visit(row); err != nil {
 				return err
 			}
 			after = row.Sort
@@ -180,7 +184,7 @@
 	return nil
 }
 
-func sorted(sums map[Key]*Amount) []Entry {
+func sortedEntries(sums map[Key]*Amount) []Entry {
 	entries := make([]Entry, 0, len(sums))
 	for key, amount := range sums {
 		entries = append(entries, Entry{Key: key, Amount: *amount})
--- a/internal/query/leases/leases.go
+++ b/internal/query/leases/leases.go
@@ -1,4 +1,4 @@
-// Package leases tells who holds the leases of the pools.
+// Package leases lists the holders of the pool leases.
 package leases
 
 import (
@@ -9,16 +9,16 @@
 	"github.com/vanillagate/vanillagate/internal/peer"
 )
 
-// Holder is who has the lease of a pool.
+// Holder is the holder of the lease of a pool.
 type Holder struct {
 	Pool   string           `json:"pool"`
 	Holder peer.Incarnation `json:"holder"`
-	// Token is the fencing token, which grows with each renewal.
+	// Token is the fencing token, which increases with each renewal.
 	Token    uint64 `json:"token"`
 	Released bool   `json:"released,omitempty"`
 }
 
-// List reads the leases. Whether a holder is still there it can't tell.
+// List reads the leases. It can't tell whether a holder is still running.
 func List(ctx context.Context, table backing.Table) ([]Holder, error) {
 	rows, err := table.Scan(ctx, lease.Partition, "", lease.MaxLeases)
 	if err != nil {
--- a/internal/query/snapshot/snapshot.go
+++ b/internal/query/snapshot/snapshot.go
@@ -1,5 +1,5 @@
-// Package snapshot reads the copy of the configuration that stands in the
-// object store for the time when the table service is down.
+// Package snapshot reads the copy of the configuration in the object store, which
+// is used while the table service is down.
 package snapshot
 
 import (
@@ -15,7 +15,7 @@
 // Name is the object that holds the snapshot.
 const Name = "config/snapshot.json"
 
-// Read returns the snapshot, or the empty state where none was written yet.
+// Read returns the snapshot, or the empty state if none has been written yet.
 func Read(ctx context.Context, objects backing.ObjectStore) (*config.State, error) {
 	raw, err := objects.Get(ctx, Name)
 	if errors.Is(err, backing.ErrNotFound) {
@@ -27,12 +27,12 @@
 	return Decode(raw)
 }
 
-// Decode reads an encoded state. Maps that it lacks are empty, not nil.
+// Decode decodes a state. Maps that are missing from it become empty, not nil.
 func Decode(raw []byte) (*config.State, error) {
 	state := config.NewState()
 	if err := json.Unmarshal(raw, state); err != nil {
 		return nil, fmt.Errorf("snapshot: %w: %w", backing.ErrUnknown, err)
 	}
-	// Apply without changes copies the maps and thereby makes null ones empty.
+	// Apply without changes copies the maps, which turns nil maps into empty ones.
 	return state.Apply()
 }
--- a/internal/query/status/merge.go
+++ b/internal/query/status/merge.go
@@ -9,29 +9,29 @@
 	"github.com/vanillagate/vanillagate/internal/query/leases"
 )
 
-// Sources are what a Status is put together from.
+// Sources is the input of Merge.
 type Sources struct {
-	// Reports of the entry processes, the asked one's own among them.
+	// Reports of the entry processes, including that of the process itself.
 	Reports []Report
-	// Listed are the VMs of the VM list, to tell which gave no report.
+	// Listed is the VM list; it shows which VMs sent no report.
 	Listed []backing.VM
 	// Stops are the planned stops, in force or only announced.
 	Stops []config.Stop
-	// Leases as read, and the error if they could not be.
+	// Leases are the leases of the pools. LeasesErr is set if they could not be read.
 	Leases    []leases.Holder
 	LeasesErr error
 }
 
-// Merge puts together what the whole system looks like.
+// Merge builds the status of the whole system.
 func Merge(s Sources) Status {
 	status := Status{
-		VMs:      vms(s),
-		Stops:    stops(s),
-		OutOfUse: outOfUse(s.Reports),
-		AtLimit:  atLimit(s.Reports),
-		Leases:   orEmpty(s.Leases),
-		Stores:   stores(s.Reports),
-		Suspects: suspects(s.Reports),
+		VMs:      mergeVMs(s),
+		Stops:    mergeStops(s),
+		OutOfUse: mergeOutOfUse(s.Reports),
+		AtLimit:  mergeAtLimit(s.Reports),
+		Leases:   nonNil(s.Leases),
+		Stores:   mergeStores(s.Reports),
+		Suspects: mergeSuspects(s.Reports),
 	}
 	for _, r := range s.Reports {
 		status.Revision = max(status.Revision, r.Revision)
@@ -42,18 +42,18 @@
 	return status
 }
 
-func vms(s Sources) []VM {
+func mergeVMs(s Sources) []VM {
 	all := []VM{}
-	heard := map[string]bool{}
+	reported := map[string]bool{}
 	for _, r := range s.Reports {
-		heard[r.CallerAddress] = true
+		reported[r.CallerAddress] = true
 		all = append(all, VM{
 			Incarnation: r.Incarnation, CallerAddress: r.CallerAddress, Zone: r.Zone,
 			Revision: r.Revision, Leaving: r.Leaving, InFlight: r.InFlight,
 		})
 	}
 	for _, vm := range s.Listed {
-		if vm.Role == backing.RoleEntry && !heard[vm.Address] {
+		if vm.Role == backing.RoleEntry && !reported[vm.Address] {
 			all = append(all, VM{CallerAddress: vm.Address, Zone: vm.Zone, Leaving: vm.State == backing.VMLeaving})
 		}
 	}
@@ -63,14 +63,14 @@
 	return all
 }
 
-func stops(s Sources) []Stop {
+func mergeStops(s Sources) []Stop {
 	all := []Stop{}
 	for _, planned := range s.Stops {
 		stop := Stop{Stop: planned}
 		if planned.Subject == config.StopVM {
-			stop.countVM(s.Reports)
+			stop.addVMReports(s.Reports)
 		} else {
-			stop.countTarget(s.Reports)
+			stop.addTargetReports(s.Reports)
 		}
 		all = append(all, stop)
 	}
@@ -78,7 +78,7 @@
 	return all
 }
 
-func (s *Stop) countVM(reports []Report) {
+func (s *Stop) addVMReports(reports []Report) {
 	for _, r := range reports {
 		if r.CallerAddress != s.Address {
 			continue
@@ -91,24 +91,24 @@
 	}
 }
 
-// countTarget takes an entry process that does not know the target as one that
-// sends it nothing.
-func (s *Stop) countTarget(reports []Report) {
+// addTargetReports adds the progress of the stop of a target. An entry process that
+// does not know the target counts as sending it nothing.
+func (s *Stop) addTargetReports(reports []Report) {
 	for _, r := range reports {
 		s.Reports++
-		at := slices.IndexFunc(r.Targets, func(t TargetReport) bool { return t.Address == s.Address })
-		if at < 0 {
+		i := slices.IndexFunc(r.Targets, func(t TargetReport) bool { return t.Address == s.Address })
+		if i < 0 {
 			s.Applied++
 			continue
 		}
-		s.InFlight += r.Targets[at].InFlight
-		if r.Targets[at].Leaving {
+		s.InFlight += r.Targets[i].InFlight
+		if r.Targets[i].Leaving {
 			s.Applied++
 		}
 	}
 }
 
-func outOfUse(reports []Report) []Target {
+func mergeOutOfUse(reports []Report) []Target {
 	found := map[Target]int{}
 	for _, r := range reports {
 		for _, t := range r.Targets {
@@ -128,7 +128,7 @@
 	return all
 }
 
-func atLimit(reports []Report) []AtLimit {
+func mergeAtLimit(reports []Report) []AtLimit {
 	found := map[string]int{}
 	for _, r := range reports {
 		for _, customer := range r.AtLimit {
@@ -143,7 +143,7 @@
 	return all
 }
 
-func stores(reports []Report) []StoreHealth {
+func mergeStores(reports []Report) []StoreHealth {
 	all := []StoreHealth{}
 	for _, name := range []StoreName{StoreTable, StoreObjects, StoreVMList} {
 		health := StoreHealth{Name: name}
@@ -170,8 +170,8 @@
 	}
 }
 
-// suspects keeps the worst that any process knows of a request.
-func suspects(reports []Report) []Suspect {
+// mergeSuspects keeps, for each request, the report with the most crashes.
+func mergeSuspects(reports []Report) []Suspect {
 	worst := map[string]Suspect{}
 	for _, r := range reports {
 		for _, s := range r.Suspects {
@@ -188,8 +188,9 @@
 	return all
 }
 
-// orEmpty has JSON show a list where there is none.
-func orEmpty[T any](list []T) []T {
+// nonNil replaces a nil slice by an empty one, which JSON encodes as [] instead of
+// null.
+func nonNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
 	}
--- a/internal/reload/reload.go
+++ b/internal/reload/reload.go
@@ -1,13 +1,13 @@
-// Package reload catches the signal that says that a process's settings have
-// changed (SIGHUP).
+// Package reload catches SIGHUP, which tells a process that its settings have
+// changed.
 //
-// Until it is caught, the signal ends the process, and the platform starts it
-// again: its VM serves nobody meanwhile. So it is caught while the program's
-// packages are still being set up, before main. This package uses next to nothing,
-// since Go sets a package up once all that it uses is. Of 40 signals each, sent 3 ms
-// after the start, 27, 30 and 33 ended vgedge when main caught them, and 0, 6 and 0
-// now (three runs by turns on a quiet machine). The first 2 ms, until the Go runtime
-// is up, nothing can help.
+// Until the signal is caught, it kills the process, and its VM serves nothing until
+// the platform has restarted it. Therefore it is caught during package
+// initialization, before main. Go initializes a package after all its imports, so
+// this package imports almost nothing. Of 40 signals sent 3 ms after the start, 27,
+// 30 and 33 killed vgedge when main caught them, and 0, 6 and 0 with this package
+// (three alternating runs on an idle machine). A signal within the first 2 ms, before
+// the Go runtime is up, still kills the process.
 package reload
 
 import (
@@ -16,14 +16,14 @@
 	"syscall"
 )
 
-var requests = catch()
+var signals = notify()
 
-func catch() <-chan os.Signal {
+func notify() <-chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGHUP)
 	return c
 }
 
-// Signals gives the process's reload signals. Several that come before one is
-// taken are one.
-func Signals() <-chan os.Signal { return requests }
+// Signals returns the channel of reload signals. Signals that arrive while one is
+// pending are merged with it.
+func Signals() <-chan os.Signal { return signals }
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -9,36 +9,37 @@
 	"go.uber.org/zap"
 )
 
-// RereadPeriod is how often a file is read without a signal: whoever writes it
-// may do so without a word. Reading 2 KB takes some 0.1 ms.
+// RereadPeriod is how often a file is read without a signal, since its writer may
+// not send one. Reading 2 KB takes about 0.1 ms.
 const RereadPeriod = 2 * time.Second
 
-// LogReloads serves programs whose settings are flags and environment variables,
-// which can't change while they run. Whoever asks one to read them again finds
-// in its log that they hold until its next start.
+// LogReloads is for programs whose settings are flags and environment variables,
+// which can't change while they run. At each reload signal it logs that a restart
+// is needed.
 func LogReloads(ctx context.Context, log *zap.Logger, reload <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-reload:
-			log.Info("Asked to reread the settings; they hold until the next start.")
+			log.Info("Asked to reread the settings; changes take effect at the next start.")
 		}
 	}
 }
 
-// File is a file of settings that may change while the process runs.
+// File is a settings file that may change while the process runs.
 type File struct {
 	Log  *zap.Logger
 	Path string
-	// Applied is what the file had when it was last taken over.
+	// Applied is the content of the file when it was last applied.
 	Applied []byte
-	// Apply takes over a changed file. Where it can't, what was in force stays.
+	// Apply applies a changed file. If it returns an error, the previous settings
+	// stay in force.
 	Apply func(raw []byte) error
 }
 
-// Watch rereads the file at each signal, and now and then without one, until
-// the context ends.
+// Watch rereads the file at each signal and every RereadPeriod, until the context
+// ends.
 func (f *File) Watch(ctx context.Context, reload <-chan os.Signal) {
 	ticker := time.NewTicker(RereadPeriod)
 	defer ticker.Stop()
@@ -54,19 +55,19 @@
 	}
 }
 
-// Reread takes the file over if it has changed. One that can't be used changes
-// nothing: it may be half written.
+// Reread applies the file if it has changed. An invalid file is ignored, since it
+// may be only partly written.
 func (f *File) Reread() {
 	raw, err := os.ReadFile(f.Path)
 	if err != nil {
-		f.Log.Warn("Settings can't be read; the old ones stay.", zap.Error(err))
+		f.Log.Warn("Failed to read the settings file; keeping the previous settings.", zap.Error(err))
 		return
 	}
 	if bytes.Equal(raw, f.Applied) {
 		return
 	}
 	if err := f.Apply(raw); err != nil {
-		f.Log.Warn("Settings can't be used; the old ones stay.", zap.Error(err))
+		f.Log.Warn("Invalid settings file; keeping the previous settings.", zap.Error(err))
 		return
 	}
 	f.Applied = raw
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings checks the settings of a program all at once, so that an
-// operator sees every mistake in one go, each with flag, value and what is
-// allowed.
+// Package settings validates the settings of a program and reports all invalid
+// ones at once, each with its flag, its value and the allowed values.
 package settings
 
 import (
@@ -10,21 +9,21 @@
 	"time"
 )
 
-// Mistake is one setting that can't be used.
+// Mistake is one invalid setting.
 type Mistake struct {
 	Flag    string
 	Value   string
 	Allowed string
 }
 
-// Error lists every mistake that a Checker found.
+// Error lists all mistakes that a Checker found.
 type Error struct{ Mistakes []Mistake }
 
-// Error gives one line for each mistake.
+// Error implements error. It names all mistakes in one line.
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Mistakes))
 	for _, m := range e.Mistakes {
-		lines = append(lines, fmt.Sprintf("--%s=%q: allowed is %s", m.Flag, m.Value, m.Allowed))
+		lines = append(lines, fmt.Sprintf("--%s=%q: must be %s", m.Flag, m.Value, m.Allowed))
 	}
 	return "settings: " + strings.Join(lines, "; ")
 }
@@ -32,12 +31,12 @@
 // Checker collects mistakes. The zero value is ready for use.
 type Checker struct{ mistakes []Mistake }
 
-// Reject notes that the value of a flag can't be used.
+// Reject records that the value of a flag is invalid.
 func (c *Checker) Reject(flag string, value any, allowed string) {
 	c.mistakes = append(c.mistakes, Mistake{Flag: flag, Value: fmt.Sprint(value), Allowed: allowed})
 }
 
-// Err is nil or an *Error with all mistakes.
+// Err returns an *Error with all mistakes, or nil if there are none.
 func (c *Checker) Err() error {
 	if len(c.mistakes) == 0 {
 		return nil
@@ -45,21 +44,21 @@
 	return &Error{Mistakes: c.mistakes}
 }
 
-// NotEmpty wants some text.
+// NotEmpty requires a text that is not empty.
 func (c *Checker) NotEmpty(flag, value string) {
 	if value == "" {
-		c.Reject(flag, value, "a text that is not empty")
+		c.Reject(flag, value, "a non-empty text")
 	}
 }
 
-// Address wants IP:port.
+// Address requires IP:port.
 func (c *Checker) Address(flag, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		c.Reject(flag, value, "IP:port, such as 127.0.0.1:8080")
 	}
 }
 
-// URL wants http:// or https:// and a host.
+// URL requires a URL that starts with http:// or https://.
 func (c *Checker) URL(flag, value string) {
 	rest, found := strings.CutPrefix(value, "http://")
 	if !found {
@@ -70,21 +69,21 @@
 	}
 }
 
-// Between wants a duration within bounds, both included.
+// Between requires a duration from low to high, inclusive.
 func (c *Checker) Between(flag string, value, low, high time.Duration) {
 	if value < low || value > high {
 		c.Reject(flag, value, fmt.Sprintf("%s to %s", low, high))
 	}
 }
 
-// IntBetween wants a number within bounds, both included.
+// IntBetween requires a number from low to high, inclusive.
 func (c *Checker) IntBetween(flag string, value, low, high int) {
 	if value < low || value > high {
 		c.Reject(flag, value, fmt.Sprintf("%d to %d", low, high))
 	}
 }
 
-// OneOf wants one of the listed texts.
+// OneOf requires one of the allowed texts.
 func (c *Checker) OneOf(flag, value string, allowed ...string) {
 	for _, a := range allowed {
 		if value == a {
--- a/internal/socket/peek.go
+++ b/internal/socket/peek.go
@@ -1,5 +1,4 @@
-// Package socket looks at the state of a TCP connection without reading from
-// it.
+// Package socket inspects TCP connections and sets socket options.
 package socket
 
 import (
@@ -8,7 +7,7 @@
 	"syscall"
 )
 
-// State is what a look at a connection showed.
+// State is the state of a connection as seen by Peek.
 type State int
 
 // The states.
@@ -17,16 +16,16 @@
 	Idle State = iota
 	// Readable means open, with unread bytes.
 	Readable
-	// Closed means that the other side closed or reset the connection.
+	// Closed means that the peer closed or reset the connection.
 	Closed
-	// Unsupported means that this sort of connection can't be looked at.
+	// Unsupported means that the state of this type of connection can't be read.
 	Unsupported
 )
 
-// Peek looks at a connection without blocking and without taking bytes. A
-// fasthttp handler doesn't learn that its caller hung up, and a kept
-// connection to a target may have been closed, or hold an answer nobody read:
-// both show here before any harm is done.
+// Peek returns the state of a connection without blocking and without consuming
+// bytes. It detects that a caller has disconnected, which fasthttp does not report
+// to a handler, and that an idle connection to a target has been closed or has an
+// unread response, before the connection is reused.
 func Peek(conn net.Conn) State {
 	if t, ok := conn.(*tls.Conn); ok {
 		conn = t.NetConn()
@@ -48,8 +47,8 @@
 }
 
 func peek(fd int) State {
-	var one [1]byte
-	n, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	var buf [1]byte
+	n, _, err := syscall.Recvfrom(fd, buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch {
 	case err == syscall.EAGAIN || err == syscall.EINTR:
 		return Idle
--- a/internal/socket/silence.go
+++ b/internal/socket/user_timeout.go
@@ -7,8 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout is a net.Dialer's Control that ends a connection when bytes that were
-// sent stay unacknowledged for so long.
+// UserTimeout returns a Control function for a net.Dialer. It sets TCP_USER_TIMEOUT,
+// which closes a connection when sent bytes stay unacknowledged for longer than
+// limit.
 func UserTimeout(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failed error
--- a/internal/socket/silence_test.go
+++ b/internal/socket/user_timeout_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A target's VM loses power just as a request is written to it. Nothing is
-// acknowledged, and without the option the request would hang until its deadline.
-func TestUnacknowledgedBytesEndAConnection(t *testing.T) {
+// A target's VM loses power while a request is sent to it. Nothing is acknowledged,
+// and without TCP_USER_TIMEOUT the request would hang until its deadline.
+func TestUserTimeoutSetsTheSocketOption(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = listener.Close() }()
