--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -22,20 +22,20 @@
 	"github.com/vanillagate/vanillagate/internal/query/status"
 )
 
-// Headers of operators' calls.
+// Headers of operator requests.
 const (
 	headerOperator = "X-Operator"
 	headerChangeID = "Change-Id"
 )
 
-// Bounds of a call. An entry process takes 5 s at most for a change.
+// Limits of a request. An entry process takes at most 5 s for a change.
 const (
 	callTimeout    = 8 * time.Second
 	maxAnswerBytes = 64 << 20
 )
 
-// paths of the operators' calls by kind of item.
-var pathOf = map[config.Kind]string{
+// kindPath is the path segment of the admin API for each kind of item.
+var kindPath = map[config.Kind]string{
 	config.KindContract: "contracts",
 	config.KindPool:     "pools",
 	config.KindPipeline: "pipelines",
@@ -43,7 +43,7 @@
 	config.KindStop:     "stops",
 }
 
-// client calls entry processes, the first that can answer.
+// client sends requests to the entry processes.
 type client struct {
 	entries  []string // base URLs
 	key      string
@@ -65,39 +65,41 @@
 	return c
 }
 
-// call is one call to any entry process.
-type call struct {
+// apiRequest is a request that any entry process can answer.
+type apiRequest struct {
 	method string
 	path   string
 	body   []byte
-	// changeID and expect are set for changes.
-	changeID string
-	expect   config.Revision
+	// changeID and expectedRevision are set only for changes.
+	changeID         string
+	expectedRevision config.Revision
 }
 
-func (c call) changes() bool { return c.changeID != "" }
+func (r apiRequest) isChange() bool { return r.changeID != "" }
 
-// do asks one entry process after the other. A change carries the same ID to
-// each, so that it is applied once whichever of them had it accepted, and an
-// answer that says that nothing was changed is passed on only if no answer
-// before it was lost.
-func (c *client) do(ctx context.Context, what call) ([]byte, error) {
-	failure := unreachableError{changeID: what.changeID}
+// sendToAny sends the request to the entry processes in turn until one answers
+// other than 503. Every attempt to make a change carries the same change ID, so
+// that the change is applied only once even if several entry processes receive
+// it. If all attempts fail, the error says that nothing was changed only if no
+// attempt can have been applied.
+func (c *client) sendToAny(ctx context.Context, r apiRequest) ([]byte, error) {
+	failure := unreachableError{changeID: r.changeID}
 	for _, entry := range c.entries {
-		body, err := c.ask(ctx, entry, what)
+		body, err := c.send(ctx, entry, r)
 		if err == nil {
 			return body, nil
 		}
 		var refusal *problem.Problem
-		if errors.As(err, &refusal) && refusal.Status != statusBusy {
+		if errors.As(err, &refusal) && refusal.Status != statusUnavailable {
 			return nil, refusal
 		}
-		failure.last = err
-		failure.unknown = failure.unknown || (what.changes() && mayHaveRun(err))
+		failure.lastErr = err
+		failure.outcomeUnknown = failure.outcomeUnknown || (r.isChange() && mayHaveRun(err))
 	}
 	return nil, failure
 }
 
+// mayHaveRun says whether the entry process may have run the request.
 func mayHaveRun(err error) bool {
 	var refusal *problem.Problem
 	if errors.As(err, &refusal) {
@@ -106,16 +108,19 @@
 	return !errors.Is(err, errNotSent)
 }
 
+// errNotSent means that no connection was made, so that the request was not sent.
 var errNotSent = errors.New("not connected")
 
-func (c *client) ask(ctx context.Context, entry string, what call) ([]byte, error) {
+// send sends the request to one entry process and returns the body of the
+// answer. An answer outside 2xx is returned as a *problem.Problem.
+func (c *client) send(ctx context.Context, entry string, r apiRequest) ([]byte, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	c.fill(req, entry, what)
+	c.fillRequest(req, entry, r)
 	deadline := time.Now().Add(callTimeout)
-	if own, ok := ctx.Deadline(); ok && own.Before(deadline) {
-		deadline = own
+	if ctxDeadline, ok := ctx.Deadline(); ok && ctxDeadline.Before(deadline) {
+		deadline = ctxDeadline
 	}
 	if err := c.http.DoDeadline(req, resp, deadline); err != nil {
 		if isDialError(err) {
@@ -124,64 +129,68 @@
 		return nil, fmt.Errorf("%s: %w", entry, err)
 	}
 	if resp.StatusCode() < fasthttp.StatusOK || resp.StatusCode() >= fasthttp.StatusMultipleChoices {
-		return nil, problemOf(resp)
+		return nil, parseProblem(resp)
 	}
 	return append([]byte(nil), resp.Body()...), nil
 }
 
-func (c *client) fill(req *fasthttp.Request, entry string, what call) {
-	req.SetRequestURI(entry + what.path)
-	req.Header.SetMethod(what.method)
+// fillRequest sets the URI, method, headers and body of req.
+func (c *client) fillRequest(req *fasthttp.Request, entry string, r apiRequest) {
+	req.SetRequestURI(entry + r.path)
+	req.Header.SetMethod(r.method)
 	req.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+c.key)
 	req.Header.Set(headerOperator, c.operator)
-	if !what.changes() {
+	if !r.isChange() {
 		return
 	}
-	req.Header.Set(headerChangeID, what.changeID)
-	req.Header.Set(fasthttp.HeaderIfMatch, strconv.Quote(strconv.FormatUint(uint64(what.expect), 10)))
-	if what.body != nil {
+	req.Header.Set(headerChangeID, r.changeID)
+	req.Header.Set(fasthttp.HeaderIfMatch, strconv.Quote(strconv.FormatUint(uint64(r.expectedRevision), 10)))
+	if r.body != nil {
 		req.Header.SetContentType("application/json")
-		req.SetBodyRaw(what.body)
+		req.SetBodyRaw(r.body)
 	}
 }
 
-// problemOf reads an error answer, also one that isn't ours.
-func problemOf(resp *fasthttp.Response) *problem.Problem {
-	found := &problem.Problem{}
-	if err := json.Unmarshal(resp.Body(), found); err != nil || found.Title == "" {
-		title := fmt.Sprintf("answer of status %d", resp.StatusCode())
+// parseProblem returns the problem that an error answer describes. An answer
+// without a problem, for example from a proxy in between, gets a generic one.
+func parseProblem(resp *fasthttp.Response) *problem.Problem {
+	parsed := &problem.Problem{}
+	if err := json.Unmarshal(resp.Body(), parsed); err != nil || parsed.Title == "" {
+		title := fmt.Sprintf("unexpected answer with status %d", resp.StatusCode())
 		return problem.New(resp.StatusCode(), "not-ours", title, "", problem.Unknown)
 	}
-	found.Status = resp.StatusCode()
-	return found
+	parsed.Status = resp.StatusCode()
+	return parsed
 }
 
+// get reads a JSON answer from the first entry process that can give it.
 func get[T any](ctx context.Context, c *client, path string) (T, error) {
 	var answer T
-	raw, err := c.do(ctx, call{method: fasthttp.MethodGet, path: path})
+	raw, err := c.sendToAny(ctx, apiRequest{method: fasthttp.MethodGet, path: path})
 	if err != nil {
 		return answer, err
 	}
 	if err := json.Unmarshal(raw, &answer); err != nil {
-		return answer, eris.Wrapf(err, "answer of %s", path)
+		return answer, eris.Wrapf(err, "decode the answer of %s", path)
 	}
 	return answer, nil
 }
 
-// state reads the configuration in force at each entry process that was named
-// and takes the latest. One alone may lag behind a change that the operator
-// has just made through another.
-func (c *client) state(ctx context.Context) (*config.State, error) {
+// latestState reads the configuration in force from all entry processes of
+// --entries and returns the one with the highest revision. A single entry
+// process may not have received a change yet that the operator has just made
+// through another.
+func (c *client) latestState(ctx context.Context) (*config.State, error) {
 	states := make([]*config.State, len(c.entries))
 	errs := make([]error, len(c.entries))
 	var all errgroup.Group
 	for i, entry := range c.entries {
 		all.Go(func() error {
-			states[i], errs[i] = c.stateAt(ctx, entry)
+			states[i], errs[i] = c.readState(ctx, entry)
 			return nil
 		})
 	}
-	_ = all.Wait() // no member returns an error
+	_ = all.Wait() // the functions return no errors
 	var latest *config.State
 	for _, state := range states {
 		if state != nil && (latest == nil || state.Revision > latest.Revision) {
@@ -189,76 +198,77 @@
 		}
 	}
 	if latest == nil {
-		return nil, firstOf(errs)
+		return nil, mostSpecificError(errs)
 	}
 	return latest, nil
 }
 
-func (c *client) stateAt(ctx context.Context, entry string) (*config.State, error) {
-	raw, err := c.ask(ctx, entry, call{method: fasthttp.MethodGet, path: "/v1/admin/config"})
+func (c *client) readState(ctx context.Context, entry string) (*config.State, error) {
+	raw, err := c.send(ctx, entry, apiRequest{method: fasthttp.MethodGet, path: "/v1/admin/config"})
 	if err != nil {
 		return nil, err
 	}
 	return snapshot.Decode(raw)
 }
 
-// firstOf prefers what an entry process said over that one was not reached.
-func firstOf(errs []error) error {
+// mostSpecificError returns the first error that an entry process answered, other
+// than 503, or an unreachableError if there is none.
+func mostSpecificError(errs []error) error {
 	for _, err := range errs {
 		var refusal *problem.Problem
-		if errors.As(err, &refusal) && refusal.Status != statusBusy {
+		if errors.As(err, &refusal) && refusal.Status != statusUnavailable {
 			return refusal
 		}
 	}
-	return unreachableError{last: errs[0]}
+	return unreachableError{lastErr: errs[0]}
 }
 
-// accepted answers a change.
-type accepted struct {
+// changeAnswer is the answer to a change.
+type changeAnswer struct {
 	Revision config.Revision `json:"revision"`
-	// Announced says that a stop is heeded though the store could not record
-	// it yet.
+	// Announced says that a planned stop is in effect although the store could
+	// not record it yet. Revision is then zero.
 	Announced bool `json:"announced,omitempty"`
 }
 
-// change is one change of one item.
+// change is a change to one item.
 type change struct {
-	kind   config.Kind
-	name   string
-	body   []byte // nil deletes
-	expect config.Revision
-	id     string
+	kind             config.Kind
+	name             string
+	body             []byte // nil to delete the item
+	expectedRevision config.Revision
+	id               string
 }
 
-func (c *client) submit(ctx context.Context, ch change) (accepted, error) {
-	what := call{
-		method:   fasthttp.MethodPut,
-		path:     "/v1/admin/" + pathOf[ch.kind] + "/" + url.PathEscape(ch.name),
-		body:     ch.body,
-		changeID: ch.id,
-		expect:   ch.expect,
+func (c *client) submit(ctx context.Context, ch change) (changeAnswer, error) {
+	r := apiRequest{
+		method:           fasthttp.MethodPut,
+		path:             "/v1/admin/" + kindPath[ch.kind] + "/" + url.PathEscape(ch.name),
+		body:             ch.body,
+		changeID:         ch.id,
+		expectedRevision: ch.expectedRevision,
 	}
 	if ch.body == nil {
-		what.method = fasthttp.MethodDelete
+		r.method = fasthttp.MethodDelete
 	}
-	var answer accepted
-	raw, err := c.do(ctx, what)
+	var answer changeAnswer
+	raw, err := c.sendToAny(ctx, r)
 	if err != nil {
 		return answer, err
 	}
 	return answer, json.Unmarshal(raw, &answer)
 }
 
-// standing is what one entry process has in force.
-type standing struct {
+// vmRevision is the configuration revision in force at one entry process.
+type vmRevision struct {
 	Incarnation   string          `json:"incarnation"`
 	CallerAddress string          `json:"caller_address"`
 	Zone          string          `json:"zone"`
 	Revision      config.Revision `json:"revision"`
 }
 
-type inForce struct {
-	VMs []standing `json:"vms"`
+type inForceAnswer struct {
+	VMs []vmRevision `json:"vms"`
 }
 
 type entryAddress struct {
@@ -266,31 +276,32 @@
 	Zone    string `json:"zone"`
 }
 
-type entryList struct {
+type entriesAnswer struct {
 	Entries []entryAddress `json:"entries"`
 }
 
-// standings lists the entry processes with what they have in force. One that
-// callers are sent to and that gave no answer stands with revision zero.
-func (c *client) standings(ctx context.Context) ([]standing, error) {
-	heard, err := get[inForce](ctx, c, "/v1/admin/in_force")
+// vmRevisions lists the entry processes with the revision in force at each. An
+// entry process that is listed for callers but gave no answer has revision zero
+// and no incarnation.
+func (c *client) vmRevisions(ctx context.Context) ([]vmRevision, error) {
+	inForce, err := get[inForceAnswer](ctx, c, "/v1/admin/in_force")
 	if err != nil {
 		return nil, err
 	}
-	listed, err := get[entryList](ctx, c, "/v1/entries")
+	entries, err := get[entriesAnswer](ctx, c, "/v1/entries")
 	if err != nil {
 		return nil, err
 	}
-	known := map[string]bool{}
-	for _, vm := range heard.VMs {
-		known[vm.CallerAddress] = true
+	answered := map[string]bool{}
+	for _, vm := range inForce.VMs {
+		answered[vm.CallerAddress] = true
 	}
-	for _, entry := range listed.Entries {
-		if !known[entry.Address] {
-			heard.VMs = append(heard.VMs, standing{CallerAddress: entry.Address, Zone: entry.Zone})
+	for _, entry := range entries.Entries {
+		if !answered[entry.Address] {
+			inForce.VMs = append(inForce.VMs, vmRevision{CallerAddress: entry.Address, Zone: entry.Zone})
 		}
 	}
-	return heard.VMs, nil
+	return inForce.VMs, nil
 }
 
 func (c *client) status(ctx context.Context) (status.Status, error) {
--- a/internal/ctl/commands.go
+++ b/internal/ctl/commands.go
@@ -9,120 +9,120 @@
 )
 
 const (
-	defaultWait = 30 * time.Second
-	defaultCost = 24 * time.Hour
+	defaultWaitTimeout = 30 * time.Second
+	defaultCostPeriod  = 24 * time.Hour
 )
 
-func (d *desk) commands() []*cli.Command {
+func (a *app) commands() []*cli.Command {
 	return []*cli.Command{
-		d.contractCommands(),
-		d.itemCommands(config.KindPool, "groups of like targets"),
-		d.itemCommands(config.KindPipeline, "ordered stages that share one deadline"),
-		d.itemCommands(config.KindService, "plain services"),
+		a.contractCommands(),
+		a.itemCommands(config.KindPool, "groups of interchangeable targets"),
+		a.itemCommands(config.KindPipeline, "ordered stages that share one deadline"),
+		a.itemCommands(config.KindService, "plain HTTP services"),
 		{
-			Name: "apply", Usage: "make the configuration hold the items of a file",
+			Name: "apply", Usage: "create or update the items of a file",
 			Description: "The file is JSON with lists named pools, pipelines, services and contracts.\n" +
-				"Items that are the same already are left alone, items that the file does not\nname stay as they are.",
-			Flags: []cli.Flag{fileFlag()}, Action: d.with(0, d.applyAll),
+				"Items that don't differ from the file are not changed. Items that the file does not\nname are neither changed nor deleted.",
+			Flags: []cli.Flag{fileFlag()}, Action: a.withClient(0, a.applyAll),
 		},
-		d.stopCommands(),
+		a.stopCommands(),
 		{
-			Name: "status", Usage: "show the whole system on one screen",
+			Name: "status", Usage: "show the state of the whole system",
 			Flags: []cli.Flag{&cli.StringFlag{
-				Name: flagMetrics, Usage: "metrics of `IP:PORT[/PATH],...` of VMs on the platform, in place of --entries; no operator's key is needed",
+				Name: flagMetrics, Usage: "read the metrics at `IP:PORT[/PATH],...` of VMs on the platform instead of asking --entries; needs no operator's key",
 			}},
-			Action: d.status,
+			Action: a.status,
 		},
 		{
-			Name: "cost", Usage: "show what requests cost, by customer and stage",
+			Name: "cost", Usage: "show the cost of requests by customer, pipeline and stage",
 			Flags: []cli.Flag{
-				&cli.DurationFlag{Name: "since", Value: defaultCost, Usage: "how far to look back"},
+				&cli.DurationFlag{Name: "since", Value: defaultCostPeriod, Usage: "length of the period to report, up to now"},
 			},
-			Action: d.with(0, d.showCost),
+			Action: a.withClient(0, a.showCost),
 		},
-		d.explainCommand(),
+		a.explainCommand(),
 		{
-			Name: "key", Usage: "bearer keys", Action: noCommand,
+			Name: "key", Usage: "create bearer keys", Action: requireSubcommand,
 			Commands: []*cli.Command{{
-				Name: "new", Usage: "print a random key and the hash to put into a contract",
+				Name: "new", Usage: "print a random key and its hash, which goes into a contract",
 				Description: "The key is printed once and stored nowhere.",
-				Action:      d.keyNew,
+				Action:      a.createKey,
 			}},
 		},
 	}
 }
 
-func (d *desk) contractCommands() *cli.Command {
+func (a *app) contractCommands() *cli.Command {
 	return &cli.Command{
-		Name: "contract", Usage: "what was agreed with each customer", Action: noCommand,
+		Name: "contract", Usage: "keys, limits and priorities of each customer", Action: requireSubcommand,
 		Commands: append([]*cli.Command{
 			{
 				Name: "create", Usage: "create a contract", ArgsUsage: "CUSTOMER",
 				Description: "Example: vgctl contract create granite --key-hash HASH --requests-per-second 20 --share 2",
-				Flags:       append(contractFlags(), changeIDFlag()), Action: d.with(1, d.createContract),
+				Flags:       append(contractFlags(), changeIDFlag()), Action: a.withClient(1, a.createContract),
 			},
 			{
 				Name: "set", Usage: "change some fields of a contract", ArgsUsage: "CUSTOMER",
-				Description: "Fields that are not named stay as they are. A change of the key: add the new hash,\n" +
+				Description: "Fields without a flag are not changed. To replace a key, add the hash of the new key,\n" +
 					"have the customer use the new key, then remove the old hash.",
-				Flags: append(contractFlags(), changeIDFlag(), ifFlag()), Action: d.with(1, d.setContract),
+				Flags: append(contractFlags(), changeIDFlag(), ifRevisionFlag()), Action: a.withClient(1, a.setContract),
 			},
 			{
 				Name: "wait", Usage: "wait until a revision is in force at every entry process", ArgsUsage: "REVISION",
-				Description: "Prints which processes have it in force.",
-				Flags:       []cli.Flag{timeoutFlag()}, Action: d.with(1, d.wait),
+				Description: "Prints the revision that each process has in force.",
+				Flags:       []cli.Flag{timeoutFlag()}, Action: a.withClient(1, a.waitRevision),
 			},
-		}, d.readAndDelete(config.KindContract)...),
+		}, a.commonItemCommands(config.KindContract)...),
 	}
 }
 
-func (d *desk) itemCommands(kind config.Kind, usage string) *cli.Command {
+func (a *app) itemCommands(kind config.Kind, usage string) *cli.Command {
 	return &cli.Command{
-		Name: string(kind), Usage: usage, Action: noCommand,
+		Name: string(kind), Usage: usage, Action: requireSubcommand,
 		Commands: append([]*cli.Command{{
-			Name: "apply", Usage: "make the configuration hold the " + string(kind) + " of a file",
-			Flags:  []cli.Flag{fileFlag(), changeIDFlag(), ifFlag()},
-			Action: d.with(0, d.applyOne(kind)),
-		}}, d.readAndDelete(kind)...),
+			Name: "apply", Usage: "create or update the " + string(kind) + " of a file",
+			Flags:  []cli.Flag{fileFlag(), changeIDFlag(), ifRevisionFlag()},
+			Action: a.withClient(0, a.applyOne(kind)),
+		}}, a.commonItemCommands(kind)...),
 	}
 }
 
-func (d *desk) readAndDelete(kind config.Kind) []*cli.Command {
+func (a *app) commonItemCommands(kind config.Kind) []*cli.Command {
 	return []*cli.Command{
-		{Name: "get", Usage: "show one " + string(kind), ArgsUsage: "NAME", Action: d.with(1, d.getItem(kind))},
-		{Name: "list", Usage: "list all, with who changed them last", Action: d.with(0, d.listItems(kind))},
+		{Name: "get", Usage: "show one " + string(kind), ArgsUsage: "NAME", Action: a.withClient(1, a.getItem(kind))},
+		{Name: "list", Usage: "list all, with their last revision and who made it", Action: a.withClient(0, a.listItems(kind))},
 		{
 			Name: "delete", Usage: "delete one " + string(kind), ArgsUsage: "NAME",
-			Flags: []cli.Flag{changeIDFlag(), ifFlag()}, Action: d.with(1, d.deleteItem(kind)),
+			Flags: []cli.Flag{changeIDFlag(), ifRevisionFlag()}, Action: a.withClient(1, a.deleteItem(kind)),
 		},
 	}
 }
 
-func (d *desk) stopCommands() *cli.Command {
+func (a *app) stopCommands() *cli.Command {
 	return &cli.Command{
-		Name: "stop", Usage: "planned stops of targets and entry VMs", Action: noCommand,
+		Name: "stop", Usage: "planned stops of targets and entry VMs", Action: requireSubcommand,
 		Commands: []*cli.Command{
 			{
 				Name: "announce", Usage: "announce that a target or an entry VM will be stopped",
-				Description: "It gets no new work from then on; requests that run there are finished.\n" +
+				Description: "It gets no new requests from then on. Requests that already run there are finished.\n" +
 					"Example: vgctl stop announce --target 10.0.3.7:8000 --reason \"new disk\"",
 				Flags: []cli.Flag{
-					&cli.StringFlag{Name: flagTarget, Usage: "IP:port of a target"},
-					&cli.StringFlag{Name: flagVM, Usage: "IP:port of an entry VM's side towards callers"},
-					&cli.StringFlag{Name: flagID, Usage: "name of the stop; the address where none is given"},
-					&cli.StringFlag{Name: flagReason, Usage: "for those who come after you"},
+					&cli.StringFlag{Name: flagTarget, Usage: "IP:port of the target"},
+					&cli.StringFlag{Name: flagVM, Usage: "IP:port at which callers reach the entry VM"},
+					&cli.StringFlag{Name: flagID, Usage: "name of the stop; the address by default"},
+					&cli.StringFlag{Name: flagReason, Usage: "reason of the stop, shown to other operators"},
 					changeIDFlag(),
 				},
-				Action: d.with(0, d.announce),
+				Action: a.withClient(0, a.announce),
 			},
-			{Name: "list", Usage: "list the planned stops and how far they are", Action: d.with(0, d.listStops)},
+			{Name: "list", Usage: "list the planned stops and their progress", Action: a.withClient(0, a.listStops)},
 			{
-				Name: "wait", Usage: "wait until nothing runs there any more", ArgsUsage: "ID",
-				Flags: []cli.Flag{timeoutFlag()}, Action: d.with(1, d.waitStop),
+				Name: "wait", Usage: "wait until no requests run there any more", ArgsUsage: "ID",
+				Flags: []cli.Flag{timeoutFlag()}, Action: a.withClient(1, a.waitStop),
 			},
 			{
-				Name: "cancel", Usage: "take an announcement back", ArgsUsage: "ID",
-				Flags: []cli.Flag{changeIDFlag(), ifFlag()}, Action: d.with(1, d.deleteItem(config.KindStop)),
+				Name: "cancel", Usage: "cancel a planned stop", ArgsUsage: "ID",
+				Flags: []cli.Flag{changeIDFlag(), ifRevisionFlag()}, Action: a.withClient(1, a.deleteItem(config.KindStop)),
 			},
 		},
 	}
@@ -133,13 +133,13 @@
 }
 
 func changeIDFlag() cli.Flag {
-	return &cli.StringFlag{Name: flagChangeID, Usage: "send a change again under the ID of a try without an answer"}
+	return &cli.StringFlag{Name: flagChangeID, Usage: "ID of the change; to retry a change that got no answer, give the ID of the first attempt"}
 }
 
-func ifFlag() cli.Flag {
-	return &cli.Uint64Flag{Name: flagIf, Usage: "change it only if its last change was this revision; else the one that is in force now"}
+func ifRevisionFlag() cli.Flag {
+	return &cli.Uint64Flag{Name: flagIfRevision, Usage: "make the change only if the item was last changed at this revision; by default, the revision in force now"}
 }
 
 func timeoutFlag() cli.Flag {
-	return &cli.DurationFlag{Name: flagTimeout, Value: defaultWait, Usage: "how long to wait"}
+	return &cli.DurationFlag{Name: flagTimeout, Value: defaultWaitTimeout, Usage: "how long to wait"}
 }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,5 +1,5 @@
-// Package ctl is the operators' desk: it changes and shows the configuration
-// through the entry processes.
+// Package ctl implements vgctl, the operators' command-line tool. It changes and
+// shows the configuration through the admin API of the entry processes.
 package ctl
 
 import (
@@ -20,16 +20,16 @@
 	"github.com/vanillagate/vanillagate/internal/settings"
 )
 
-// Names of the flags that all commands share.
+// Names of the flags that several commands have.
 const (
-	flagEntries  = "entries"
-	flagKey      = "operator-key"
-	flagOperator = "operator"
-	flagOutput   = "output"
-	flagChangeID = "change-id"
-	flagIf       = "if-revision"
-	flagFile     = "file"
-	flagTimeout  = "timeout"
+	flagEntries    = "entries"
+	flagKey        = "operator-key"
+	flagOperator   = "operator"
+	flagOutput     = "output"
+	flagChangeID   = "change-id"
+	flagIfRevision = "if-revision"
+	flagFile       = "file"
+	flagTimeout    = "timeout"
 )
 
 // Values of --output.
@@ -38,13 +38,13 @@
 	outputJSON = "json"
 )
 
-const description = `vgctl asks the entry processes named by --entries, the first that answers.
-A change is a compare-and-set: it is made only if nobody changed the item since
-you looked. The loser of a race is told who changed what.
+const description = `vgctl sends its requests to the entry processes of --entries, in turn until one
+answers. A change is conditional: it is made only if nobody else has changed the
+item since it was read. Otherwise the error says who changed it.
 
-Exit codes: 0 done, 1 refused, 2 mistake on the command line, 3 somebody else
-changed the item, 4 no entry process could do it or nobody can tell yet whether
-it was done, 5 a wait ended too early.
+Exit codes: 0 success, 1 refused, 2 invalid command line, 3 somebody else
+changed the item, 4 no entry process could run the command or it is not known
+whether a change was made, 5 a wait timed out.
 
 Examples:
   export VANILLAGATE_ENTRIES=10.0.1.1:7501,10.0.2.1:7501 VANILLAGATE_OPERATOR_KEY=...
@@ -57,22 +57,22 @@
   vgctl stop wait 10.0.3.7:8000
   vgctl status`
 
-// Main runs vgctl.
+// Main runs vgctl and returns its exit code.
 func Main(ctx context.Context, args []string, in io.Reader, out, errOut io.Writer) ExitCode {
-	d := &desk{in: in, out: out}
+	a := &app{in: in, out: out}
 	root := &cli.Command{
 		Name:           "vgctl",
-		Usage:          "change and show what is in force: contracts, pools, pipelines, services, planned stops",
+		Usage:          "change and show the configuration: contracts, pools, pipelines, services, planned stops",
 		Description:    description,
 		Version:        buildinfo.Version,
 		Flags:          commonFlags(),
 		Writer:         out,
 		ErrWriter:      errOut,
-		Commands:       d.commands(),
+		Commands:       a.commands(),
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
-		Action:         noCommand,
+		Action:         requireSubcommand,
 	}
-	tellMistakesApart(root)
+	setUsageErrorHandler(root)
 	err := root.Run(ctx, args)
 	if err != nil {
 		fmt.Fprintln(errOut, "vgctl:", err)
@@ -80,12 +80,12 @@
 	return exitCodeOf(err)
 }
 
-// tellMistakesApart gives the exit code of a mistake to unknown flags and bad
-// values of all commands; a command does not take this from the one above it.
-func tellMistakesApart(cmd *cli.Command) {
+// setUsageErrorHandler makes unknown flags and invalid values exit with ExitUsage,
+// for cmd and all its subcommands. A subcommand doesn't inherit the handler.
+func setUsageErrorHandler(cmd *cli.Command) {
 	cmd.OnUsageError = onUsageError
-	for _, below := range cmd.Commands {
-		tellMistakesApart(below)
+	for _, sub := range cmd.Commands {
+		setUsageErrorHandler(sub)
 	}
 }
 
@@ -93,67 +93,70 @@
 	return usageError{err.Error()}
 }
 
-// noCommand is what a command group does by itself.
-func noCommand(_ context.Context, cmd *cli.Command) error {
+// requireSubcommand is the action of a command group called without one of its
+// commands. It always returns an error.
+func requireSubcommand(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() > 0 {
 		return usagef("%s has no command %q, see --help", cmd.FullName(), cmd.Args().First())
 	}
 	if err := cli.ShowSubcommandHelp(cmd); err != nil {
 		return err
 	}
-	return usagef("name a command")
+	return usagef("a command is missing")
 }
 
 func commonFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: flagEntries, Usage: "IP:port of entry processes, separated by commas; https://IP:port for TLS", Sources: env(flagEntries)},
-		&cli.StringFlag{Name: flagKey, Usage: "operators' bearer key; better given in the environment", Sources: env(flagKey)},
-		&cli.StringFlag{Name: flagOperator, Value: os.Getenv("USER"), Usage: "your name, for those who come after you", Sources: env(flagOperator)},
-		&cli.StringFlag{Name: flagOutput, Value: outputText, Usage: "text or json", Sources: env(flagOutput)},
+		&cli.StringFlag{Name: flagEntries, Usage: "IP:port of entry processes, separated by commas; https://IP:port for TLS", Sources: envSource(flagEntries)},
+		&cli.StringFlag{Name: flagKey, Usage: "operators' bearer key; prefer the environment variable, which isn't visible in the process list", Sources: envSource(flagKey)},
+		&cli.StringFlag{Name: flagOperator, Value: os.Getenv("USER"), Usage: "your name, shown to other operators", Sources: envSource(flagOperator)},
+		&cli.StringFlag{Name: flagOutput, Value: outputText, Usage: "output format: text or json", Sources: envSource(flagOutput)},
 	}
 }
 
-func env(name string) cli.ValueSourceChain {
+// envSource returns the environment variable that sets a flag.
+func envSource(name string) cli.ValueSourceChain {
 	return cli.EnvVars("VANILLAGATE_" + strings.ToUpper(strings.ReplaceAll(name, "-", "_")))
 }
 
-// desk is one run of vgctl.
-type desk struct {
+// app is one run of vgctl with its standard input and output.
+type app struct {
 	in  io.Reader
 	out io.Writer
 }
 
-// action is what a command does once the common flags were checked.
-type action func(ctx context.Context, cmd *cli.Command, c *client) error
+// clientAction runs a command after the common flags were checked.
+type clientAction func(ctx context.Context, cmd *cli.Command, c *client) error
 
-// with checks the common flags and the number of arguments.
-func (d *desk) with(args int, do action) cli.ActionFunc {
+// withClient returns an action that checks the number of arguments and the common
+// flags and then runs a command with a client.
+func (a *app) withClient(argCount int, action clientAction) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		if cmd.Args().Len() != args {
-			return usagef("%s takes %d arguments: %q, see --help", cmd.FullName(), args, cmd.ArgsUsage)
+		if cmd.Args().Len() != argCount {
+			return usagef("%s needs %d arguments: %q, see --help", cmd.FullName(), argCount, cmd.ArgsUsage)
 		}
-		if err := checkCommon(cmd); err != nil {
+		if err := checkCommonFlags(cmd); err != nil {
 			return err
 		}
 		c := newClient(strings.Split(cmd.String(flagEntries), ","), cmd.String(flagKey), cmd.String(flagOperator))
-		return do(ctx, cmd, c)
+		return action(ctx, cmd, c)
 	}
 }
 
-func checkCommon(cmd *cli.Command) error {
+func checkCommonFlags(cmd *cli.Command) error {
 	var check settings.Checker
 	for _, entry := range strings.Split(cmd.String(flagEntries), ",") {
-		checkEntry(&check, entry)
+		checkEntryAddress(&check, entry)
 	}
 	if cmd.String(flagKey) == "" {
-		check.Reject(flagKey, "", "the operators' key, as VANILLAGATE_OPERATOR_KEY")
+		check.Reject(flagKey, "", "the operators' key, best set as VANILLAGATE_OPERATOR_KEY")
 	}
 	check.NotEmpty(flagOperator, cmd.String(flagOperator))
 	check.OneOf(flagOutput, cmd.String(flagOutput), outputText, outputJSON)
 	return check.Err()
 }
 
-func checkEntry(check *settings.Checker, entry string) {
+func checkEntryAddress(check *settings.Checker, entry string) {
 	if strings.Contains(entry, "://") {
 		check.URL(flagEntries, entry)
 		return
@@ -163,6 +166,7 @@
 	}
 }
 
+// changeID returns the ID given with --change-id or else a new one.
 func changeID(cmd *cli.Command) string {
 	if id := cmd.String(flagChangeID); id != "" {
 		return id
@@ -170,22 +174,23 @@
 	return uuid.NewString()
 }
 
-// keyBytes is the size of a new bearer key before it is written in hex.
+// keyBytes is the length of a new bearer key before hex encoding.
 const keyBytes = 32
 
-// newKey is a key for a customer or operator with the hash that is stored.
-type newKey struct {
+// generatedKey is a bearer key for a customer or an operator with its hash. Only
+// the hash is stored.
+type generatedKey struct {
 	Key  string `json:"key"`
 	Hash string `json:"hash"`
 }
 
-func (d *desk) keyNew(_ context.Context, cmd *cli.Command) error {
+func (a *app) createKey(_ context.Context, cmd *cli.Command) error {
 	raw := make([]byte, keyBytes)
-	_, _ = rand.Read(raw) // never fails
+	_, _ = rand.Read(raw) // crypto/rand.Read never returns an error
 	key := hex.EncodeToString(raw)
 	sum := sha256.Sum256([]byte(key))
-	made := newKey{Key: key, Hash: hex.EncodeToString(sum[:])}
-	return d.print(cmd, made, func(w io.Writer) {
-		fmt.Fprintf(w, "key\t%s\nhash\t%s\n", made.Key, made.Hash)
+	generated := generatedKey{Key: key, Hash: hex.EncodeToString(sum[:])}
+	return a.print(cmd, generated, func(w io.Writer) {
+		fmt.Fprintf(w, "key\t%s\nhash\t%s\n", generated.Key, generated.Hash)
 	})
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -23,30 +23,33 @@
 	"github.com/vanillagate/vanillagate/internal/query/status"
 )
 
-const key = "operators-key"
+const operatorKey = "operators-key"
 
-// entry answers operators as an entry process does, over a table in memory.
-type entry struct {
+// fakeEntry answers operators' requests as an entry process does, with a table in
+// memory.
+type fakeEntry struct {
 	store *memory.Store
-	// loseAnswers has changes take effect and their connections closed.
-	loseAnswers atomic.Bool
-	// lag is how far the answer of in_force is behind, one less each time.
-	lag     atomic.Int64
-	address string
+	// dropAnswers makes changes take effect but closes their connections without
+	// an answer.
+	dropAnswers atomic.Bool
+	// revisionLag is by how much the revision in the answer of in_force is too
+	// low. Each answer lowers it by one first.
+	revisionLag atomic.Int64
+	address     string
 }
 
-func startEntry(t *testing.T, store *memory.Store) *entry {
-	e := &entry{store: store}
+func startFakeEntry(t *testing.T, store *memory.Store) *fakeEntry {
+	e := &fakeEntry{store: store}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/admin/config", func(w http.ResponseWriter, r *http.Request) { reply(w, 200, e.state(r)) })
 	mux.HandleFunc("/v1/admin/{section}/{name}", e.change)
 	mux.HandleFunc("GET /v1/admin/in_force", func(w http.ResponseWriter, r *http.Request) {
 		revision := e.state(r).Revision
-		revision -= min(revision, config.Revision(max(e.lag.Add(-1), 0)))
-		reply(w, 200, inForce{VMs: []standing{{Incarnation: "i", CallerAddress: e.address, Zone: "a", Revision: revision}}})
+		revision -= min(revision, config.Revision(max(e.revisionLag.Add(-1), 0)))
+		reply(w, 200, inForceAnswer{VMs: []vmRevision{{Incarnation: "i", CallerAddress: e.address, Zone: "a", Revision: revision}}})
 	})
 	mux.HandleFunc("GET /v1/entries", func(w http.ResponseWriter, _ *http.Request) {
-		reply(w, 200, entryList{Entries: []entryAddress{{Address: e.address, Zone: "a"}}})
+		reply(w, 200, entriesAnswer{Entries: []entryAddress{{Address: e.address, Zone: "a"}}})
 	})
 	mux.HandleFunc("GET /v1/admin/status", func(w http.ResponseWriter, r *http.Request) {
 		var stops []config.Stop
@@ -56,7 +59,7 @@
 		reply(w, 200, status.Merge(status.Sources{Reports: []status.Report{{Incarnation: "i", CallerAddress: e.address}}, Stops: stops}))
 	})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if strings.HasPrefix(r.URL.Path, "/v1/admin/") && r.Header.Get("Authorization") != "Bearer "+key {
+		if strings.HasPrefix(r.URL.Path, "/v1/admin/") && r.Header.Get("Authorization") != "Bearer "+operatorKey {
 			reply(w, 401, problem.New(401, "key", "Wrong key", "", problem.NotRun))
 			return
 		}
@@ -72,7 +75,7 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-func (e *entry) state(r *http.Request) *config.State {
+func (e *fakeEntry) state(r *http.Request) *config.State {
 	state, _, err := changes.CatchUp(r.Context(), e.store, config.NewState())
 	if err != nil {
 		panic(err)
@@ -80,7 +83,7 @@
 	return state
 }
 
-func (e *entry) change(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEntry) change(w http.ResponseWriter, r *http.Request) {
 	expect, _ := strconv.ParseUint(strings.Trim(r.Header.Get("If-Match"), `"`), 10, 64)
 	var body bytes.Buffer
 	_, _ = body.ReadFrom(r.Body)
@@ -90,10 +93,10 @@
 	}
 	out := command.New(e.store, config.NewState).Submit(r.Context(), req)
 	switch {
-	case e.loseAnswers.Load():
+	case e.dropAnswers.Load():
 		panic(http.ErrAbortHandler)
 	case out.Result == command.Accepted:
-		reply(w, 200, accepted{Revision: out.Revision})
+		reply(w, 200, changeAnswer{Revision: out.Revision})
 	case out.Result == command.Conflict:
 		detail := fmt.Sprintf("%s changed this item at revision %d", out.Last.By, out.Last.Revision)
 		reply(w, 412, problem.New(412, "conflict", "Somebody else changed it", detail, problem.NotRun))
@@ -102,10 +105,10 @@
 	}
 }
 
-// run is one call of vgctl.
+// run runs vgctl and returns its exit code and output.
 func run(t *testing.T, entries string, args ...string) (ExitCode, string) {
 	var out bytes.Buffer
-	all := append([]string{"vgctl", "--entries", entries, "--operator-key", key, "--operator", "day"}, args...)
+	all := append([]string{"vgctl", "--entries", entries, "--operator-key", operatorKey, "--operator", "day"}, args...)
 	code := Main(t.Context(), all, strings.NewReader(""), &out, &out)
 	return code, out.String()
 }
@@ -118,7 +121,7 @@
 }
 
 func TestContracts(t *testing.T) {
-	e := startEntry(t, memory.New())
+	e := startFakeEntry(t, memory.New())
 	out := mustRun(t, e.address, "contract", "create", "granite", "--requests-per-second", "5", "--balance", "0.5")
 	assert.Equal(t, out, "contract  granite  created  revision 1\n")
 	mustRun(t, e.address, "contract", "set", "granite", "--share", "3", "--key-hash", strings.Repeat("ab", 32))
@@ -135,10 +138,10 @@
 	assert.Assert(t, strings.Contains(out, "in_flight: not negative"), out)
 }
 
-// Somebody of another shift changed the contract after the operator looked.
-// vgctl must not overwrite that, and must say who it was.
-func TestConflictNamesTheOther(t *testing.T) {
-	e := startEntry(t, memory.New())
+// Another operator changes the contract after this one has read it. vgctl must not
+// overwrite that change, and must name the other operator.
+func TestConflictNamesOtherOperator(t *testing.T) {
+	e := startFakeEntry(t, memory.New())
 	mustRun(t, e.address, "contract", "create", "granite")
 	mustRun(t, e.address, "--operator", "night", "contract", "set", "granite", "--share", "2")
 	code, out := run(t, e.address, "contract", "set", "granite", "--share", "3", "--if-revision", "1")
@@ -146,18 +149,18 @@
 	assert.Assert(t, strings.Contains(out, "night changed this item at revision 2"), out)
 }
 
-// The entry process has the change accepted and dies before it answers. vgctl
-// asks the next one and must report the one revision of the change; where no
-// other is left it must not say that nothing was changed.
-func TestLostAnswerOfAnEntryProcess(t *testing.T) {
+// The entry process accepts a change and dies before it answers. vgctl retries
+// with the next entry process and must report the revision of the first attempt.
+// If there is no other entry process, it must not report that nothing was changed.
+func TestEntryProcessDiesBeforeAnswering(t *testing.T) {
 	store := memory.New()
-	first, second := startEntry(t, store), startEntry(t, store)
-	first.loseAnswers.Store(true)
+	first, second := startFakeEntry(t, store), startFakeEntry(t, store)
+	first.dropAnswers.Store(true)
 	out := mustRun(t, first.address+","+second.address, "contract", "create", "granite")
 	assert.Assert(t, strings.Contains(out, "revision 1"), out)
 	code, out := run(t, first.address, "contract", "set", "granite", "--share", "2", "--change-id", "mine")
 	assert.Equal(t, code, ExitUnavailable)
-	assert.Assert(t, strings.Contains(out, "may have been accepted; ask again with --change-id mine"), out)
+	assert.Assert(t, strings.Contains(out, "may have been accepted; retry with --change-id mine"), out)
 	out = mustRun(t, second.address, "contract", "set", "granite", "--share", "2", "--change-id", "mine", "--if-revision", "1")
 	assert.Assert(t, strings.Contains(out, "revision 2"), out)
 	code, out = run(t, "127.0.0.1:1", "contract", "create", "other")
@@ -165,8 +168,8 @@
 	assert.Assert(t, strings.Contains(out, "nothing was changed"), out)
 }
 
-func TestApplyLeavesAloneWhatIsTheSame(t *testing.T) {
-	e := startEntry(t, memory.New())
+func TestApplySkipsUnchangedItems(t *testing.T) {
+	e := startFakeEntry(t, memory.New())
 	file := filepath.Join(t.TempDir(), "deployment.json")
 	assert.NilError(t, os.WriteFile(file, []byte(`{
 		"contracts": [{"customer": "granite", "key_hashes": []}],
@@ -179,19 +182,19 @@
 	assert.Equal(t, strings.Count(out, "unchanged"), 3, out)
 }
 
-func TestWaitForARevision(t *testing.T) {
-	e := startEntry(t, memory.New())
+func TestWaitForRevision(t *testing.T) {
+	e := startFakeEntry(t, memory.New())
 	mustRun(t, e.address, "contract", "create", "granite")
-	e.lag.Store(4)
+	e.revisionLag.Store(4)
 	out := mustRun(t, e.address, "contract", "wait", "1")
 	assert.Assert(t, strings.Contains(out, "yes"), out)
 	code, out := run(t, e.address, "contract", "wait", "2", "--timeout", "300ms")
-	assert.Equal(t, code, ExitNotYet)
+	assert.Equal(t, code, ExitTimeout)
 	assert.Assert(t, strings.Contains(out, "not yet"), out)
 }
 
 func TestStops(t *testing.T) {
-	e := startEntry(t, memory.New())
+	e := startFakeEntry(t, memory.New())
 	mustRun(t, e.address, "stop", "announce", "--target", "10.0.0.1:80", "--reason", "new disk")
 	out := mustRun(t, e.address, "stop", "list")
 	assert.Assert(t, strings.Contains(out, "1 of 1") && strings.Contains(out, "new disk"), out)
@@ -201,7 +204,7 @@
 	assert.Assert(t, strings.Contains(mustRun(t, e.address, "status"), "planned stops: none"))
 }
 
-func TestMistakes(t *testing.T) {
+func TestUsageErrors(t *testing.T) {
 	for _, args := range [][]string{
 		{"bogus"},
 		{"contract"},
@@ -217,7 +220,7 @@
 		code, out := run(t, "127.0.0.1:1", args...)
 		assert.Equal(t, code, ExitUsage, "%v: %s", args, out)
 	}
-	e := startEntry(t, memory.New())
+	e := startFakeEntry(t, memory.New())
 	code, out := run(t, e.address, "--operator-key", "wrong", "contract", "list")
 	assert.Equal(t, code, ExitRefused, out)
 }
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -11,45 +11,46 @@
 	"github.com/vanillagate/vanillagate/internal/explain"
 )
 
-// explainCommand needs no entry VM: it reads logs only.
-func (d *desk) explainCommand() *cli.Command {
+// explainCommand returns the command that shows one request's log lines. It only
+// reads logs, so that it works while no entry VM can be reached.
+func (a *app) explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "tell the story of one request from collected logs", ArgsUsage: "REQUEST [LOG...]",
-		Description: "REQUEST is the identity that the caller sent and that every answer bears.\n" +
-			"Without a log, or with -, standard input is read.",
-		Action: d.explain,
+		Name: "explain", Usage: "show what happened to one request, from collected logs", ArgsUsage: "REQUEST [LOG...]",
+		Description: "REQUEST is the request ID that the caller sent and that every answer carries.\n" +
+			"Without a log file, or with -, standard input is read.",
+		Action: a.explain,
 	}
 }
 
-func (d *desk) explain(_ context.Context, cmd *cli.Command) error {
+func (a *app) explain(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() == 0 {
-		return usagef("explain takes a request and logs: %q, see --help", cmd.ArgsUsage)
+		return usagef("explain needs a request ID and logs: %q, see --help", cmd.ArgsUsage)
 	}
-	story := &explain.RequestLog{Request: cmd.Args().First()}
+	requestLog := &explain.RequestLog{Request: cmd.Args().First()}
 	logs := cmd.Args().Tail()
 	if len(logs) == 0 {
 		logs = []string{"-"}
 	}
 	for _, path := range logs {
-		if err := readLog(story, path); err != nil {
+		if err := readLog(requestLog, path); err != nil {
 			return err
 		}
 	}
-	story.Sort()
+	requestLog.Sort()
 	if cmd.String(flagOutput) == outputJSON {
-		return d.printJSON(story)
+		return a.printJSON(requestLog)
 	}
-	return story.Write(d.out)
+	return requestLog.Write(a.out)
 }
 
-func readLog(story *explain.RequestLog, path string) error {
+func readLog(requestLog *explain.RequestLog, path string) error {
 	if path == "-" {
-		return story.Read("stdin", os.Stdin)
+		return requestLog.Read("stdin", os.Stdin)
 	}
 	file, err := os.Open(path)
 	if err != nil {
-		return eris.Wrap(err, "log")
+		return eris.Wrap(err, "open log")
 	}
-	defer func() { _ = file.Close() }() // it was only read
-	return story.Read(filepath.Base(path), file)
+	defer func() { _ = file.Close() }() // it was opened only for reading
+	return requestLog.Read(filepath.Base(path), file)
 }
--- a/internal/ctl/fleet_test.go
+++ b/internal/ctl/fleet_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const shown = `vanillagate_members 3
+const sampleMetrics = `vanillagate_members 3
 vanillagate_plan_version 14
 vanillagate_targets_revision 120
 vanillagate_requests_in_flight 5
@@ -32,18 +32,19 @@
 vanillagate_zone_evacuated_revision{zone="b"} 0
 `
 
-func showing(t *testing.T, text string) string {
+// startMetricsServer serves text as metrics and returns its address.
+func startMetricsServer(t *testing.T, text string) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(text)) }))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// Someone takes over the shift and wants to see at a glance which VM knows less
-// than the others, which doesn't answer, and why callers were refused.
-func TestStatusOfAllVMsOnOneScreen(t *testing.T) {
-	a := showing(t, shown)
-	b := showing(t, strings.NewReplacer("_version 14", "_version 11", "_out{service=\"desk\"} 1", "_out{service=\"desk\"} 2").Replace(shown))
+// The status must show which VM has an older configuration than the others, which
+// VM doesn't answer, and why requests were refused.
+func TestStatusOfAllVMs(t *testing.T) {
+	a := startMetricsServer(t, sampleMetrics)
+	b := startMetricsServer(t, strings.NewReplacer("_version 14", "_version 11", "_out{service=\"desk\"} 1", "_out{service=\"desk\"} 2").Replace(sampleMetrics))
 	dead := "127.0.0.1:1"
 	var out, errOut bytes.Buffer
 	code := Main(context.Background(), []string{"vgctl", "status", "--metrics", a + "," + b + "," + dead}, nil, &out, &errOut)
@@ -59,8 +60,8 @@
 	var f fleet
 	assert.NilError(t, json.Unmarshal(out.Bytes(), &f))
 	assert.Equal(t, f.VMs[1].Configuration, int64(11))
-	assert.Equal(t, f.Services["desk"], serviceView{Targets: 3, Out: 2, Cold: 1, RepeatsLeft: 7})
-	assert.Equal(t, f.Zones["a"], zoneView{Revision: 117, Evacuated: 2, Calls: 8})
+	assert.Equal(t, f.Services["desk"], serviceView{Targets: 3, OutOfUse: 2, Cold: 1, RetriesLeft: 7})
+	assert.Equal(t, f.Zones["a"], zoneView{Revision: 117, EvacuatedAt: 2, Calls: 8})
 	assert.Equal(t, f.Zones["b"], zoneView{Calls: 12})
 
 	code = Main(context.Background(), []string{"vgctl", "status", "--metrics", dead}, nil, &out, &errOut)
--- a/internal/ctl/items.go
+++ b/internal/ctl/items.go
@@ -15,10 +15,11 @@
 	"github.com/vanillagate/vanillagate/internal/config"
 )
 
-// maxFileBytes bounds a file of items.
+// maxFileBytes is the maximum size of a file of items.
 const maxFileBytes = 16 << 20
 
-// item is one item as the configuration holds it.
+// item is an item of the configuration: a contract, pool, pipeline, service or
+// planned stop.
 type item struct {
 	Kind config.Kind       `json:"kind"`
 	Name string            `json:"name"`
@@ -26,20 +27,20 @@
 	Last config.LastChange `json:"last"`
 }
 
-// itemsOf lists the items of a kind by name.
+// itemsOf returns the items of a kind, sorted by name.
 func itemsOf(state *config.State, kind config.Kind) []item {
 	var all []item
 	switch kind {
 	case config.KindContract:
-		all = collect(state.Contracts)
+		all = toItems(state.Contracts)
 	case config.KindPool:
-		all = collect(state.Pools)
+		all = toItems(state.Pools)
 	case config.KindPipeline:
-		all = collect(state.Pipelines)
+		all = toItems(state.Pipelines)
 	case config.KindService:
-		all = collect(state.Services)
+		all = toItems(state.Services)
 	case config.KindStop:
-		all = collect(state.Stops)
+		all = toItems(state.Stops)
 	}
 	for i := range all {
 		all[i].Kind = kind
@@ -49,15 +50,15 @@
 	return all
 }
 
-func collect[T any](items map[string]T) []item {
+func toItems[T any](items map[string]T) []item {
 	all := []item{}
 	for name, body := range items {
-		all = append(all, item{Name: name, Body: encode(body)})
+		all = append(all, item{Name: name, Body: mustEncode(body)})
 	}
 	return all
 }
 
-func encode(body any) []byte {
+func mustEncode(body any) []byte {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		panic(fmt.Sprintf("ctl: encode %T: %v", body, err))
@@ -65,35 +66,36 @@
 	return raw
 }
 
-func find(state *config.State, kind config.Kind, name string) (item, bool) {
+func findItem(state *config.State, kind config.Kind, name string) (item, bool) {
 	all := itemsOf(state, kind)
-	at := slices.IndexFunc(all, func(i item) bool { return i.Name == name })
-	if at < 0 {
+	index := slices.IndexFunc(all, func(i item) bool { return i.Name == name })
+	if index < 0 {
 		return item{}, false
 	}
-	return all[at], true
+	return all[index], true
 }
 
-// expectOf is the revision that a change of an item is conditioned on: the one
-// the operator names, or that of the item as it is in force.
-func expectOf(cmd *cli.Command, state *config.State, kind config.Kind, name string) config.Revision {
-	if cmd.IsSet(flagIf) {
-		return config.Revision(cmd.Uint64(flagIf))
+// expectedRevision returns the revision at which an item must have been changed
+// last for a change to be made: that of --if-revision, or else that of the item
+// in state.
+func expectedRevision(cmd *cli.Command, state *config.State, kind config.Kind, name string) config.Revision {
+	if cmd.IsSet(flagIfRevision) {
+		return config.Revision(cmd.Uint64(flagIfRevision))
 	}
 	return state.LastChanges[config.ItemKey(kind, name)].Revision
 }
 
-func (d *desk) getItem(kind config.Kind) action {
+func (a *app) getItem(kind config.Kind) clientAction {
 	return func(ctx context.Context, cmd *cli.Command, c *client) error {
-		state, err := c.state(ctx)
+		state, err := c.latestState(ctx)
 		if err != nil {
 			return err
 		}
-		found, ok := find(state, kind, cmd.Args().First())
+		found, ok := findItem(state, kind, cmd.Args().First())
 		if !ok {
 			return eris.Errorf("there is no %s %q at revision %d", kind, cmd.Args().First(), state.Revision)
 		}
-		return d.print(cmd, found, func(w io.Writer) { writeItem(w, found) })
+		return a.print(cmd, found, func(w io.Writer) { writeItem(w, found) })
 	}
 }
 
@@ -105,14 +107,14 @@
 	fmt.Fprintf(w, "%s\nrevision %d by %s\n", body.Bytes(), i.Last.Revision, i.Last.By)
 }
 
-func (d *desk) listItems(kind config.Kind) action {
+func (a *app) listItems(kind config.Kind) clientAction {
 	return func(ctx context.Context, cmd *cli.Command, c *client) error {
-		state, err := c.state(ctx)
+		state, err := c.latestState(ctx)
 		if err != nil {
 			return err
 		}
 		all := itemsOf(state, kind)
-		return d.print(cmd, all, func(w io.Writer) {
+		return a.print(cmd, all, func(w io.Writer) {
 			fmt.Fprintln(w, "NAME\tREVISION\tBY\tITEM")
 			for _, i := range all {
 				fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", i.Name, i.Last.Revision, i.Last.By, i.Body)
@@ -121,36 +123,36 @@
 	}
 }
 
-func (d *desk) deleteItem(kind config.Kind) action {
+func (a *app) deleteItem(kind config.Kind) clientAction {
 	return func(ctx context.Context, cmd *cli.Command, c *client) error {
-		state, err := c.state(ctx)
+		state, err := c.latestState(ctx)
 		if err != nil {
 			return err
 		}
 		name := cmd.Args().First()
-		done, err := c.submit(ctx, change{kind: kind, name: name, expect: expectOf(cmd, state, kind, name), id: changeID(cmd)})
+		answer, err := c.submit(ctx, change{kind: kind, name: name, expectedRevision: expectedRevision(cmd, state, kind, name), id: changeID(cmd)})
 		if err != nil {
 			return err
 		}
-		return d.printDone(cmd, []doneChange{{Kind: kind, Name: name, Action: actionDeleted, accepted: done}})
+		return a.printChanges(cmd, []appliedChange{{Kind: kind, Name: name, Action: actionDeleted, changeAnswer: answer}})
 	}
 }
 
-func (d *desk) applyOne(kind config.Kind) action {
+func (a *app) applyOne(kind config.Kind) clientAction {
 	return func(ctx context.Context, cmd *cli.Command, c *client) error {
-		raw, err := d.readFile(cmd)
+		raw, err := a.readFile(cmd)
 		if err != nil {
 			return err
 		}
-		wanted, err := parseItem(kind, raw)
+		parsed, err := parseItem(kind, raw)
 		if err != nil {
 			return err
 		}
-		return d.apply(ctx, cmd, c, []item{wanted})
+		return a.apply(ctx, cmd, c, []item{parsed})
 	}
 }
 
-// deployment is a file of many items.
+// deployment is the format of the file of "vgctl apply".
 type deployment struct {
 	Pools     []json.RawMessage `json:"pools,omitempty"`
 	Pipelines []json.RawMessage `json:"pipelines,omitempty"`
@@ -158,19 +160,20 @@
 	Contracts []json.RawMessage `json:"contracts,omitempty"`
 }
 
-func (d *desk) applyAll(ctx context.Context, cmd *cli.Command, c *client) error {
-	raw, err := d.readFile(cmd)
+func (a *app) applyAll(ctx context.Context, cmd *cli.Command, c *client) error {
+	raw, err := a.readFile(cmd)
 	if err != nil {
 		return err
 	}
-	wanted, err := parseDeployment(raw)
+	items, err := parseDeployment(raw)
 	if err != nil {
 		return err
 	}
-	return d.apply(ctx, cmd, c, wanted)
+	return a.apply(ctx, cmd, c, items)
 }
 
-// parseDeployment lists the items so that what others refer to comes first.
+// parseDeployment returns the items of a file. Pools come before the pipelines and
+// services that refer to them, and contracts come last.
 func parseDeployment(raw []byte) ([]item, error) {
 	var file deployment
 	decoder := json.NewDecoder(bytes.NewReader(raw))
@@ -178,7 +181,7 @@
 	if err := decoder.Decode(&file); err != nil {
 		return nil, usagef("file: %v", err)
 	}
-	var wanted []item
+	var items []item
 	for _, group := range []struct {
 		kind   config.Kind
 		bodies []json.RawMessage
@@ -193,14 +196,14 @@
 			if err != nil {
 				return nil, err
 			}
-			wanted = append(wanted, parsed)
+			items = append(items, parsed)
 		}
 	}
-	return wanted, nil
+	return items, nil
 }
 
-// parseItem finds an item's name. Whether the item is valid the entry process
-// says, which knows what it refers to.
+// parseItem reads an item's name. It doesn't validate the item: the entry process
+// does, because it knows the other items to which this one refers.
 func parseItem(kind config.Kind, raw []byte) (item, error) {
 	var named struct {
 		Name     string `json:"name"`
@@ -214,85 +217,88 @@
 		name = named.Customer
 	}
 	if name == "" {
-		return item{}, usagef("file: %s without a name", kind)
+		return item{}, usagef("file: a %s has no name", kind)
 	}
 	return item{Kind: kind, Name: name, Body: raw}, nil
 }
 
-// apply changes the items that differ, one after the other. It stops at the
-// first that is refused, after telling what was done.
-func (d *desk) apply(ctx context.Context, cmd *cli.Command, c *client, wanted []item) error {
-	state, err := c.state(ctx)
+// apply creates the items that don't exist and updates those that differ, one
+// after the other. It stops at the first error. It always prints the changes made.
+func (a *app) apply(ctx context.Context, cmd *cli.Command, c *client, items []item) error {
+	state, err := c.latestState(ctx)
 	if err != nil {
 		return err
 	}
-	done := []doneChange{}
-	for _, w := range wanted {
-		result, err := applyItem(ctx, cmd, c, state, w)
+	done := []appliedChange{}
+	for _, desired := range items {
+		result, err := applyItem(ctx, cmd, c, state, desired)
 		if err != nil {
-			return joinPrint(eris.Wrapf(err, "%s %s", w.Kind, w.Name), d.printDone(cmd, done))
+			return withPrintError(eris.Wrapf(err, "%s %s", desired.Kind, desired.Name), a.printChanges(cmd, done))
 		}
 		done = append(done, result)
 	}
-	return d.printDone(cmd, done)
+	return a.printChanges(cmd, done)
 }
 
-func joinPrint(err, printErr error) error {
+// withPrintError returns err, wrapped in the error of printing the changes if there
+// is one.
+func withPrintError(err, printErr error) error {
 	if printErr != nil {
 		return eris.Wrap(err, printErr.Error())
 	}
 	return err
 }
 
-func applyItem(ctx context.Context, cmd *cli.Command, c *client, state *config.State, wanted item) (doneChange, error) {
-	done := doneChange{Kind: wanted.Kind, Name: wanted.Name, Action: actionApplied}
-	standing, found := find(state, wanted.Kind, wanted.Name)
-	if found && sameItem(wanted.Kind, standing.Body, wanted.Body) {
+func applyItem(ctx context.Context, cmd *cli.Command, c *client, state *config.State, desired item) (appliedChange, error) {
+	done := appliedChange{Kind: desired.Kind, Name: desired.Name, Action: actionApplied}
+	current, found := findItem(state, desired.Kind, desired.Name)
+	if found && equalItems(desired.Kind, current.Body, desired.Body) {
 		done.Action = actionUnchanged
-		done.Revision = standing.Last.Revision
+		done.Revision = current.Last.Revision
 		return done, nil
 	}
 	result, err := c.submit(ctx, change{
-		kind: wanted.Kind, name: wanted.Name, body: wanted.Body,
-		expect: expectOf(cmd, state, wanted.Kind, wanted.Name), id: changeID(cmd),
+		kind: desired.Kind, name: desired.Name, body: desired.Body,
+		expectedRevision: expectedRevision(cmd, state, desired.Kind, desired.Name), id: changeID(cmd),
 	})
-	done.accepted = result
+	done.changeAnswer = result
 	return done, err
 }
 
-// sameItem compares items whatever their spaces, the order of their fields and
-// the fields left out. A file with a field that the type does not have is never
-// the same: the entry process has to refuse it.
-func sameItem(kind config.Kind, a, b []byte) bool {
+// equalItems says whether two encoded items are equal. White space, the order of
+// fields and omitted fields with zero values don't matter. If b, the item of the
+// file, has an unknown field, the result is false, so that the item is sent and
+// the entry process refuses it.
+func equalItems(kind config.Kind, a, b []byte) bool {
 	switch kind {
 	case config.KindContract:
-		return sameAs[config.Contract](a, b)
+		return equalAs[config.Contract](a, b)
 	case config.KindPool:
-		return sameAs[config.Pool](a, b)
+		return equalAs[config.Pool](a, b)
 	case config.KindPipeline:
-		return sameAs[config.Pipeline](a, b)
+		return equalAs[config.Pipeline](a, b)
 	case config.KindService:
-		return sameAs[config.Service](a, b)
+		return equalAs[config.Service](a, b)
 	default:
 		return false
 	}
 }
 
-func sameAs[T any](a, b []byte) bool {
+func equalAs[T any](a, b []byte) bool {
 	var left, right T
 	strict := json.NewDecoder(bytes.NewReader(b))
 	strict.DisallowUnknownFields()
 	if json.Unmarshal(a, &left) != nil || strict.Decode(&right) != nil {
 		return false
 	}
-	return bytes.Equal(encode(left), encode(right))
+	return bytes.Equal(mustEncode(left), mustEncode(right))
 }
 
-func (d *desk) readFile(cmd *cli.Command) ([]byte, error) {
-	in := d.in
+func (a *app) readFile(cmd *cli.Command) ([]byte, error) {
+	in := a.in
 	name := cmd.String(flagFile)
 	if name == "" {
-		return nil, usagef("name a file with --file, - for standard input")
+		return nil, usagef("--file is missing; - means standard input")
 	}
 	if name != "-" {
 		file, err := os.Open(name)
@@ -307,7 +313,7 @@
 		return nil, usageError{err.Error()}
 	}
 	if len(raw) > maxFileBytes {
-		return nil, usagef("file: more than %d bytes", maxFileBytes)
+		return nil, usagef("file: larger than %d bytes", maxFileBytes)
 	}
 	return raw, nil
 }
--- a/internal/ctl/stops.go
+++ b/internal/ctl/stops.go
@@ -14,7 +14,7 @@
 	"github.com/vanillagate/vanillagate/internal/query/status"
 )
 
-// Flags of a planned stop.
+// Flags that describe a planned stop.
 const (
 	flagTarget = "target"
 	flagVM     = "vm"
@@ -22,26 +22,26 @@
 	flagReason = "reason"
 )
 
-func (d *desk) announce(ctx context.Context, cmd *cli.Command, c *client) error {
-	stop, err := stopOf(cmd)
+func (a *app) announce(ctx context.Context, cmd *cli.Command, c *client) error {
+	stop, err := stopFromFlags(cmd)
 	if err != nil {
 		return err
 	}
-	done, err := c.submit(ctx, change{kind: config.KindStop, name: stop.ID, body: encode(stop), id: changeID(cmd)})
+	answer, err := c.submit(ctx, change{kind: config.KindStop, name: stop.ID, body: mustEncode(stop), id: changeID(cmd)})
 	if err != nil {
 		return err
 	}
-	return d.printDone(cmd, []doneChange{{Kind: config.KindStop, Name: stop.ID, Action: actionAnnounced, accepted: done}})
+	return a.printChanges(cmd, []appliedChange{{Kind: config.KindStop, Name: stop.ID, Action: actionAnnounced, changeAnswer: answer}})
 }
 
-func stopOf(cmd *cli.Command) (config.Stop, error) {
+func stopFromFlags(cmd *cli.Command) (config.Stop, error) {
 	stop := config.Stop{
 		ID: cmd.String(flagID), Reason: cmd.String(flagReason), By: cmd.String(flagOperator), At: time.Now().UTC(),
 	}
 	target, vm := cmd.String(flagTarget), cmd.String(flagVM)
 	switch {
 	case (target == "") == (vm == ""):
-		return stop, usagef("name either --target or --vm")
+		return stop, usagef("exactly one of --target and --vm is required")
 	case target != "":
 		stop.Subject, stop.Address = config.StopTarget, target
 	default:
@@ -53,16 +53,16 @@
 	return stop, nil
 }
 
-func (d *desk) listStops(ctx context.Context, cmd *cli.Command, c *client) error {
-	now, err := c.status(ctx)
+func (a *app) listStops(ctx context.Context, cmd *cli.Command, c *client) error {
+	current, err := c.status(ctx)
 	if err != nil {
 		return err
 	}
-	return d.print(cmd, now.Stops, func(w io.Writer) { writeStops(w, now.Stops) })
+	return a.print(cmd, current.Stops, func(w io.Writer) { writeStops(w, current.Stops) })
 }
 
 func writeStops(w io.Writer, stops []status.Stop) {
-	fmt.Fprintln(w, "STOP\tON\tADDRESS\tBY\tSINCE\tHEEDED\tIN FLIGHT\tSAFE\tREASON")
+	fmt.Fprintln(w, "STOP\tSUBJECT\tADDRESS\tBY\tSINCE\tAPPLIED\tIN FLIGHT\tSAFE TO STOP\tREASON")
 	for _, s := range stops {
 		safe := "not yet"
 		if s.SafeToStop() {
@@ -73,28 +73,30 @@
 	}
 }
 
-func (d *desk) waitStop(ctx context.Context, cmd *cli.Command, c *client) error {
+// waitStop polls until it is safe to stop the target or VM, and prints the stop as
+// of the last poll.
+func (a *app) waitStop(ctx context.Context, cmd *cli.Command, c *client) error {
 	id := cmd.Args().First()
 	ctx, cancel := context.WithTimeout(ctx, cmd.Duration(flagTimeout))
 	defer cancel()
 	var last []status.Stop
-	err := until(ctx, func() (bool, error) {
-		now, err := c.status(ctx)
+	err := pollUntil(ctx, func() (bool, error) {
+		current, err := c.status(ctx)
 		if err != nil {
 			return false, err
 		}
-		at := slices.IndexFunc(now.Stops, func(s status.Stop) bool { return s.ID == id })
-		if at < 0 {
+		index := slices.IndexFunc(current.Stops, func(s status.Stop) bool { return s.ID == id })
+		if index < 0 {
 			return false, eris.Errorf("there is no planned stop %q", id)
 		}
-		last = now.Stops[at : at+1]
+		last = current.Stops[index : index+1]
 		return last[0].SafeToStop(), nil
 	})
 	if last != nil {
-		err = joinErr(err, d.print(cmd, last, func(w io.Writer) { writeStops(w, last) }))
+		err = firstError(err, a.print(cmd, last, func(w io.Writer) { writeStops(w, last) }))
 	}
 	if err != nil && ctx.Err() != nil {
-		return notYetError{"requests may still run there"}
+		return timeoutError{"requests may still run there"}
 	}
 	return err
 }
