--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,5 +1,6 @@
-// Package relay is a small TCP relay for tests. It stands between two
-// processes and can delay, cut, freeze and lose answers while it runs.
+// Package relay is a TCP proxy for tests that injects network faults between
+// two processes: delays, connection resets, stalled directions and lost
+// answers. The faults can be changed while it runs.
 package relay
 
 import (
@@ -10,31 +11,33 @@
 	"time"
 )
 
-// Faults is what a Relay does wrong. The zero value forwards everything.
+// Faults selects the faults that a Relay injects. The zero value injects none.
 type Faults struct {
-	// Delay holds every piece back for this long in each direction.
+	// Delay is added to all data in each direction.
 	Delay time.Duration
-	// RefuseConnections closes new connections at once.
+	// RefuseConnections resets new connections right after accepting them.
 	RefuseConnections bool
-	// FreezeToTarget and FreezeToCaller stop forwarding in one direction and
-	// keep the connections, so that neither side learns of it. One alone is a
-	// one-way cut. What was held back is forwarded once the freeze ends.
+	// FreezeToTarget and FreezeToCaller stop forwarding in one direction but
+	// keep the connections open, so that neither side sees an error. Setting
+	// only one simulates a network failure in one direction. The data held back is forwarded
+	// once the freeze ends.
 	FreezeToTarget bool
 	FreezeToCaller bool
-	// LoseAnswer forwards requests, drops what the target answers and closes
-	// the connection: the effect happened and nobody was told.
+	// LoseAnswer forwards requests but drops the target's answer and resets
+	// the connection: the request has taken effect, but the caller doesn't
+	// learn of it.
 	LoseAnswer bool
 }
 
-// Relay forwards connections from its own address to another. It is safe for
-// concurrent use.
+// Relay accepts connections on its own address and forwards them to a target.
+// It is safe for concurrent use.
 type Relay struct {
 	target   string
 	listener net.Listener
 	serving  sync.WaitGroup
 
-	// mu guards what follows. changed is closed and replaced whenever faults
-	// or closed change, so that frozen connections look again.
+	// mu guards the fields below. changed is closed and replaced whenever faults
+	// or closed change, which wakes the goroutines of frozen connections.
 	mu       sync.Mutex
 	faults   Faults
 	changed  chan struct{}
@@ -45,9 +48,9 @@
 
 const (
 	dialTimeout = 5 * time.Second
-	pieceBytes  = 16 << 10
-	// queuedPieces bounds what one direction of a connection holds back.
-	queuedPieces = 1024
+	chunkBytes  = 16 << 10
+	// maxQueuedChunks bounds the data that one direction of a connection buffers.
+	maxQueuedChunks = 1024
 )
 
 // Listen starts a relay on a local address such as "127.0.0.1:0" that forwards
@@ -67,18 +70,18 @@
 	return r, nil
 }
 
-// Address is the IP:port on which the relay listens.
+// Address returns the IP:port on which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// SetFaults replaces the faults, also for connections that are open.
+// SetFaults replaces the faults, also for open connections.
 func (r *Relay) SetFaults(faults Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = faults
-	r.wake()
+	r.notifyChanged()
 }
 
-// Faults is what the relay does wrong now.
+// Faults returns the faults that the relay injects now.
 func (r *Relay) Faults() Faults {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,26 +98,26 @@
 // OpenConnections counts the open connections.
 func (r *Relay) OpenConnections() int { return len(r.links()) }
 
-// AcceptedConnections counts the connections that were forwarded since the start.
+// AcceptedConnections counts the connections forwarded since the start.
 func (r *Relay) AcceptedConnections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.accepted
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
-	r.wake()
+	r.notifyChanged()
 	r.mu.Unlock()
 	_ = r.listener.Close()
 	r.ResetConnections()
 	r.serving.Wait()
 }
 
-// wake is called with mu held.
-func (r *Relay) wake() {
+// notifyChanged wakes the goroutines of frozen connections. mu must be held.
+func (r *Relay) notifyChanged() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -142,11 +145,11 @@
 			resetConn(conn)
 			continue
 		}
-		r.serving.Go(func() { r.serve(conn) })
+		r.serving.Go(func() { r.handle(conn) })
 	}
 }
 
-func (r *Relay) serve(callerSide net.Conn) {
+func (r *Relay) handle(callerSide net.Conn) {
 	targetSide, err := net.DialTimeout("tcp", r.target, dialTimeout)
 	if err != nil {
 		resetConn(callerSide)
@@ -178,13 +181,14 @@
 	delete(r.open, l)
 }
 
-// thawed waits until frozen says no, and reports false if the link ended first.
-func (r *Relay) thawed(done <-chan struct{}, frozen func(Faults) bool) bool {
+// waitUnfrozen waits until frozen returns false for the current faults or the
+// relay is closed. It returns false if the link ended first.
+func (r *Relay) waitUnfrozen(done <-chan struct{}, frozen func(Faults) bool) bool {
 	for {
 		r.mu.Lock()
-		still, changed := frozen(r.faults) && !r.closed, r.changed
+		isFrozen, changed := frozen(r.faults) && !r.closed, r.changed
 		r.mu.Unlock()
-		if !still {
+		if !isFrozen {
 			return true
 		}
 		select {
@@ -202,7 +206,7 @@
 	_ = conn.Close()
 }
 
-// link is one forwarded connection.
+// link is a forwarded connection: one to the caller and one to the target.
 type link struct {
 	relay                  *Relay
 	callerSide, targetSide net.Conn
@@ -219,14 +223,14 @@
 }
 
 func (l *link) run() {
-	var ways sync.WaitGroup
-	ways.Go(func() {
+	var directions sync.WaitGroup
+	directions.Go(func() {
 		l.forward(l.callerSide, l.targetSide, func(f Faults) bool { return f.FreezeToTarget }, false)
 	})
-	ways.Go(func() {
+	directions.Go(func() {
 		l.forward(l.targetSide, l.callerSide, func(f Faults) bool { return f.FreezeToCaller }, true)
 	})
-	ways.Wait()
+	directions.Wait()
 	l.once.Do(func() {
 		close(l.done)
 		_ = l.callerSide.Close()
@@ -234,35 +238,36 @@
 	})
 }
 
-// piece is some bytes and when they may go on.
-type piece struct {
+// chunk is a piece of data and the earliest time to forward it.
+type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// forward copies one direction. Reading and writing are apart, so that a delay
-// holds pieces back without making the flow slower.
-func (l *link) forward(from, to net.Conn, frozen func(Faults) bool, answers bool) {
-	pieces := make(chan piece, queuedPieces)
+// forward copies the data of one direction. Reading and writing run in separate
+// goroutines, so that a delay adds latency without reducing throughput.
+// fromTarget says that the data is the target's answers.
+func (l *link) forward(from, to net.Conn, frozen func(Faults) bool, fromTarget bool) {
+	chunks := make(chan chunk, maxQueuedChunks)
 	var writing sync.WaitGroup
-	writing.Go(func() { l.write(pieces, to, frozen) })
-	l.read(from, pieces, answers)
-	close(pieces)
+	writing.Go(func() { l.write(chunks, to, frozen) })
+	l.read(from, chunks, fromTarget)
+	close(chunks)
 	writing.Wait()
 }
 
-func (l *link) read(from net.Conn, pieces chan<- piece, answers bool) {
+func (l *link) read(from net.Conn, chunks chan<- chunk, fromTarget bool) {
 	for {
-		buffer := make([]byte, pieceBytes)
+		buffer := make([]byte, chunkBytes)
 		n, err := from.Read(buffer)
 		faults := l.relay.Faults()
-		if n > 0 && answers && faults.LoseAnswer {
+		if n > 0 && fromTarget && faults.LoseAnswer {
 			l.reset()
 			return
 		}
 		if n > 0 {
 			select {
-			case pieces <- piece{data: buffer[:n], due: time.Now().Add(faults.Delay)}:
+			case chunks <- chunk{data: buffer[:n], due: time.Now().Add(faults.Delay)}:
 			case <-l.done:
 				return
 			}
@@ -276,20 +281,21 @@
 	}
 }
 
-func (l *link) write(pieces <-chan piece, to net.Conn, frozen func(Faults) bool) {
-	for p := range pieces {
-		if !l.waitUntil(p.due) || !l.relay.thawed(l.done, frozen) {
+func (l *link) write(chunks <-chan chunk, to net.Conn, frozen func(Faults) bool) {
+	for c := range chunks {
+		if !l.waitUntil(c.due) || !l.relay.waitUnfrozen(l.done, frozen) {
 			continue
 		}
-		if _, err := to.Write(p.data); err != nil {
+		if _, err := to.Write(c.data); err != nil {
 			l.reset()
 		}
 	}
-	if l.relay.thawed(l.done, frozen) {
+	if l.relay.waitUnfrozen(l.done, frozen) {
 		closeWrite(to)
 	}
 }
 
+// waitUntil sleeps until due. It returns false if the link ended first.
 func (l *link) waitUntil(due time.Time) bool {
 	wait := time.Until(due)
 	if wait <= 0 {
@@ -305,7 +311,7 @@
 	}
 }
 
-// closeWrite passes the end of one direction on.
+// closeWrite forwards the end of one direction's data (a TCP half-close).
 func closeWrite(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -15,23 +15,23 @@
 	"gotest.tools/v3/poll"
 )
 
-// echo answers each line with the same line, and counts the lines it read.
-type echo struct {
+// echoServer answers each line with the same line and counts the lines it read.
+type echoServer struct {
 	listener net.Listener
 	lines    atomic.Int64
 }
 
-func startEcho(t *testing.T) *echo {
+func startEchoServer(t *testing.T) *echoServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	e := &echo{listener: listener}
+	e := &echoServer{listener: listener}
 	go e.accept()
 	t.Cleanup(func() { _ = listener.Close() })
 	return e
 }
 
-func (e *echo) accept() {
+func (e *echoServer) accept() {
 	for {
 		conn, err := e.listener.Accept()
 		if err != nil {
@@ -48,9 +48,10 @@
 	}
 }
 
-func startRelay(t *testing.T) (*echo, *Relay, net.Conn) {
+// startRelay starts a relay in front of an echo server and connects to it.
+func startRelay(t *testing.T) (*echoServer, *Relay, net.Conn) {
 	t.Helper()
-	e := startEcho(t)
+	e := startEchoServer(t)
 	r, err := Listen("127.0.0.1:0", e.listener.Addr().String())
 	assert.NilError(t, err)
 	t.Cleanup(r.Close)
@@ -60,7 +61,8 @@
 	return e, r, conn
 }
 
-func ask(t *testing.T, conn net.Conn, text string) (string, error) {
+// sendLine sends a line and returns the line that is answered.
+func sendLine(t *testing.T, conn net.Conn, text string) (string, error) {
 	t.Helper()
 	assert.NilError(t, conn.SetDeadline(time.Now().Add(10*time.Second)))
 	if _, err := fmt.Fprintln(conn, text); err != nil {
@@ -71,7 +73,7 @@
 
 func TestForwards(t *testing.T) {
 	_, r, conn := startRelay(t)
-	got, err := ask(t, conn, "hello")
+	got, err := sendLine(t, conn, "hello")
 	assert.NilError(t, err)
 	assert.Equal(t, got, "hello\n")
 	assert.Equal(t, r.OpenConnections(), 1)
@@ -84,48 +86,48 @@
 	})
 }
 
-func TestDelayHoldsBothWays(t *testing.T) {
+func TestDelayInBothDirections(t *testing.T) {
 	_, r, conn := startRelay(t)
 	r.SetFaults(Faults{Delay: 60 * time.Millisecond})
 	start := time.Now()
-	_, err := ask(t, conn, "slow")
+	_, err := sendLine(t, conn, "slow")
 	assert.NilError(t, err)
 	assert.Assert(t, time.Since(start) >= 120*time.Millisecond)
 }
 
-func TestCutResets(t *testing.T) {
+func TestResetConnections(t *testing.T) {
 	_, r, conn := startRelay(t)
-	_, err := ask(t, conn, "one")
+	_, err := sendLine(t, conn, "one")
 	assert.NilError(t, err)
 	r.ResetConnections()
-	_, err = ask(t, conn, "two")
+	_, err = sendLine(t, conn, "two")
 	assert.Assert(t, err != nil && !errors.Is(err, os.ErrDeadlineExceeded), err)
 }
 
-func TestRefuse(t *testing.T) {
+func TestRefuseConnections(t *testing.T) {
 	_, r, _ := startRelay(t)
 	r.SetFaults(Faults{RefuseConnections: true})
 	conn, err := net.Dial("tcp", r.Address())
 	if err == nil {
-		_, err = ask(t, conn, "x")
+		_, err = sendLine(t, conn, "x")
 	}
 	assert.Assert(t, err != nil && !errors.Is(err, os.ErrDeadlineExceeded), err)
 }
 
-// The target ran the call and its answer never arrives; the caller sees a
-// broken connection and can't know that the call took effect.
+// The target runs the call but its answer is lost: the caller sees a broken
+// connection and can't tell that the call took effect.
 func TestLoseAnswer(t *testing.T) {
 	e, r, conn := startRelay(t)
 	r.SetFaults(Faults{LoseAnswer: true})
-	_, err := ask(t, conn, "effect")
+	_, err := sendLine(t, conn, "effect")
 	assert.Assert(t, err != nil && !errors.Is(err, os.ErrDeadlineExceeded), err)
 	assert.Equal(t, e.lines.Load(), int64(1))
 }
 
-// One direction stops while the connection stays up, as when a path between
-// zones drops packets one way. Neither side sees an error, and what was held
-// back arrives in order once the path is back.
-func TestFreezeOneWay(t *testing.T) {
+// One direction stalls while the connection stays open, as when the network
+// between zones drops packets in one direction. Neither side sees an error, and
+// the data held back arrives in order once the stall ends.
+func TestFreezeOneDirection(t *testing.T) {
 	e, r, conn := startRelay(t)
 	r.SetFaults(Faults{FreezeToCaller: true})
 	fmt.Fprintln(conn, "held")
