--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Every target stops by itself. `make check` is what CI runs.
+# Every target terminates by itself. CI runs `make check`.
 GO ?= go
 BIN := bin
 PROGRAMS := vanillagate vgedge vgsteward vgctl vgload vgstandin
@@ -28,11 +28,12 @@
 race:
 	$(GO) test -race $(TESTFLAGS) ./internal/... ./platform/...
 
-# Each test runs a small deployment; more than a few at once only measure the
-# machine.
+# Number of integration tests that run in parallel. Each starts a small deployment;
+# with more of them the tests measure the load of the machine instead of the system.
 CLUSTERS ?= 6
 
-# Tests with a known fault, which KNOWN-RED.txt names as passed over.
+# Tests that CI skips because of a known fault: the entries of KNOWN-RED.txt that
+# say "CI passes over TestName".
 KNOWN_RED := $(shell sed -n 's/.*CI passes over \(Test[A-Za-z0-9]*\)$$/\1/p' KNOWN-RED.txt | paste -sd'|' -)
 
 integration: build
@@ -43,7 +44,7 @@
 demo: build
 	@scripts/demo.sh
 
-# The same on a stand-in of the users' platform.
+# The same with a stand-in for the users' platform.
 demo-platform: build
 	@scripts/demo-platform.sh
 
@@ -53,7 +54,7 @@
 bench-quick: build
 	BENCH_QUICK=1 scripts/bench.sh
 
-# What one entry VM on four cores adds to a request.
+# Measures the overhead that one entry VM on four cores adds to a request.
 overhead: build
 	scripts/overhead.sh
 
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,13 +1,16 @@
 #!/usr/bin/env bash
-# Runs the experiments: for each scenario, policy and seed it starts fresh
-# stand-ins and entry VMs on free ports, has vgload send the load, and stops
-# them. It ends only what it started. Settings come from the environment:
-#   BENCH_QUICK=1          the quick form, within 50 s
-#   BENCH_POLICIES=p,...   only these policies
-#   BENCH_SCENARIOS=s,...  only these scenarios
-#   BENCH_SEEDS=1,2,...    these seeds in place of those of the files
-#   BENCH_JOBS=N           so many scenarios of one policy side by side; 4
-#   BENCH_OUT=DIR          where results, logs and report go
+# Runs the experiments. For each scenario, policy and seed (a step) it starts
+# new stand-ins and entry VMs on free ports, generates the load with vgload, and
+# stops the processes again. It stops only processes that it started.
+# Environment variables:
+#   BENCH_QUICK=1          run the short variant, which takes at most 50 s
+#   BENCH_POLICIES=p,...   run only these policies
+#   BENCH_SCENARIOS=s,...  run only these scenarios
+#   BENCH_SEEDS=1,2,...    use these seeds instead of those in the files
+#   BENCH_JOBS=N           number of steps of one policy to run at a time (default 4)
+#   BENCH_OUT=DIR          directory for results, logs and the report
+#                          (default out/bench)
+#   BENCH_EXPERIMENTS=DIR  directory of the experiments' files (default experiments)
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -19,29 +22,32 @@
 if [ -n "${BENCH_QUICK:-}" ]; then
   quick=(--quick)
 fi
-keep_entries=1s      # how long callers keep the addresses that they are told
-replace_seconds=0.3  # what it takes to replace an entry VM that ended
-stop_seconds=5      # what a process gets to stop by itself
+entries_ttl=1s       # how long callers may cache the list of entry addresses
+restart_seconds=0.3  # simulated time to replace an entry VM that exited
+stop_seconds=5       # time that a process gets to exit after SIGTERM
 
-# keep_entry DIR PLACE ADDRESS PEER ZONE REGION POLICY runs an entry VM and
-# replaces it whenever it ends, until it gets SIGTERM itself. It must be started
-# with "&".
-keep_entry() {
+# supervise_entry DIR INDEX ADDRESS PEER ZONE REGION POLICY runs an entry VM and
+# restarts it whenever it exits, until the supervisor itself gets SIGTERM. It
+# must be started with "&".
+supervise_entry() {
   local file="$1/entry-$2.pid" log="$1/entry-$2.log" address=$3 peer=$4 zone=$5 region=$6 policy=$7
-  # The run is over then, so that the entry VM has nothing left to finish.
+  # SIGTERM comes at the end of the step, when the entry VM has no requests left
+  # to finish, so that it can be killed at once.
   trap 'kill -KILL "$!" 2>/dev/null; rm -f "$file"; exit 0' TERM
   while true; do
     "$bin/vanillagate" --listen "$address" --peer-listen "$peer" --zone "$zone" --region "$region" \
-      --policy "$policy" --keep-entries "$keep_entries" --log-level warn >>"$log" 2>&1 &
+      --policy "$policy" --keep-entries "$entries_ttl" --log-level warn >>"$log" 2>&1 &
     echo "$!" >"$file.new"
     mv "$file.new" "$file"
     { wait "$!" || true; } 2>/dev/null
     rm -f "$file"
-    sleep "$replace_seconds"
+    sleep "$restart_seconds"
   done
 }
 
-# stop_pid PID stops one process that this script started.
+# stop_pid PID stops a process that this script started: with SIGTERM, and with
+# SIGKILL if it is still running after stop_seconds. SIGCONT comes first, because a
+# stopped process doesn't act on SIGTERM.
 stop_pid() {
   local pid=$1 waited=0
   kill -CONT "$pid" 2>/dev/null || return 0
@@ -56,8 +62,8 @@
   done
 }
 
-# run_step SCENARIO POLICY SEED runs one step. It must be started with "&": it
-# ends its shell.
+# run_step SCENARIO POLICY SEED runs one step. It must be started with "&",
+# because it exits the shell that it runs in.
 run_step() {
   scenario=$1 policy=$2 seed=$3
   name="$scenario-$policy-$seed"
@@ -67,29 +73,30 @@
   # shellcheck disable=SC1091
   . "$dir/env.sh"
   "$bin/vgstandin" fleet --file "$dir/fleet.json" --log-level warn >"$dir/standin.log" 2>&1 &
-  standin=$!
-  keepers=()
-  load=""
+  standin_pid=$!
+  supervisors=()
+  load_pid=""
   finish() {
     trap - EXIT
-    [ -z "$load" ] || kill -KILL "$load" 2>/dev/null || true
-    for keeper in ${keepers[@]+"${keepers[@]}"}; do
-      kill -TERM "$keeper" 2>/dev/null || true
+    [ -z "$load_pid" ] || kill -KILL "$load_pid" 2>/dev/null || true
+    for pid in ${supervisors[@]+"${supervisors[@]}"}; do
+      kill -TERM "$pid" 2>/dev/null || true
     done
-    stop_pid "$standin"
+    stop_pid "$standin_pid"
     { wait; } 2>/dev/null || true
   }
   trap finish EXIT
   trap 'exit 130' INT TERM
-  while IFS=$'\t' read -r place address peer zone region; do
-    keep_entry "$dir" "$place" "$address" "$peer" "$zone" "$region" "$policy" &
-    keepers+=($!)
+  while IFS=$'\t' read -r index address peer zone region; do
+    supervise_entry "$dir" "$index" "$address" "$peer" "$zone" "$region" "$policy" &
+    supervisors+=($!)
   done <"$dir/entries.tsv"
   "$bin/vgload" bench step --experiments "$experiments" ${quick[@]+"${quick[@]}"} --scenario "$scenario" \
     --policy "$policy" --seed "$seed" --dir "$dir" --out "$out/results/$name.json" --csv "$dir/requests.csv" 2>"$dir/load.log" &
-  load=$!
-  # In the background and waited for, so that a signal is heeded at once.
-  wait "$load" ||
+  load_pid=$!
+  # bash runs a trap only after a foreground command ends. With the command in
+  # the background and "wait", a signal is handled at once.
+  wait "$load_pid" ||
     { echo "step $name failed:" >&2; tail -n 3 "$dir/load.log" >&2; exit 1; }
   echo "$name $(tail -n 1 "$dir/load.log")" >&2
   exit 0
@@ -103,7 +110,7 @@
 failed=0
 batch=()
 batch_policy=""
-# wait_batch waits for the steps that run side by side.
+# wait_batch waits for the steps that are running and counts the failed ones.
 wait_batch() {
   local pid
   for pid in ${batch[@]+"${batch[@]}"}; do
@@ -111,7 +118,8 @@
   done
   batch=()
 }
-# A signal reaches this shell only: what runs in the background must be told.
+# interrupted passes a signal on to the steps in the background, which don't get
+# it themselves.
 interrupted() {
   trap - INT TERM
   for pid in ${batch[@]+"${batch[@]}"}; do
--- a/scripts/children.sh
+++ b/scripts/children.sh
@@ -1,13 +1,13 @@
-# Sourced by scripts that run programs in the background: they end what they
-# started, by its id, however they end themselves. started holds the ids;
-# finish_signal is how they are ended, TERM unless set before.
-started=()
-finish() {
+# Sourced by scripts that run programs in the background. When the script exits,
+# for whatever reason, the processes in child_pids are stopped, and only these.
+# child_signal is the signal that stops them; it is TERM unless set before.
+child_pids=()
+stop_children() {
   trap - EXIT INT TERM
-  for pid in ${started[@]+"${started[@]}"}; do
-    kill "-${finish_signal:-TERM}" "$pid" 2>/dev/null || true
+  for pid in ${child_pids[@]+"${child_pids[@]}"}; do
+    kill "-${child_signal:-TERM}" "$pid" 2>/dev/null || true
   done
   { wait; } 2>/dev/null || true
 }
-trap finish EXIT
+trap stop_children EXIT
 trap 'exit 130' INT TERM
--- a/scripts/demo-platform.sh
+++ b/scripts/demo-platform.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Runs the users' platform's form of the system on this machine: a stand-in of
-# the platform and its targets, three entry VMs, a bounded load. It ends only
-# what it started, and by itself.
+# Demonstrates the variant of the system that is built into the users' platform,
+# on this machine: a stand-in for the platform and its targets, three entry VMs
+# (vgedge) and a load of limited duration. The script exits by itself and stops
+# only processes that it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -15,18 +16,18 @@
 
 "$bin/vgstandin" edge --folder "$out" --vms "$vms" --rate "${DEMO_RATE:-60}" --duration "${DEMO_DURATION:-10s}" \
   --require-attainment 0.98 >"$out/load.txt" 2>"$out/standin.log" &
-standin=$!
-started+=("$standin")
+standin_pid=$!
+child_pids+=("$standin_pid")
 for ((i = 0; i < vms; i++)); do
   until [ -s "$out/vm-$i.toml" ]; do sleep 0.05; done
   VANILLAGATE_SETTINGS="$out/vm-$i.toml" VANILLAGATE_PEER_KEYS=demo-key-between-the-processes \
     "$bin/vgedge" >"$out/vm-$i.log" 2>&1 &
-  started+=("$!")
+  child_pids+=("$!")
 done
 status=0
-wait "$standin" || status=$?
-started=("${started[@]:1}")
+wait "$standin_pid" || status=$?
+child_pids=("${child_pids[@]:1}") # the stand-in has exited
 [ "$status" -eq 0 ] || cat "$out/standin.log" >&2
-finish
+stop_children
 tail -n 1 "$out/load.txt"
 exit "$status"
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Runs the whole path on this machine: stand-ins, three entry VMs, two
-# stewards, a contract made with vgctl, a bounded load. It ends only what it
-# started, and by itself. With DEMO_KEEP=1 it leaves all running and waits for
-# Enter or a signal, for trying things out by hand.
+# Demonstrates the whole system on this machine: stand-ins, three entry VMs, two
+# stewards, a contract created with vgctl, and a load of limited duration. The
+# script exits by itself and stops only processes that it started. With
+# DEMO_KEEP=1 it sends no load, keeps everything running for manual use, and
+# exits on Enter or a signal.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -15,22 +16,23 @@
 
 . scripts/children.sh
 
-# start NAME COMMAND... runs a program in the background, its logs in the
-# output folder.
+# start NAME COMMAND... runs a program in the background. Its output goes to
+# NAME.log in the output directory.
 start() {
   local name=$1
   shift
   "$@" >"$out/$name.log" 2>&1 &
-  started+=($!)
+  child_pids+=($!)
 }
 
-# until_true SECONDS WHAT COMMAND... waits until a command succeeds.
-until_true() {
+# wait_until SECONDS WHAT COMMAND... waits until a command succeeds. After the
+# given time it exits with an error that names WHAT it waited for.
+wait_until() {
   local limit=$((SECONDS + $1)) what=$2
   shift 2
   until "$@" >/dev/null 2>&1; do
     if [ "$SECONDS" -ge "$limit" ]; then
-      echo "demo: waited in vain for $what; logs are in $out" >&2
+      echo "demo: timed out waiting for $what; logs are in $out" >&2
       exit 1
     fi
     sleep 0.05
@@ -48,25 +50,25 @@
 export VANILLAGATE_ENTRIES=127.0.0.1:7501,127.0.0.1:7502,127.0.0.1:7503
 
 start vgstandin "$bin/vgstandin" fleet --file deploy/demo.fleet.json
-until_true 10 "the stand-ins" curl -fsS http://127.0.0.1:7000/summary
-place=1
+wait_until 10 "the stand-ins" curl -fsS http://127.0.0.1:7000/summary
+index=1
 for zone in a b c; do
-  start "vanillagate-$zone" "$bin/vanillagate" --listen "127.0.0.1:750$place" \
-    --peer-listen "127.0.0.1:760$place" --zone "$zone" --keep-entries 1s
-  place=$((place + 1))
+  start "vanillagate-$zone" "$bin/vanillagate" --listen "127.0.0.1:750$index" \
+    --peer-listen "127.0.0.1:760$index" --zone "$zone" --keep-entries 1s
+  index=$((index + 1))
 done
-for place in 1 2; do
-  start "vgsteward-$place" "$bin/vgsteward" --peer-listen "127.0.0.1:761$place" --zone a --region r1 \
+for index in 1 2; do
+  start "vgsteward-$index" "$bin/vgsteward" --peer-listen "127.0.0.1:761$index" --zone a --region r1 \
     --table-url http://127.0.0.1:7001 --objects-url http://127.0.0.1:7002 --vm-list-url http://127.0.0.1:7003
 done
-for place in 1 2 3; do
-  until_true 10 "entry VM $place" curl -fsS "http://127.0.0.1:750$place/readyz"
+for index in 1 2 3; do
+  wait_until 10 "entry VM $index" curl -fsS "http://127.0.0.1:750$index/readyz"
 done
 "$bin/vgctl" apply -f deploy/demo.config.json
 "$bin/vgctl" contract create wierzbicki --key-hash "$customer_hash" --share 2
 revision=$("$bin/vgctl" --output json contract list | sed -n 's/.*"revision": *\([0-9]*\).*/\1/p' | sort -n | tail -n 1)
 "$bin/vgctl" contract wait "$revision" --timeout 20s
-until_true 10 "a first answer" curl -fsS -H "Authorization: Bearer $customer_key" \
+wait_until 10 "the first answer" curl -fsS -H "Authorization: Bearer $customer_key" \
   -d '{"input":"hall for forty [ref:first]","max_tokens":4}' http://127.0.0.1:7501/v1/pipelines/quote
 curl -fsS -X POST http://127.0.0.1:7000/counts/reset >/dev/null
 
@@ -77,10 +79,10 @@
 export VANILLAGATE_OPERATOR=you
 export CUSTOMER_KEY=$customer_key
 END
-  echo "Running. In another shell: . $out/env.sh    Enter ends it."
-  # A trap runs only once the command in the foreground ends, so that nothing
-  # but a builtin may be waited for here.
-  read -r _ || { sleep infinity & started+=($!); wait $!; }
+  echo "Running. To use it from another shell: . $out/env.sh    Press Enter to stop."
+  # bash runs a trap only after a foreground command ends, so that a signal is
+  # handled at once only while the shell waits in a builtin (read, wait).
+  read -r _ || { sleep infinity & child_pids+=($!); wait $!; }
   exit 0
 fi
 
@@ -89,5 +91,5 @@
 "$bin/vgctl" status
 head -n -1 "$out/load.txt"
 trap - EXIT
-finish
+stop_children
 tail -n 1 "$out/load.txt"
