--- a/internal/standin/count/count.go
+++ b/internal/standin/count/count.go
@@ -1,5 +1,6 @@
-// Package count keeps what the targets ran, one record for each execution. It
-// is the witness of requests that were lost, doubled or crossed.
+// Package count records every execution of a call by the stand-in targets. Tests
+// compare the records with what the callers sent and received, to find requests
+// that were lost, ran twice or got the answer of another request.
 package count
 
 import (
@@ -9,7 +10,7 @@
 	"time"
 )
 
-// Execution is one call that a target began to run.
+// Execution is the record of one call that a target started to run.
 type Execution struct {
 	Target         string `json:"target"`
 	Pool           string `json:"pool"`
@@ -18,14 +19,15 @@
 	Customer       string `json:"customer"`
 	Method         string `json:"method"`
 	Path           string `json:"path"`
-	// Fingerprint is the FNV-1a 64 hash of the body in lower-case hex.
+	// Fingerprint is the 64-bit FNV-1a hash of the body in lower-case hex.
 	Fingerprint   string `json:"fingerprint"`
 	StartedUnixUS int64  `json:"started_unix_us"`
-	// Finished says that the call took its whole effect, answered or not.
+	// Finished says that the call ran to its end, whether or not its answer
+	// was delivered.
 	Finished bool `json:"finished"`
-	// Cancelled says that the caller hung up before it finished.
+	// Cancelled says that the caller disconnected before the call finished.
 	Cancelled bool `json:"cancelled"`
-	// EngineUS is what the call cost its target, in microseconds.
+	// EngineUS is the engine time that the call cost its target, in microseconds.
 	EngineUS         int64  `json:"engine_us"`
 	PromptTokens     int    `json:"prompt_tokens"`
 	CompletionTokens int    `json:"completion_tokens"`
@@ -33,7 +35,7 @@
 	FencingToken     string `json:"fencing_token"`
 }
 
-// Result is what became of an execution.
+// Result is the outcome of an execution. Its fields are those of Execution.
 type Result struct {
 	Finished         bool
 	Cancelled        bool
@@ -43,7 +45,7 @@
 	CachedTokens     int
 }
 
-// PoolSummary adds up the executions of one pool.
+// PoolSummary holds the totals of one pool's executions.
 type PoolSummary struct {
 	Executions       int   `json:"executions"`
 	Finished         int   `json:"finished"`
@@ -55,24 +57,24 @@
 	Crashes          int   `json:"crashes"`
 }
 
-// ExecutionLog holds the executions of all targets of a process. The zero value is
-// ready for use.
+// ExecutionLog records the executions and crashes of all targets of a process.
+// The zero value is ready for use.
 type ExecutionLog struct {
-	mu         sync.Mutex // guards all below, and what the executions point to
+	mu         sync.Mutex // guards the fields below and the executions pointed to
 	executions []*Execution
 	crashes    map[string]int
 }
 
-// Start notes that a target begins to run a call. StartedUnixUS is set here.
+// Start records that a target starts to run a call, and sets StartedUnixUS.
 func (l *ExecutionLog) Start(e Execution) *Running {
 	e.StartedUnixUS = time.Now().UnixMicro()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.executions = append(l.executions, &e)
-	return &Running{ledger: l, execution: &e}
+	return &Running{log: l, execution: &e}
 }
 
-// RecordCrash counts a crash of a target of the pool.
+// RecordCrash counts a crash of one of the pool's targets.
 func (l *ExecutionLog) RecordCrash(pool string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +84,7 @@
 	l.crashes[pool]++
 }
 
-// Executions copies all records, oldest first.
+// Executions returns a copy of all records, oldest first.
 func (l *ExecutionLog) Executions() []Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +95,7 @@
 	return all
 }
 
-// Reset forgets everything.
+// Reset deletes all records and crash counts.
 func (l *ExecutionLog) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,13 +103,13 @@
 	l.crashes = nil
 }
 
-// Summary adds up by pool.
+// Summary returns the totals by pool.
 func (l *ExecutionLog) Summary() map[string]PoolSummary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	pools := map[string]PoolSummary{}
 	for _, e := range l.executions {
-		pools[e.Pool] = pools[e.Pool].with(e)
+		pools[e.Pool] = pools[e.Pool].add(e)
 	}
 	for pool, n := range l.crashes {
 		s := pools[pool]
@@ -117,7 +119,8 @@
 	return pools
 }
 
-func (s PoolSummary) with(e *Execution) PoolSummary {
+// add returns the totals with one more execution.
+func (s PoolSummary) add(e *Execution) PoolSummary {
 	s.Executions++
 	if e.Finished {
 		s.Finished++
@@ -132,16 +135,16 @@
 	return s
 }
 
-// Running is an execution whose end is still to come.
+// Running is an execution that has not finished yet.
 type Running struct {
-	ledger    *ExecutionLog
+	log       *ExecutionLog
 	execution *Execution
 }
 
-// Finish notes what became of the execution.
+// Finish records the outcome of the execution.
 func (r *Running) Finish(result Result) {
-	r.ledger.mu.Lock()
-	defer r.ledger.mu.Unlock()
+	r.log.mu.Lock()
+	defer r.log.mu.Unlock()
 	r.execution.Finished = result.Finished
 	r.execution.Cancelled = result.Cancelled
 	r.execution.EngineUS = result.EngineUS
@@ -150,9 +153,9 @@
 	r.execution.CachedTokens = result.CachedTokens
 }
 
-// Fingerprint hashes a body for Execution.Fingerprint.
+// Fingerprint returns the hash of a body for Execution.Fingerprint.
 func Fingerprint(body []byte) string {
 	h := fnv.New64a()
-	_, _ = h.Write(body) // a hash's Write never fails
+	_, _ = h.Write(body) // Write of a hash never fails
 	return fmt.Sprintf("%016x", h.Sum64())
 }
--- a/internal/standin/history/history.go
+++ b/internal/standin/history/history.go
@@ -1,5 +1,5 @@
-// Package history remembers what a value was a while ago, for things that are
-// told late: load reports and the VM list.
+// Package history keeps past versions of a value, to simulate information that
+// arrives late: load reports and the VM list.
 package history
 
 import (
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// DelayedValue answers what a value was a fixed time ago. Use New.
+// DelayedValue reports a value as it was a fixed time ago. Create it with New.
 type DelayedValue[T any] struct {
-	lag   time.Duration
-	every time.Duration
+	lag         time.Duration
+	minInterval time.Duration
 
 	mu      sync.Mutex // guards samples
 	samples []sample[T]
@@ -21,27 +21,28 @@
 	value T
 }
 
-// New starts with a first value that is seen at once. To bound what is kept,
-// a value that comes within every of the last sample replaces it, and so is
-// seen up to that much early; zero keeps them all.
-func New[T any](lag, every time.Duration, first T) *DelayedValue[T] {
-	return &DelayedValue[T]{lag: lag, every: every, samples: []sample[T]{{value: first}}}
+// New returns a value that changes with a delay of lag. The initial value is
+// visible at once. To bound the number of samples, a value set less than
+// minInterval after the last sample replaces that sample and so becomes visible
+// up to minInterval too early. With 0, all values are kept.
+func New[T any](lag, minInterval time.Duration, initial T) *DelayedValue[T] {
+	return &DelayedValue[T]{lag: lag, minInterval: minInterval, samples: []sample[T]{{value: initial}}}
 }
 
-// Set notes the value as of now.
+// Set changes the value as of now.
 func (l *DelayedValue[T]) Set(now time.Time, value T) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.prune(now)
 	last := len(l.samples) - 1
-	if last > 0 && now.Sub(l.samples[last].at) < l.every {
+	if last > 0 && now.Sub(l.samples[last].at) < l.minInterval {
 		l.samples[last].value = value
 		return
 	}
 	l.samples = append(l.samples, sample[T]{at: now, value: value})
 }
 
-// Delayed is the value as it was the lag before now.
+// Delayed returns the value as it was at now minus the lag.
 func (l *DelayedValue[T]) Delayed(now time.Time) T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,22 +50,23 @@
 	return l.samples[0].value
 }
 
-// Latest is the value without the lag.
+// Latest returns the value without the lag.
 func (l *DelayedValue[T]) Latest() T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.samples[len(l.samples)-1].value
 }
 
-// prune drops what is older than the newest sample that may be seen.
+// prune deletes the samples older than the one that is visible now. The visible
+// sample is then the first.
 func (l *DelayedValue[T]) prune(now time.Time) {
-	seen := 0
+	visible := 0
 	for i, s := range l.samples {
 		if !s.at.After(now.Add(-l.lag)) {
-			seen = i
+			visible = i
 		}
 	}
-	if seen > 0 {
-		l.samples = append(l.samples[:0], l.samples[seen:]...)
+	if visible > 0 {
+		l.samples = append(l.samples[:0], l.samples[visible:]...)
 	}
 }
--- a/internal/standin/history/history_test.go
+++ b/internal/standin/history/history_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestValueIsSeenLate(t *testing.T) {
+func TestValueIsDelayed(t *testing.T) {
 	start := time.Now()
 	l := New(time.Second, 0, "old")
 	l.Set(start, "new")
@@ -21,7 +21,7 @@
 	assert.Equal(t, l.Latest(), "newer")
 }
 
-func TestFrequentValuesAreBounded(t *testing.T) {
+func TestSampleCountIsBounded(t *testing.T) {
 	start := time.Now()
 	l := New(time.Second, 100*time.Millisecond, 0)
 	for i := range 10_000 {
--- a/internal/standin/outage/outage.go
+++ b/internal/standin/outage/outage.go
@@ -1,4 +1,5 @@
-// Package outage applies the faults that the platform's stand-ins share.
+// Package outage applies the faults that the stand-ins for the platform's
+// services have in common.
 package outage
 
 import (
@@ -8,13 +9,14 @@
 	"github.com/vanillagate/vanillagate/internal/standin/fault"
 )
 
-// Wait spends what a call takes and what the fault adds to it. It goes on when
-// the caller hangs up: a slow store still takes the write.
+// Wait sleeps for the latency of a call, stretched and delayed by the fault. It
+// doesn't return early when the caller disconnects: a slow store still applies
+// the write.
 func Wait(f fault.Fault, latency time.Duration) {
-	stretched := time.Duration(float64(latency) * f.Straggle())
-	time.Sleep(stretched + f.Delay())
+	scaled := time.Duration(float64(latency) * f.Straggle())
+	time.Sleep(scaled + f.Delay())
 }
 
-// Abort closes the connection without an answer. Panicking with this value is
-// the server's own documented way to do so; nothing is broken.
+// Abort closes the connection without an answer. Panicking with
+// http.ErrAbortHandler is net/http's documented way to do so and is not an error.
 func Abort() { panic(http.ErrAbortHandler) }
