--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -76,7 +76,7 @@
   standin_pid=$!
   supervisors=()
   load_pid=""
-  finish() {
+  cleanup() {
     trap - EXIT
     [ -z "$load_pid" ] || kill -KILL "$load_pid" 2>/dev/null || true
     for pid in ${supervisors[@]+"${supervisors[@]}"}; do
@@ -85,7 +85,7 @@
     stop_pid "$standin_pid"
     { wait; } 2>/dev/null || true
   }
-  trap finish EXIT
+  trap cleanup EXIT
   trap 'exit 130' INT TERM
   while IFS=$'\t' read -r index address peer zone region; do
     supervise_entry "$dir" "$index" "$address" "$peer" "$zone" "$region" "$policy" &
