--- a/internal/conns/conns.go
+++ b/internal/conns/conns.go
@@ -16,8 +16,8 @@
 	// DefaultIdleTimeout is how long an unused connection is kept if the target
 	// doesn't specify a time. It is below the usual idle timeouts of servers.
 	DefaultIdleTimeout = 4 * time.Second
-	// maxIdle bounds the unused connections to one target.
-	maxIdle = 64
+	// maxIdleConns bounds the unused connections to one target.
+	maxIdleConns = 64
 	// dialTimeout bounds the time to establish a connection.
 	dialTimeout = time.Second
 	// bufferBytes is the size of each connection's read and write buffer. It
@@ -45,17 +45,17 @@
 	// IdleTimeout is how long the connection may stay unused; 0 means
 	// DefaultIdleTimeout.
 	IdleTimeout time.Duration
-	// MaxIdle is the maximum number of unused connections to the same target,
-	// this one included; 0 means maxIdle.
-	MaxIdle  int
-	lastUsed time.Time
+	// MaxIdleConns is the maximum number of unused connections to the same target,
+	// this one included; 0 means maxIdleConns.
+	MaxIdleConns int
+	lastUsed     time.Time
 }
 
 func (c *Conn) maxUnused() int {
-	if c.MaxIdle > 0 {
-		return min(c.MaxIdle, maxIdle)
+	if c.MaxIdleConns > 0 {
+		return min(c.MaxIdleConns, maxIdleConns)
 	}
-	return maxIdle
+	return maxIdleConns
 }
 
 func (c *Conn) expired(now time.Time) bool {
@@ -78,15 +78,15 @@
 }
 
 // Take returns the most recently used connection that is still usable and has
-// been unused for less than maxAge; 0 means no bound. It returns nil if there
-// is none, and closes those that it rejects.
-func (p *Pool) Take(address string, now time.Time, maxAge time.Duration) *Conn {
+// been unused for less than maxIdleTime; 0 means no bound. It returns nil if
+// there is none, and closes those that it rejects.
+func (p *Pool) Take(address string, now time.Time, maxIdleTime time.Duration) *Conn {
 	for {
 		c := p.pop(address)
 		if c == nil {
 			return nil
 		}
-		recent := maxAge == 0 || now.Sub(c.lastUsed) < maxAge
+		recent := maxIdleTime == 0 || now.Sub(c.lastUsed) < maxIdleTime
 		if recent && !c.expired(now) && c.R.Buffered() == 0 && socket.Peek(c.Conn) == socket.Idle {
 			return c
 		}
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -154,8 +154,8 @@
 // buildHTTPServer creates the HTTP server and its listener.
 func (s *Server) buildHTTPServer(handler fasthttp.RequestHandler) {
 	s.idleListener = &idle.Listener{
-		Listener: &accept.Listener{Listener: s.listener, Log: s.log},
-		Time:     func() time.Duration { return idleTimeout },
+		Listener:    &accept.Listener{Listener: s.listener, Log: s.log},
+		IdleTimeout: func() time.Duration { return idleTimeout },
 	}
 	s.http = &fasthttp.Server{
 		Handler:               handler,
--- a/internal/entry/suspicion.go
+++ b/internal/entry/suspicion.go
@@ -41,12 +41,12 @@
 		return
 	}
 	sp.server.log.Warn("Target died under a request.", zap.String("target", address), zap.String("fingerprint", string(f)))
-	sp.publishEvidence(sp.table.Crashed(f, address, time.Now()))
+	sp.publishEvidence(sp.table.RecordCrash(f, address, time.Now()))
 }
 
 // RecordSuccess implements pipeline.Suspicion.
 func (sp *suspicion) RecordSuccess(f suspect.Fingerprint) {
-	sp.publishEvidence(sp.table.Cleared(f, time.Now()))
+	sp.publishEvidence(sp.table.RecordSuccess(f, time.Now()))
 }
 
 // Check implements pipeline.Suspicion.
@@ -56,7 +56,7 @@
 
 // RequestPermission implements pipeline.Suspicion.
 func (sp *suspicion) RequestPermission(f suspect.Fingerprint) suspect.Permission {
-	permission, evidence := sp.table.Ask(f, time.Now())
+	permission, evidence := sp.table.RequestPermission(f, time.Now())
 	if evidence != nil {
 		sp.publishEvidence(*evidence)
 	}
@@ -66,13 +66,13 @@
 // ReleasePermission implements pipeline.Suspicion.
 func (sp *suspicion) ReleasePermission(f suspect.Fingerprint, permission suspect.Permission) {
 	if permission == suspect.Isolated {
-		sp.table.Done(f)
+		sp.table.ReleasePermission(f)
 	}
 }
 
 // MayContinue implements pipeline.Suspicion.
 func (sp *suspicion) MayContinue(f suspect.Fingerprint, permission suspect.Permission) bool {
-	return sp.table.MayGoOn(f, permission, time.Now())
+	return sp.table.MayContinue(f, permission, time.Now())
 }
 
 // Watch implements pipeline.Suspicion.
--- a/internal/idle/listener.go
+++ b/internal/idle/listener.go
@@ -36,8 +36,8 @@
 // their connections until shortly before that timeout, so closing one sooner fails a request.
 type Listener struct {
 	net.Listener
-	// Time returns the current idle timeout.
-	Time func() time.Duration
+	// IdleTimeout returns the current idle timeout. It is called from several goroutines.
+	IdleTimeout func() time.Duration
 
 	closeOnce sync.Once
 	closeErr  error // set by closeOnce
@@ -120,8 +120,8 @@
 	nothingRead, idle bool
 	// idleSince is when the idle time began. minIdleTime is the idle timeout at the time of
 	// the previous request: its answer may have announced that timeout to the caller.
-	idleSince   time.Time
-	minIdleTime time.Duration
+	idleSince      time.Time
+	minIdleTimeout time.Duration
 	// deadline is the read deadline that fasthttp set.
 	deadline time.Time
 }
@@ -136,7 +136,7 @@
 		c.idleSince = time.Now()
 		t = c.idleEnd()
 	} else {
-		c.minIdleTime = c.listener.Time()
+		c.minIdleTimeout = c.listener.IdleTimeout()
 	}
 	c.deadline = t
 	if c.unusedLocked() && c.listener.draining.Load() {
@@ -147,7 +147,7 @@
 
 // idleEnd returns when the idle timeout ends. The caller holds mu.
 func (c *callerConn) idleEnd() time.Time {
-	return c.idleSince.Add(max(c.minIdleTime, c.listener.Time()))
+	return c.idleSince.Add(max(c.minIdleTimeout, c.listener.IdleTimeout()))
 }
 
 // drainDeadline returns until when an unused connection waits for a request while the listener
--- a/internal/idle/listener_test.go
+++ b/internal/idle/listener_test.go
@@ -16,13 +16,13 @@
 
 // connPair returns the server end of a connection with the given idle timeout, and the
 // caller's end.
-func connPair(t *testing.T, idleTime time.Duration) (server, caller net.Conn) {
+func connPair(t *testing.T, idleTimeout time.Duration) (server, caller net.Conn) {
 	t.Helper()
-	return connPairWithIdleTime(t, func() time.Duration { return idleTime })
+	return connPairWithIdleTimeout(t, func() time.Duration { return idleTimeout })
 }
 
-// connPairWithIdleTime is connPair with an idle timeout that may change.
-func connPairWithIdleTime(t *testing.T, idleTime func() time.Duration) (server, caller net.Conn) {
+// connPairWithIdleTimeout is connPair with an idle timeout that may change.
+func connPairWithIdleTimeout(t *testing.T, idleTimeout func() time.Duration) (server, caller net.Conn) {
 	t.Helper()
 	opened, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -30,7 +30,7 @@
 	caller, err = net.Dial("tcp", opened.Addr().String())
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = caller.Close() })
-	listener := &Listener{Listener: opened, Time: idleTime}
+	listener := &Listener{Listener: opened, IdleTimeout: idleTimeout}
 	server, err = listener.Accept()
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = server.Close() })
@@ -40,7 +40,7 @@
 // The process stalls: it is frozen or has used up its CPU share. A request arrives on an idle
 // connection in time, and the idle timeout passes before the process reads it. The request
 // must be served; if the connection were closed, the caller would get no answer.
-func TestRequestReceivedInTimeIsReadAfterTheIdleTime(t *testing.T) {
+func TestRequestReceivedInTimeIsReadAfterTheIdleTimeout(t *testing.T) {
 	server, caller := connPair(t, 20*time.Millisecond)
 	assert.NilError(t, server.SetReadDeadline(time.Now().Add(DynamicTimeout)))
 	_, err := caller.Write([]byte("GET"))
@@ -63,12 +63,12 @@
 
 // If a connection were closed by the previous, shorter idle timeout, it could be closed just
 // as a caller that relies on the new one sends a request.
-func TestLongerIdleTimeAppliesToUnusedConnections(t *testing.T) {
-	var idleTime atomic.Int64
-	idleTime.Store(int64(50 * time.Millisecond))
-	server, caller := connPairWithIdleTime(t, func() time.Duration { return time.Duration(idleTime.Load()) })
+func TestLongerIdleTimeoutAppliesToUnusedConnections(t *testing.T) {
+	var idleTimeout atomic.Int64
+	idleTimeout.Store(int64(50 * time.Millisecond))
+	server, caller := connPairWithIdleTimeout(t, func() time.Duration { return time.Duration(idleTimeout.Load()) })
 	assert.NilError(t, server.SetReadDeadline(time.Now().Add(DynamicTimeout)))
-	idleTime.Store(int64(time.Hour))
+	idleTimeout.Store(int64(time.Hour))
 	time.AfterFunc(200*time.Millisecond, func() { _, _ = caller.Write([]byte("GET")) })
 	buffer := make([]byte, 16)
 	n, err := server.Read(buffer)
@@ -78,13 +78,13 @@
 
 // If the deadline were extended from its old end, the connection would be kept for the sum of
 // both idle timeouts.
-func TestLongerIdleTimeCountsFromTheLastAnswer(t *testing.T) {
-	var idleTime atomic.Int64
-	idleTime.Store(int64(100 * time.Millisecond))
-	server, _ := connPairWithIdleTime(t, func() time.Duration { return time.Duration(idleTime.Load()) })
+func TestLongerIdleTimeoutCountsFromTheLastAnswer(t *testing.T) {
+	var idleTimeout atomic.Int64
+	idleTimeout.Store(int64(100 * time.Millisecond))
+	server, _ := connPairWithIdleTimeout(t, func() time.Duration { return time.Duration(idleTimeout.Load()) })
 	begun := time.Now()
 	assert.NilError(t, server.SetReadDeadline(begun.Add(DynamicTimeout)))
-	idleTime.Store(int64(600 * time.Millisecond))
+	idleTimeout.Store(int64(600 * time.Millisecond))
 	_, err := server.Read(make([]byte, 16))
 	assert.Assert(t, errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
 	kept := time.Since(begun)
@@ -93,17 +93,17 @@
 
 // An answer may have announced the previous idle timeout to the caller, so the connection must
 // not be closed before that.
-func TestShorterIdleTimeAppliesAfterTheNextRequest(t *testing.T) {
-	var idleTime atomic.Int64
-	idleTime.Store(int64(400 * time.Millisecond))
-	server, caller := connPairWithIdleTime(t, func() time.Duration { return time.Duration(idleTime.Load()) })
+func TestShorterIdleTimeoutAppliesAfterTheNextRequest(t *testing.T) {
+	var idleTimeout atomic.Int64
+	idleTimeout.Store(int64(400 * time.Millisecond))
+	server, caller := connPairWithIdleTimeout(t, func() time.Duration { return time.Duration(idleTimeout.Load()) })
 	assert.NilError(t, server.SetReadDeadline(time.Now().Add(time.Hour))) // waiting for the first request
 	_, err := caller.Write([]byte("GET"))
 	assert.NilError(t, err)
 	buffer := make([]byte, 16)
 	_, err = server.Read(buffer)
 	assert.NilError(t, err)
-	idleTime.Store(int64(20 * time.Millisecond)) // while the request is answered
+	idleTimeout.Store(int64(20 * time.Millisecond)) // while the request is answered
 	begun := time.Now()
 	assert.NilError(t, server.SetReadDeadline(begun.Add(DynamicTimeout)))
 	_, err = server.Read(buffer)
@@ -114,16 +114,16 @@
 // A connection whose idle wait was extended must not outlast the drain, or its next request
 // would be cut when the process ends.
 func TestDrainEndsExtendedIdleWait(t *testing.T) {
-	var idleTime atomic.Int64
-	idleTime.Store(int64(20 * time.Millisecond))
-	server, caller := connPairWithIdleTime(t, func() time.Duration { return time.Duration(idleTime.Load()) })
+	var idleTimeout atomic.Int64
+	idleTimeout.Store(int64(20 * time.Millisecond))
+	server, caller := connPairWithIdleTimeout(t, func() time.Duration { return time.Duration(idleTimeout.Load()) })
 	_, err := caller.Write([]byte("GET"))
 	assert.NilError(t, err)
 	buffer := make([]byte, 16)
 	_, err = server.Read(buffer)
 	assert.NilError(t, err)
 	assert.NilError(t, server.SetReadDeadline(time.Now().Add(DynamicTimeout)))
-	idleTime.Store(int64(time.Hour))
+	idleTimeout.Store(int64(time.Hour))
 	read := make(chan error, 1)
 	go func() {
 		_, err := server.Read(buffer)
@@ -201,7 +201,7 @@
 func TestDrainClosesThePortAtOnce(t *testing.T) {
 	opened, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	listener := &Listener{Listener: opened, Time: func() time.Duration { return time.Hour }}
+	listener := &Listener{Listener: opened, IdleTimeout: func() time.Duration { return time.Hour }}
 	kept, err := net.Dial("tcp", opened.Addr().String())
 	assert.NilError(t, err)
 	defer func() { _ = kept.Close() }()
--- a/internal/member/links.go
+++ b/internal/member/links.go
@@ -7,18 +7,19 @@
 
 // LinkCounts configures how many links a process opens. The others open about as many to it.
 type LinkCounts struct {
-	// All is the largest number of other members at which a process links to every one of
-	// them.
-	All int
-	// Ring is the number of links that a process opens within its zone.
-	Ring int
-	// Across limits the links to one process from each neighbouring zone or region.
-	Across int
+	// FullMeshSize is the largest number of other members at which a process links to every
+	// one of them.
+	FullMeshSize int
+	// InZone is the number of links that a process of a larger system opens within its zone.
+	InZone int
+	// MaxFromNeighbor limits the links that the processes of one zone or region open to the
+	// same process of a neighbouring one.
+	MaxFromNeighbor int
 }
 
 // DefaultLinkCounts results in about 4 links per process within the zone, 2 to 4 to other
 // zones of the region and up to 2 to other regions.
-var DefaultLinkCounts = LinkCounts{All: 8, Ring: 2, Across: 2}
+var DefaultLinkCounts = LinkCounts{FullMeshSize: 8, InZone: 2, MaxFromNeighbor: 2}
 
 // Links lists the members to which this process should open links. others are the other
 // members that aren't dead.
@@ -27,18 +28,18 @@
 // zone is a ring ordered by hash, each zone has a link to the next zone of its region in the
 // order of names, and each region has a link to the next region.
 func Links(self Record, others []Record, counts LinkCounts) []Record {
-	if len(others) <= counts.All {
+	if len(others) <= counts.FullMeshSize {
 		return others
 	}
 	groups := groupMembers(append(slices.Clone(others), self))
 	var chosen []Record
 	zone := groups.zones[self.ZoneKey()]
-	chosen = append(chosen, ringLinks(zone, self, counts.Ring)...)
+	chosen = append(chosen, ringLinks(zone, self, counts.InZone)...)
 	for _, next := range groups.nextZones(self) {
-		chosen = append(chosen, crossLink(zone, groups.zones[next], self, counts.Across)...)
+		chosen = append(chosen, crossLink(zone, groups.zones[next], self, counts.MaxFromNeighbor)...)
 	}
 	if next := nextName(groups.regionNames, self.Region); next != self.Region {
-		chosen = append(chosen, crossLink(groups.regions[self.Region], groups.regions[next], self, counts.Across)...)
+		chosen = append(chosen, crossLink(groups.regions[self.Region], groups.regions[next], self, counts.MaxFromNeighbor)...)
 	}
 	return deduplicate(chosen)
 }
--- a/internal/member/links_test.go
+++ b/internal/member/links_test.go
@@ -71,7 +71,7 @@
 			r.Zone = fmt.Sprint("z", rapid.IntRange(0, 4).Draw(t, "zone"))
 			all = append(all, r)
 		}
-		counts := LinkCounts{All: rapid.IntRange(0, 8).Draw(t, "all"), Ring: rapid.IntRange(1, 3).Draw(t, "ring"), Across: rapid.IntRange(1, 2).Draw(t, "across")}
+		counts := LinkCounts{FullMeshSize: rapid.IntRange(0, 8).Draw(t, "full mesh size"), InZone: rapid.IntRange(1, 3).Draw(t, "in zone"), MaxFromNeighbor: rapid.IntRange(1, 2).Draw(t, "max from neighbor")}
 		assert.Assert(t, maxHops(all, linkGraph(all, counts)) >= 0, "not connected")
 	})
 }
@@ -116,7 +116,7 @@
 	self := record("self", 1)
 	self.Region, self.Zone = "a", "b/c"
 	var others []Record
-	for i := range DefaultLinkCounts.All + 1 {
+	for i := range DefaultLinkCounts.FullMeshSize + 1 {
 		other := record(fmt.Sprintf("other-%d", i), 1)
 		other.Region, other.Zone = "a/b", "c"
 		others = append(others, other)
--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -26,13 +26,13 @@
 	// all others are dead. It is the start time in Unix microseconds, raised by the process
 	// when it hears of a higher one at its own address.
 	Start uint64 `json:"s"`
-	// PeerAddr is the address for other processes, CallerAddr the one for callers.
-	PeerAddr   string `json:"p"`
-	CallerAddr string `json:"c,omitempty"`
-	Zone       string `json:"z"`
-	Region     string `json:"r"`
-	// CPUShare is the VM's share of one core in percent, 0 if unknown.
-	CPUShare int `json:"w,omitempty"`
+	// PeerAddress is the address for other processes, CallerAddress the one for callers.
+	PeerAddress   string `json:"p"`
+	CallerAddress string `json:"c,omitempty"`
+	Zone          string `json:"z"`
+	Region        string `json:"r"`
+	// CPUPercent is the VM's share of one core in percent, 0 if unknown.
+	CPUPercent int `json:"w,omitempty"`
 	// Seq is incremented each time the process refutes a claim about itself.
 	Seq   uint64 `json:"q,omitempty"`
 	State State  `json:"t,omitempty"`
--- a/internal/member/table.go
+++ b/internal/member/table.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Limits are the timeouts of a Table.
-type Limits struct {
-	// SuspectFor is how long a suspected process has to refute the suspicion.
-	SuspectFor time.Duration
-	// LeavingFor is how long a process that announced its leave is kept.
-	LeavingFor time.Duration
-	// TombstoneFor is how long dead processes are remembered, so that a late claim that one is
+// Timeouts are the times after which Table.Expire changes the state of a record or removes it.
+type Timeouts struct {
+	// Suspect is how long a suspected process has to refute the suspicion.
+	Suspect time.Duration
+	// Leaving is how long a process that announced its leave counts as a member before it is
+	// declared dead.
+	Leaving time.Duration
+	// Tombstone is how long dead processes are remembered, so that a late claim that one is
 	// alive is recognized as old.
-	TombstoneFor time.Duration
+	Tombstone time.Duration
 }
 
 // Table is the view that one process has of all others. It isn't safe for concurrent use.
 type Table struct {
-	limits Limits
-	self   Record
-	rows   map[string]*row
-	byHash map[uint64]*row
+	timeouts Timeouts
+	self     Record
+	rows     map[string]*row
+	byHash   map[uint64]*row
 	// newest is the incarnation with the highest Start at each address.
 	newest map[string]*row
 	// digests is, for each zone, the XOR of the digest terms of its records.
@@ -40,8 +41,8 @@
 }
 
 // NewTable creates a table that contains only this process.
-func NewTable(self Record, limits Limits) *Table {
-	t := &Table{limits: limits, self: self}
+func NewTable(self Record, timeouts Timeouts) *Table {
+	t := &Table{timeouts: timeouts, self: self}
 	t.clear()
 	return t
 }
@@ -60,8 +61,8 @@
 // Self returns the record of this process.
 func (t *Table) Self() Record { return t.self }
 
-// Leave marks this process as leaving and returns the record to announce.
-func (t *Table) Leave() Record {
+// MarkLeaving marks this process as leaving and returns the record to announce.
+func (t *Table) MarkLeaving() Record {
 	t.setSelf(func(r *Record) {
 		r.Seq++
 		r.State = Leaving
@@ -89,10 +90,10 @@
 	if claim.ID == t.self.ID {
 		return t.refute(claim)
 	}
-	if claim.PeerAddr == t.self.PeerAddr && claim.State != Dead {
+	if claim.PeerAddress == t.self.PeerAddress && claim.State != Dead {
 		return t.rejectAtOwnAddress(claim, now)
 	}
-	if newest := t.newest[claim.PeerAddr]; newest != nil && newest.ID != claim.ID && isLaterRun(newest.Record, claim) {
+	if newest := t.newest[claim.PeerAddress]; newest != nil && newest.ID != claim.ID && isLaterRun(newest.Record, claim) {
 		// This is an older run at an address where a newer one was seen; whoever claims that
 		// it is alive hasn't heard of the replacement. Accepting the claim would send calls
 		// for the new process to an incarnation that is gone.
@@ -116,11 +117,11 @@
 // setNewest makes a row the newest at its address if its run is the latest there, and declares
 // the previous one dead.
 func (t *Table) setNewest(known *row, now time.Time) []Record {
-	old := t.newest[known.PeerAddr]
+	old := t.newest[known.PeerAddress]
 	if old == known || old != nil && !isLaterRun(known.Record, old.Record) {
 		return nil
 	}
-	t.newest[known.PeerAddr] = known
+	t.newest[known.PeerAddress] = known
 	if old == nil || old.State == Dead {
 		return nil
 	}
@@ -189,7 +190,7 @@
 	t.change(known, now, func(r *Record) {
 		r.Seq = claim.Seq
 		r.State = claim.State
-		r.CallerAddr = claim.CallerAddr
+		r.CallerAddress = claim.CallerAddress
 	})
 	return []Record{known.Record}
 }
@@ -203,15 +204,15 @@
 	case Alive:
 		return false
 	case Suspect:
-		return now.Sub(known.since) >= t.limits.SuspectFor/2
+		return now.Sub(known.since) >= t.timeouts.Suspect/2
 	default:
 		return true
 	}
 }
 
-// Suspect marks a member that this process could not reach in any way as suspect. It returns
-// the record to pass on, if it changed.
-func (t *Table) Suspect(id string, now time.Time) []Record {
+// MarkSuspect marks a member that this process could not reach in any way as suspect. It
+// returns the record to pass on, if it changed.
+func (t *Table) MarkSuspect(id string, now time.Time) []Record {
 	known := t.rows[id]
 	if known == nil || known.State != Alive {
 		return nil
@@ -227,11 +228,11 @@
 	for id, known := range t.rows {
 		age := now.Sub(known.since)
 		switch {
-		case known.State == Suspect && age >= t.limits.SuspectFor,
-			known.State == Leaving && age >= t.limits.LeavingFor:
+		case known.State == Suspect && age >= t.timeouts.Suspect,
+			known.State == Leaving && age >= t.timeouts.Leaving:
 			t.change(known, now, func(r *Record) { r.State = Dead })
 			changed = append(changed, known.Record)
-		case known.State == Dead && age >= t.limits.TombstoneFor:
+		case known.State == Dead && age >= t.timeouts.Tombstone:
 			t.remove(id)
 		}
 	}
@@ -244,7 +245,7 @@
 	var addresses []string
 	for _, known := range t.rows {
 		if known.State != Dead {
-			addresses = append(addresses, known.PeerAddr)
+			addresses = append(addresses, known.PeerAddress)
 		}
 	}
 	t.clear()
@@ -342,7 +343,7 @@
 	t.digests[gone.ZoneKey()] ^= digestTerm(gone.Record)
 	delete(t.rows, id)
 	delete(t.byHash, gone.hash)
-	if t.newest[gone.PeerAddr] == gone {
-		delete(t.newest, gone.PeerAddr)
+	if t.newest[gone.PeerAddress] == gone {
+		delete(t.newest, gone.PeerAddress)
 	}
 }
--- a/internal/member/table_test.go
+++ b/internal/member/table_test.go
@@ -10,13 +10,13 @@
 )
 
 var (
-	testLimits = Limits{SuspectFor: 10 * time.Second, LeavingFor: 20 * time.Second, TombstoneFor: time.Minute}
-	start      = time.Unix(1_000_000, 0)
-	self       = record("self", 100)
+	testTimeouts = Timeouts{Suspect: 10 * time.Second, Leaving: 20 * time.Second, Tombstone: time.Minute}
+	start        = time.Unix(1_000_000, 0)
+	self         = record("self", 100)
 )
 
 func record(id string, started uint64) Record {
-	return Record{ID: id, Start: started, PeerAddr: "addr-" + id, Zone: "a", Region: "r1"}
+	return Record{ID: id, Start: started, PeerAddress: "addr-" + id, Zone: "a", Region: "r1"}
 }
 
 func withState(r Record, state State, seq uint64) Record {
@@ -26,7 +26,7 @@
 }
 
 func withAddress(r Record, address string) Record {
-	r.PeerAddr = address
+	r.PeerAddress = address
 	return r
 }
 
@@ -56,7 +56,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			table := NewTable(self, testLimits)
+			table := NewTable(self, testTimeouts)
 			for _, step := range c.claims {
 				table.Apply(step.claim, start.Add(step.after))
 			}
@@ -68,12 +68,12 @@
 }
 
 func TestExpire(t *testing.T) {
-	table := NewTable(self, testLimits)
+	table := NewTable(self, testTimeouts)
 	table.Apply(record("suspect", 1), start)
 	table.Apply(withState(record("leaving", 1), Leaving, 1), start)
-	changed := table.Suspect("suspect", start)
+	changed := table.MarkSuspect("suspect", start)
 	assert.Equal(t, changed[0].State, Suspect)
-	assert.Equal(t, len(table.Suspect("suspect", start)), 0)
+	assert.Equal(t, len(table.MarkSuspect("suspect", start)), 0)
 	steps := []struct {
 		after            time.Duration
 		suspect, leaving State
@@ -98,7 +98,7 @@
 	old, fresh := record("old", 1), withAddress(record("fresh", 2), "addr-old")
 	for name, order := range map[string][]Record{"old first": {old, fresh}, "fresh first": {fresh, old}} {
 		t.Run(name, func(t *testing.T) {
-			table := NewTable(self, testLimits)
+			table := NewTable(self, testTimeouts)
 			for _, claim := range order {
 				table.Apply(claim, start)
 			}
@@ -112,14 +112,14 @@
 }
 
 func TestSelfRaisesStartAboveOtherAtOwnAddress(t *testing.T) {
-	table := NewTable(self, testLimits)
-	changed := table.Apply(withAddress(record("old", 500), self.PeerAddr), start)
+	table := NewTable(self, testTimeouts)
+	changed := table.Apply(withAddress(record("old", 500), self.PeerAddress), start)
 	assert.Equal(t, changed[len(changed)-1].ID, "self")
 	assert.Equal(t, table.Self().Start, uint64(501))
 	assert.Equal(t, len(table.LiveMembers()), 0)
-	other := NewTable(record("other", 1), testLimits)
+	other := NewTable(record("other", 1), testTimeouts)
 	other.Apply(self, start)
-	other.Apply(withAddress(record("old", 500), self.PeerAddr), start)
+	other.Apply(withAddress(record("old", 500), self.PeerAddress), start)
 	other.Apply(table.Self(), start)
 	assert.Equal(t, other.LiveMembers()[0].ID, "self")
 }
@@ -128,8 +128,8 @@
 // it so that others accept that it is alive.
 func TestLiveProcessCanAlwaysRefute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x := NewTable(record("x", 5), testLimits)
-		other := NewTable(self, testLimits)
+		x := NewTable(record("x", 5), testTimeouts)
+		other := NewTable(self, testTimeouts)
 		other.Apply(x.Self(), start)
 		now := start
 		for range rapid.IntRange(0, 20).Draw(t, "steps") {
@@ -153,7 +153,7 @@
 // stamps agree, except on suspicion, after a few comparisons.
 func TestComparedViewsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := NewTable(record("a", 1), testLimits), NewTable(record("b", 1), testLimits)
+		a, b := NewTable(record("a", 1), testTimeouts), NewTable(record("b", 1), testTimeouts)
 		for range rapid.IntRange(0, 40).Draw(t, "claims") {
 			claim := record(fmt.Sprint("m", rapid.IntRange(0, 9).Draw(t, "id")), 1)
 			// The zone of an incarnation doesn't change.
@@ -181,10 +181,10 @@
 }
 
 func TestResetReturnsAddressesOnly(t *testing.T) {
-	table := NewTable(self, testLimits)
+	table := NewTable(self, testTimeouts)
 	table.Apply(record("x", 1), start)
 	table.Apply(withState(record("y", 1), Dead, 0), start)
 	assert.DeepEqual(t, table.Reset(), []string{"addr-x"})
 	assert.Equal(t, len(table.LiveMembers()), 0)
-	assert.DeepEqual(t, table.Digest(), NewTable(self, testLimits).Digest())
+	assert.DeepEqual(t, table.Digest(), NewTable(self, testTimeouts).Digest())
 }
--- a/internal/peer/failure_test.go
+++ b/internal/peer/failure_test.go
@@ -324,12 +324,12 @@
 
 // A process is frozen in the middle of a handshake with a peer that dies meanwhile.
 func TestHandshakeFromBeforeAFreezeIsDiscarded(t *testing.T) {
-	dead := member.Record{ID: "dead", Start: 1, PeerAddr: "127.0.0.1:1", Zone: "a", Region: "r1"}
+	dead := member.Record{ID: "dead", Start: 1, PeerAddress: "127.0.0.1:1", Zone: "a", Region: "r1"}
 	keys := keyBytes([]string{testKey})
 	asDialer := func(n *Node, ours, theirs net.Conn) {
 		n.opts.Dial = func(context.Context, string) (net.Conn, error) { return ours, nil }
 		n.tasks.Go(func() { _, _ = acceptHandshake(theirs, keys, dead) })
-		_, _ = n.dial(n.ctx, dead.PeerAddr)
+		_, _ = n.dial(n.ctx, dead.PeerAddress)
 	}
 	asAccepter := func(n *Node, ours, theirs net.Conn) {
 		n.tasks.Go(func() { _, _ = dialHandshake(theirs, keys, dead) })
@@ -365,8 +365,8 @@
 // Messages received before a freeze are read after it, also from a link that has been
 // replaced. They must be ignored.
 func TestMessagesFromBeforeAFreezeAreIgnored(t *testing.T) {
-	peer := member.Record{ID: "peer", Start: 1, PeerAddr: "127.0.0.1:1", Zone: "a", Region: "r1"}
-	dead := member.Record{ID: "dead", Start: 1, PeerAddr: "127.0.0.1:2", Zone: "a", Region: "r1"}
+	peer := member.Record{ID: "peer", Start: 1, PeerAddress: "127.0.0.1:1", Zone: "a", Region: "r1"}
+	dead := member.Record{ID: "dead", Start: 1, PeerAddress: "127.0.0.1:2", Zone: "a", Region: "r1"}
 	n := startIdleNode(t)
 	open := func() *link {
 		ours, theirs := net.Pipe()
--- a/internal/peer/joins.go
+++ b/internal/peer/joins.go
@@ -38,7 +38,7 @@
 	}
 	self := n.table.Self().ID
 	return slices.DeleteFunc(changed, func(r member.Record) bool {
-		if r.State == member.Dead && n.table.HasMemberAt(r.PeerAddr) {
+		if r.State == member.Dead && n.table.HasMemberAt(r.PeerAddress) {
 			n.logDeath(r)
 			return true
 		}
--- a/internal/peer/joins_test.go
+++ b/internal/peer/joins_test.go
@@ -21,13 +21,13 @@
 	defer n.mu.Unlock()
 	announced := 0
 	for i := range 2000 {
-		joined := member.Record{ID: fmt.Sprint("m", i), Start: 1, PeerAddr: fmt.Sprint("10.0.0.1:", i), Zone: "a", Region: "r"}
+		joined := member.Record{ID: fmt.Sprint("m", i), Start: 1, PeerAddress: fmt.Sprint("10.0.0.1:", i), Zone: "a", Region: "r"}
 		announced += len(n.limitJoins(n.applyClaims([]member.Record{joined}, now), isJoin, now))
 	}
 	assert.Equal(t, announced, maxJoinsAnnounced)
 	assert.Equal(t, n.table.MemberCount(), 2000)
 	assert.Assert(t, n.compareScheduled, "a comparison must be scheduled for the members that weren't announced")
-	suspect := member.Record{ID: "m7", Start: 1, PeerAddr: "10.0.0.1:7", Zone: "a", Region: "r", State: member.Suspect}
+	suspect := member.Record{ID: "m7", Start: 1, PeerAddress: "10.0.0.1:7", Zone: "a", Region: "r", State: member.Suspect}
 	assert.Equal(t, len(n.limitJoins(n.applyClaims([]member.Record{suspect}, now), isJoin, now)), 1, "a suspicion is always announced")
 }
 
--- a/internal/peer/loop.go
+++ b/internal/peer/loop.go
@@ -160,7 +160,7 @@
 // holds mu.
 func (n *Node) planLinks(now time.Time) {
 	count := n.table.MemberCount()
-	gradual := count > n.opts.LinkBounds.All && count < 2*n.linkPlan.members && n.linkPlan.members < 2*count
+	gradual := count > n.opts.LinkCounts.FullMeshSize && count < 2*n.linkPlan.members && n.linkPlan.members < 2*count
 	switch {
 	case n.table.MembershipVersion() == n.linkPlan.population:
 		return
@@ -168,7 +168,7 @@
 		return
 	}
 	n.linkPlan = linkPlan{
-		links:      member.Links(n.table.Self(), n.table.LiveMembers(), n.opts.LinkBounds),
+		links:      member.Links(n.table.Self(), n.table.LiveMembers(), n.opts.LinkCounts),
 		population: n.table.MembershipVersion(), members: count, at: now,
 	}
 }
@@ -182,14 +182,14 @@
 			l.used = now
 			continue
 		}
-		addresses = n.appendDial(addresses, r.PeerAddr)
+		addresses = n.appendDial(addresses, r.PeerAddress)
 	}
 	tried := 0
 	for _, i := range rand.Perm(len(n.candidates)) {
 		if tried == seedsAtOnce {
 			break
 		}
-		if address := n.candidates[i]; address != n.table.Self().PeerAddr && !n.table.HasMemberAt(address) {
+		if address := n.candidates[i]; address != n.table.Self().PeerAddress && !n.table.HasMemberAt(address) {
 			addresses = n.appendDial(addresses, address)
 			tried++
 		}
@@ -422,7 +422,7 @@
 	if n.closed || !n.notFrozen(now) {
 		return
 	}
-	n.broadcast(n.table.Suspect(id, now), nil)
+	n.broadcast(n.table.MarkSuspect(id, now), nil)
 }
 
 func (n *Node) probeTarget(id string) (member.Record, []*link, bool) {
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -98,7 +98,7 @@
 		pacing:     map[itemID]*pacedItem{},
 		phase:      rand.Uint64N(randomProbePeriods * seedPeriods),
 	}
-	n.table = member.NewTable(n.selfRecord(), opts.limits())
+	n.table = member.NewTable(n.selfRecord(), opts.memberTimeouts())
 	return n, nil
 }
 
@@ -116,13 +116,13 @@
 func (n *Node) selfRecord() member.Record {
 	self := n.opts.Self
 	return member.Record{
-		ID:         string(self.Incarnation),
-		Start:      uint64(time.Now().UnixMicro()),
-		PeerAddr:   self.PeerAddress,
-		CallerAddr: self.CallerAddress,
-		Zone:       self.Zone,
-		Region:     self.Region,
-		CPUShare:   self.CPUPercent,
+		ID:            string(self.Incarnation),
+		Start:         uint64(time.Now().UnixMicro()),
+		PeerAddress:   self.PeerAddress,
+		CallerAddress: self.CallerAddress,
+		Zone:          self.Zone,
+		Region:        self.Region,
+		CPUPercent:    self.CPUPercent,
 	}
 }
 
@@ -138,7 +138,7 @@
 	if n.opts.Self.PeerAddress == "" {
 		n.opts.Self.PeerAddress = listener.Addr().String()
 	}
-	n.table = member.NewTable(n.selfRecord(), n.opts.limits())
+	n.table = member.NewTable(n.selfRecord(), n.opts.memberTimeouts())
 	n.view = nil
 	n.detector = newFreezeDetector(instantOf(time.Now()), max(freezePeriods*n.opts.Period, minFreezeTime))
 	n.mu.Unlock()
@@ -158,14 +158,14 @@
 func (n *Node) AnnounceLeave() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.broadcast([]member.Record{n.table.Leave()}, nil)
+	n.broadcast([]member.Record{n.table.MarkLeaving()}, nil)
 }
 
 // Leave announces that this process is leaving, waits until its peers have received that
 // or the context ends, and closes the node.
 func (n *Node) Leave(ctx context.Context) {
 	n.mu.Lock()
-	n.broadcast([]member.Record{n.table.Leave()}, nil)
+	n.broadcast([]member.Record{n.table.MarkLeaving()}, nil)
 	links := n.allLinks()
 	n.mu.Unlock()
 	for _, l := range links {
@@ -259,12 +259,12 @@
 func toMember(r member.Record) Member {
 	return Member{
 		Incarnation:   Incarnation(r.ID),
-		PeerAddress:   r.PeerAddr,
-		CallerAddress: r.CallerAddr,
+		PeerAddress:   r.PeerAddress,
+		CallerAddress: r.CallerAddress,
 		Zone:          r.Zone,
 		Region:        r.Region,
 		State:         memberStates[r.State],
-		CPUPercent:    r.CPUShare,
+		CPUPercent:    r.CPUPercent,
 	}
 }
 
@@ -275,7 +275,7 @@
 	member.Dead:    Dead,
 }
 
-func memberField(r member.Record) zap.Field { return zap.String("member", r.ID+"@"+r.PeerAddr) }
+func memberField(r member.Record) zap.Field { return zap.String("member", r.ID+"@"+r.PeerAddress) }
 
 // Handle implements Network.
 func (n *Node) Handle(method string, fn func(ctx context.Context, params json.RawMessage) (any, error)) {
@@ -562,7 +562,7 @@
 	case !found || held.State == member.Dead:
 		return nil, ErrUnknownMember
 	}
-	l, err := n.dial(ctx, held.PeerAddr)
+	l, err := n.dial(ctx, held.PeerAddress)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -42,8 +42,8 @@
 	Period time.Duration
 	// TombstoneTTL is how long dead members are remembered; 0 for 900 periods.
 	TombstoneTTL time.Duration
-	// LinkBounds limit the number of links; the zero value is member.DefaultLinkCounts.
-	LinkBounds member.LinkCounts
+	// LinkCounts configures the number of links; the zero value means member.DefaultLinkCounts.
+	LinkCounts member.LinkCounts
 	// PacedBytesPerSecond is the rate in bytes per second at which a process may receive the paced
 	// topics of all processes together; 0 for DefaultPace. See pacing.go.
 	PacedBytesPerSecond float64
@@ -68,8 +68,8 @@
 	if o.TombstoneTTL <= 0 {
 		o.TombstoneTTL = tombstonePeriods * o.Period
 	}
-	if o.LinkBounds == (member.LinkCounts{}) {
-		o.LinkBounds = member.DefaultLinkCounts
+	if o.LinkCounts == (member.LinkCounts{}) {
+		o.LinkCounts = member.DefaultLinkCounts
 	}
 	if o.PacedBytesPerSecond <= 0 {
 		o.PacedBytesPerSecond = DefaultPacedBytesPerSecond
@@ -98,12 +98,12 @@
 	return nil
 }
 
-// limits derives the timeouts of the membership table from the period.
-func (o Options) limits() member.Limits {
-	return member.Limits{
-		SuspectFor:   suspectPeriods * o.Period,
-		LeavingFor:   leavingPeriods * o.Period,
-		TombstoneFor: o.TombstoneTTL,
+// memberTimeouts derives the timeouts of the membership table from the period.
+func (o Options) memberTimeouts() member.Timeouts {
+	return member.Timeouts{
+		Suspect:   suspectPeriods * o.Period,
+		Leaving:   leavingPeriods * o.Period,
+		Tombstone: o.TombstoneTTL,
 	}
 }
 
--- a/internal/serve/crash_detector.go
+++ b/internal/serve/crash_detector.go
@@ -174,7 +174,7 @@
 }
 
 func (s *crashDetector) recordCrash(f suspect.Fingerprint, address string) {
-	evidence := s.table.Crashed(f, address, time.Now())
+	evidence := s.table.RecordCrash(f, address, time.Now())
 	s.log.Warn("Target died under a request.", zap.String("address", address), zap.String("fingerprint", string(f)),
 		zap.Int("crashes", len(evidence.Crashes)))
 	s.mu.Lock()
--- a/internal/serve/follow/follow_test.go
+++ b/internal/serve/follow/follow_test.go
@@ -388,7 +388,7 @@
 			store.mu.Unlock()
 			time.Sleep(100 * time.Millisecond)
 			for _, p := range all {
-				u := all[0].updatesSince(updatesRequest{Version: 1, Revision: p.table.LastChangeRevision()})
+				u := all[0].updatesSince(updatesRequest{Version: 1, NewestKnown: p.table.LastChangeRevision()})
 				assert.Assert(t, u.Plan == nil && !u.NeedsList && u.Revision == 0, "%+v", u)
 			}
 		}
--- a/internal/serve/follow/peers.go
+++ b/internal/serve/follow/peers.go
@@ -243,7 +243,7 @@
 func (f *Follower) newUpdatesRequest() updatesRequest {
 	_, evacuations, _ := f.table.Evacuations()
 	request := updatesRequest{
-		Version: f.plans.Version(), Revision: f.table.LastChangeRevision(), Evacuations: evacuations, Changes: true, Packed: true,
+		Version: f.plans.Version(), NewestKnown: f.table.LastChangeRevision(), EvacuationsRevision: evacuations, AcceptsChanges: true, AcceptsPacked: true,
 	}
 	if !f.table.Loaded() {
 		request.NoList = true
--- a/internal/serve/follow/updates.go
+++ b/internal/serve/follow/updates.go
@@ -15,23 +15,24 @@
 // updatesRequest asks a peer for state newer than the caller's.
 type updatesRequest struct {
 	Version uint64 `json:"version"`
-	// Revision is the revision of the newest change of the target list that the caller has.
+	// NewestKnown is the revision of the newest change of the target list that the caller has.
 	// SyncedTo is the one up to which it has all changes; 0 if it has no list.
-	Revision uint64 `json:"revision"`
-	SyncedTo uint64 `json:"up_to,omitempty"`
-	// Evacuations is the revision of the last change of any evacuation that the caller has.
-	Evacuations uint64 `json:"evacuations,omitempty"`
-	// Changes means that the caller understands changes of the list. Packed means that it
-	// understands packed changes, a packed configuration and the list in parts. Processes
-	// of earlier versions set neither.
-	Changes bool `json:"changes,omitempty"`
-	Packed  bool `json:"packed,omitempty"`
+	NewestKnown uint64 `json:"revision"`
+	SyncedTo    uint64 `json:"up_to,omitempty"`
+	// EvacuationsRevision is the revision of the last change of any evacuation that the caller
+	// has.
+	EvacuationsRevision uint64 `json:"evacuations,omitempty"`
+	// AcceptsChanges means that the caller understands changes of the list. AcceptsPacked
+	// means that it understands packed changes, a packed configuration and the list in parts.
+	// Processes of earlier versions set neither.
+	AcceptsChanges bool `json:"changes,omitempty"`
+	AcceptsPacked  bool `json:"packed,omitempty"`
 	// NoList means that the caller has no target list, not even an empty one.
 	NoList bool `json:"no_list,omitempty"`
 }
 
 // since returns the revision after which the caller lacks changes of the list.
-func (r updatesRequest) since() uint64 { return max(r.Revision, r.SyncedTo) }
+func (r updatesRequest) since() uint64 { return max(r.NewestKnown, r.SyncedTo) }
 
 // updates is the answer to an updatesRequest. Fields are empty where the caller is up to
 // date.
@@ -117,7 +118,7 @@
 	if p == nil || p.Version <= request.Version {
 		return
 	}
-	if !request.Packed {
+	if !request.AcceptsPacked {
 		u.Plan = p
 		return
 	}
@@ -128,7 +129,7 @@
 func (f *Follower) addEvacuations(u *updates, request updatesRequest) {
 	list, newest, upTo := f.table.Evacuations()
 	u.EvacuationsUpTo = upTo
-	if newest > request.Evacuations {
+	if newest > request.EvacuationsRevision {
 		u.EvacuationsRevision, u.Evacuations = newest, list
 	}
 }
@@ -148,10 +149,10 @@
 	}
 	changes, asOf, known := f.table.ChangesSince(since, now)
 	switch {
-	case !known || !request.Changes || len(changes) > maxChanges:
+	case !known || !request.AcceptsChanges || len(changes) > maxChanges:
 		u.NeedsList, u.TooManyChanges, u.TargetsUpTo = true, known, 0
 	case len(changes) == 0:
-	case request.Packed && len(changes) > maxUnpackedChanges:
+	case request.AcceptsPacked && len(changes) > maxUnpackedChanges:
 		u.Revision = asOf
 		u.PackedChanges = f.packedUpdates.changes(since, asOf, now, func() []byte { return f.pack(changes) })
 	default:
--- a/internal/serve/run/attempt.go
+++ b/internal/serve/run/attempt.go
@@ -30,10 +30,10 @@
 }
 
 const (
-	// maxConnIdle is how long a kept connection may have been idle to be used for a request
+	// maxConnIdleTime is how long a kept connection may have been idle to be used for a request
 	// that must not run twice. The target may be closing a connection that has been idle
 	// for longer, and it would then be unknown whether the request ran.
-	maxConnIdle = 500 * time.Millisecond
+	maxConnIdleTime = 500 * time.Millisecond
 	// maxBuffered is the size up to which an answer is buffered completely, so that another
 	// target can be asked if it breaks off. Larger answers are streamed to the caller.
 	maxBuffered = 256 << 10
@@ -118,13 +118,13 @@
 	r := &upstream.Request{
 		Address: target.Address, Method: j.req.Method, URI: j.req.URI, Host: j.req.Host,
 		Header: j.Codec.RequestHeader(j.req, info), Body: j.req.Body,
-		IsOurs: func(h *fasthttp.ResponseHeader) bool {
+		MatchesRequest: func(h *fasthttp.ResponseHeader) bool {
 			id := j.Codec.ReadAnswer(h).ID
 			return id == "" || id == j.req.ID
 		},
 	}
 	if !j.route.Repeatable() {
-		r.MaxAge = maxConnIdle
+		r.MaxIdleTime = maxConnIdleTime
 	}
 	j.limitIdleConns(r)
 	return r
@@ -140,8 +140,8 @@
 	if service == nil || service.MaxConnections <= 0 || j.LeaveOut.Has(leaveout.FewKept) {
 		return
 	}
-	r.MaxKept = service.MaxConnections / 2 / j.Budget.MemberCount()
-	r.KeepNone = r.MaxKept == 0
+	r.MaxIdleConns = service.MaxConnections / 2 / j.Budget.MemberCount()
+	r.CloseAfterAnswer = r.MaxIdleConns == 0
 }
 
 // recordNoAnswer records an attempt that got no answer.
@@ -172,7 +172,7 @@
 	answer.Close()
 	call.End(pool.Full, time.Now())
 	if status == fasthttp.StatusMisdirectedRequest {
-		j.Client.Drop(target.Address)
+		j.Client.CloseIdle(target.Address)
 	}
 	j.Log.Info("Target refused.", requestID(j.req.ID), zap.String("target", target.ID), zap.Int("status", status))
 	return &attempt{target: target, mayHaveArrived: true, inputsLost: status == fasthttp.StatusConflict && j.inputs != nil}
--- a/internal/serve/run/idle_conns_test.go
+++ b/internal/serve/run/idle_conns_test.go
@@ -17,14 +17,14 @@
 func TestIdleConnectionLimitIsDividedAmongProcesses(t *testing.T) {
 	for _, tc := range []struct {
 		accepted, processes int
-		most                int
-		none                bool
+		maxIdleConns        int
+		closeAfterAnswer    bool
 	}{
 		{accepted: 0, processes: 9},
-		{accepted: 52, processes: 9, most: 2},
-		{accepted: 120, processes: 59, most: 1},
-		{accepted: 120, processes: 82, none: true},
-		{accepted: 670, processes: 1, most: 335},
+		{accepted: 52, processes: 9, maxIdleConns: 2},
+		{accepted: 120, processes: 59, maxIdleConns: 1},
+		{accepted: 120, processes: 82, closeAfterAnswer: true},
+		{accepted: 670, processes: 1, maxIdleConns: 335},
 	} {
 		now := time.Now()
 		budget := quota.New(quota.Rule{}, now)
@@ -34,7 +34,7 @@
 		j := &job{Executor: &Executor{Plans: plans, Budget: budget}, service: "desk"}
 		var r upstream.Request
 		j.limitIdleConns(&r)
-		assert.Equal(t, r.MaxKept, tc.most, "%+v", tc)
-		assert.Equal(t, r.KeepNone, tc.none, "%+v", tc)
+		assert.Equal(t, r.MaxIdleConns, tc.maxIdleConns, "%+v", tc)
+		assert.Equal(t, r.CloseAfterAnswer, tc.closeAfterAnswer, "%+v", tc)
 	}
 }
--- a/internal/serve/run/simulation_test.go
+++ b/internal/serve/run/simulation_test.go
@@ -61,11 +61,11 @@
 	perZone    []int
 	perService map[string][]int
 	// missing is the number of targets that are not available, by service.
-	missing map[string]int
-	slow    map[string]float64
-	fail    func(gather.Item) bool
-	// stall is the delay before a call is written to the connection.
-	stall time.Duration
+	missing     map[string]int
+	slowFactors map[string]float64
+	fail        func(gather.Item) bool
+	// writeDelay is the delay before a call is written to the connection.
+	writeDelay time.Duration
 	// unconfigured is how many processes don't know any of the services yet.
 	unconfigured int
 	// length is the duration of the load; 0 means loadTime.
@@ -154,7 +154,7 @@
 func simulate(seed uint64, s site, p policy) simulated {
 	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	pools := &servetest.FakeTargets{Services: map[string]*plan.Batch{}, Slow: s.slow, Fail: s.fail, Stall: s.stall}
+	pools := &servetest.FakeTargets{Services: map[string]*plan.Batch{}, SlowFactors: s.slowFactors, Fail: s.fail, WriteDelay: s.writeDelay}
 	for _, service := range s.services {
 		pools.Services[service.Name] = service.Batch
 	}
@@ -427,7 +427,7 @@
 // and a half.
 func TestSlowStageTargetAffectsFewRequests(t *testing.T) {
 	load := reservoir()
-	load.slow = map[string]float64{"notify-1": 4}
+	load.slowFactors = map[string]float64{"notify-1": 4}
 	synctest.Test(t, func(t *testing.T) {
 		p := simulate(6, load, policy{})
 		report(t, "one slow target", p)
@@ -442,9 +442,9 @@
 func TestPoolOfSlowTargetsIsUsed(t *testing.T) {
 	load := reservoir()
 	load.length = 8 * time.Second
-	load.slow = map[string]float64{}
+	load.slowFactors = map[string]float64{}
 	for i := range 5 {
-		load.slow[fmt.Sprintf("ops-%d", i+1)] = 2.5
+		load.slowFactors[fmt.Sprintf("ops-%d", i+1)] = 2.5
 	}
 	for i := range load.kinds {
 		load.kinds[i].perSecond /= 3
@@ -524,13 +524,13 @@
 // request runs its stages again.
 func TestInputsAreKeptForSlowGatherer(t *testing.T) {
 	load := reservoir()
-	load.stall = 100 * time.Millisecond
+	load.writeDelay = 100 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		p := simulate(12, load, policy{})
 		report(t, "calls written late", p)
 		// Items of requests that were refused may still be processed and miss their inputs.
 		// Nobody waits for them.
-		for request, items := range p.pools.Gone {
+		for request, items := range p.pools.MissingInputs {
 			assert.Check(t, p.refused[request], "%s: the inputs of %d items were gone", request, items)
 		}
 	})
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -37,27 +37,31 @@
 	// Zone is the availability zone of this VM.
 	Zone string
 	// Peers configures the network between the entry processes.
-	Peers  peer.Options
+	Peers peer.Options
+	// Source is the store of the configuration and the targets.
 	Source follow.Source
-	Codec  run.Codec
-	// Stager creates the client that calls stage targets. It sends over the given HTTP client.
-	Stager func(*upstream.Client) gather.StageClient
-	// Budget limits the retries of all processes together.
-	Budget quota.Rule
-	// ChangeBound is the maximum time until a change in the store takes effect; 0 means
+	// Codec translates between requests and the wire format of the targets.
+	Codec run.Codec
+	// NewStageClient creates the client that calls stage targets, which sends over the given
+	// HTTP client.
+	NewStageClient func(*upstream.Client) gather.StageClient
+	// RetryBudget limits the retries of all processes together.
+	RetryBudget quota.Rule
+	// PropagationBound is the maximum time until a change in the store takes effect; 0 means
 	// follow.DefaultPropagationBound.
-	ChangeBound follow.PropagationBound
-	// Again is set if another process may have run in place of this one before.
-	Again bool
+	PropagationBound follow.PropagationBound
+	// AfterRestart means that the system has run before. Another process may then have used the
+	// address of this one and spent its part of the retry budget.
+	AfterRestart bool
 	// LeaveOut disables mechanisms, to measure their effect.
 	LeaveOut leaveout.Set
 }
 
 func (o Options) budget(now time.Time) *quota.Budget {
-	if o.Again {
-		return quota.NewAfterRestart(o.Budget, now)
+	if o.AfterRestart {
+		return quota.NewAfterRestart(o.RetryBudget, now)
 	}
-	return quota.New(o.Budget, now)
+	return quota.New(o.RetryBudget, now)
 }
 
 // Server is the serving core of one process.
@@ -97,14 +101,14 @@
 	}
 	s.baseCtx, s.cancel = context.WithCancel(context.Background())
 	s.table = pool.New(logging.WithComponent(o.Log, "targets"))
-	s.table.OnLeave(func(t *pool.Target) { s.client.Drop(t.Address) })
+	s.table.OnLeave(func(t *pool.Target) { s.client.CloseIdle(t.Address) })
 	s.follower = follow.New(logging.WithComponent(o.Log, "follow"), o.Source, s.plans, s.table)
 	s.follower.UsePeers(network)
 	if o.Peers.Seeds != nil {
 		s.follower.SetSeeds(func() []string { return s.seeds(o.Peers.Seeds) })
 	}
-	if o.ChangeBound > 0 {
-		s.follower.SetPropagationBound(o.ChangeBound)
+	if o.PropagationBound > 0 {
+		s.follower.SetPropagationBound(o.PropagationBound)
 	}
 	if o.LeaveOut.Has(leaveout.Watchers) {
 		s.follower.AlwaysWatchStore()
@@ -114,7 +118,7 @@
 	}
 	s.stages = gather.New(gather.Options{
 		Log: logging.WithComponent(o.Log, "stages"), Network: network, Table: s.table, LeaveOut: o.LeaveOut,
-		Gatherer: gather.NewGatherer(s.baseCtx, logging.WithComponent(o.Log, "gather"), s.table, s.plans, o.Stager(s.client)),
+		Gatherer: gather.NewGatherer(s.baseCtx, logging.WithComponent(o.Log, "gather"), s.table, s.plans, o.NewStageClient(s.client)),
 	})
 	s.executor = &run.Executor{
 		Log: logging.WithComponent(o.Log, "request"), Plans: s.plans, Table: s.table, Client: s.client, Codec: o.Codec,
@@ -228,7 +232,8 @@
 
 // EntryAddresses lists the addresses of the entry VMs that a caller in the given zone should
 // use: first those of its zone, in random order. VMs of other zones are left out as long as
-// the zone has its share of the VMs, because traffic between zones is charged.
+// the zone has at least half of an even share of the VMs, because traffic between zones is
+// charged.
 func (s *Server) EntryAddresses(zone string) []string {
 	var near, far []string
 	add := func(m peer.Member) {
@@ -277,8 +282,8 @@
 	s.network.AnnounceLeave()
 }
 
-// AcceptFor returns how long this process may go on accepting requests if it ends after the
-// given time.
+// AcceptFor returns how long this process may go on accepting requests and still finish all of
+// them if it exits after the given time.
 func (s *Server) AcceptFor(timeLeft time.Duration) time.Duration {
 	return s.executor.AcceptFor(timeLeft)
 }
--- a/internal/serve/servetest/fake_targets.go
+++ b/internal/serve/servetest/fake_targets.go
@@ -16,11 +16,12 @@
 // depends on the batch size, and the buffer for results is small. It implements
 // gather.StageClient.
 type FakeTargets struct {
+	// Services are the batch settings of the simulated services, by name.
 	Services map[string]*plan.Batch
-	// Slow multiplies the time of the calls of a target, by target ID.
-	Slow map[string]float64
-	// Stall is how long it takes to write a call, as if the VM of the caller were stalled.
-	Stall time.Duration
+	// SlowFactors are the factors by which the calls of some targets take longer, by target ID.
+	SlowFactors map[string]float64
+	// WriteDelay is how long it takes to write a call, as if the VM of the caller were stalled.
+	WriteDelay time.Duration
 	// Fail reports whether an item fails. nil fails none.
 	Fail func(item gather.Item) bool
 
@@ -29,14 +30,15 @@
 	lastHandle int
 	lastCalls  map[string]time.Time // time of the last call by zone
 	completed  map[gather.Key]bool
-	// Calls and Items count by service.
+	// Calls and Items count the calls and their items, by service.
 	Calls map[string]int
 	Items map[string]int
-	// Crossed counts the bytes of inputs that were read from another zone.
-	Crossed int
-	// Gone counts, by request, the items that failed because an input was gone. Retries of
-	// items that had already been completed aren't counted, since their result exists.
-	Gone map[string]int
+	// CrossZoneBytes counts the bytes of inputs that were read from another zone.
+	CrossZoneBytes int
+	// MissingInputs counts, by request, the items that failed because an input was gone.
+	// Retries of items that had already been completed aren't counted, since their result
+	// exists.
+	MissingInputs map[string]int
 }
 
 var _ gather.StageClient = (*FakeTargets)(nil)
@@ -57,7 +59,7 @@
 func (p *FakeTargets) targetAt(id string) *fakeTarget {
 	if p.targets == nil {
 		p.completed, p.lastCalls = map[gather.Key]bool{}, map[string]time.Time{}
-		p.targets, p.Calls, p.Items, p.Gone = map[string]*fakeTarget{}, map[string]int{}, map[string]int{}, map[string]int{}
+		p.targets, p.Calls, p.Items, p.MissingInputs = map[string]*fakeTarget{}, map[string]int{}, map[string]int{}, map[string]int{}
 	}
 	t := p.targets[id]
 	if t == nil {
@@ -77,7 +79,7 @@
 // Run simulates one call.
 func (p *FakeTargets) Run(ctx context.Context, at *pool.Target, items []gather.Item, sent func()) ([]gather.Result, error) {
 	batch := p.Services[at.Service]
-	if err := sleep(ctx, p.Stall); err != nil {
+	if err := sleep(ctx, p.WriteDelay); err != nil {
 		return nil, err
 	}
 	results, took, err := p.startCall(at, batch, items)
@@ -106,18 +108,18 @@
 	p.lastCalls[at.Zone] = time.Now()
 	p.Calls[at.Service]++
 	took := batch.CallTime + time.Duration(len(items))*batch.ItemTime
-	if slow := p.Slow[at.ID]; slow > 0 {
-		took = time.Duration(slow * float64(took))
+	if factor := p.SlowFactors[at.ID]; factor > 0 {
+		took = time.Duration(factor * float64(took))
 	}
 	results := make([]gather.Result, 0, len(items))
 	for _, item := range items {
-		results = append(results, p.make(t, at, batch, item, time.Now().Add(took+batch.Keep)))
+		results = append(results, p.processItem(t, at, batch, item, time.Now().Add(took+batch.Keep)))
 	}
 	return results, took, nil
 }
 
-// make processes one item. The caller holds mu.
-func (p *FakeTargets) make(t *fakeTarget, at *pool.Target, batch *plan.Batch, item gather.Item, expiresAt time.Time) gather.Result {
+// processItem simulates one item of a call. The caller holds mu.
+func (p *FakeTargets) processItem(t *fakeTarget, at *pool.Target, batch *plan.Batch, item gather.Item, expiresAt time.Time) gather.Result {
 	p.Items[at.Service]++
 	p.removeExpired(t)
 	out := gather.Result{Key: item.Key, Zone: at.Zone}
@@ -129,12 +131,12 @@
 		if !found {
 			out.Reason = gather.InputGone
 			if !p.completed[item.Key] {
-				p.Gone[item.Request]++
+				p.MissingInputs[item.Request]++
 			}
 			return out
 		}
 		if input.zone != at.Zone {
-			p.Crossed += input.bytes
+			p.CrossZoneBytes += input.bytes
 		}
 	}
 	if t.usedBytes+item.Bytes > batch.BufferBytes {
--- a/internal/serve/servetest/network.go
+++ b/internal/serve/servetest/network.go
@@ -29,7 +29,7 @@
 
 type handler = func(context.Context, json.RawMessage) (any, error)
 
-// Node is the network of one simulated process. It implements peer.Network.
+// Node is one simulated process and its access to the network. It implements peer.Network.
 type Node struct {
 	cluster  *Cluster
 	self     peer.Member
@@ -84,7 +84,7 @@
 func (n *Node) SetSendRate(sendRate int) { n.update(func() { n.sendRate = sendRate }) }
 
 // SetCPUPercent sets the VM's share of one core, in percent.
-func (n *Node) SetCPUPercent(power int) { n.update(func() { n.self.CPUPercent = power }) }
+func (n *Node) SetCPUPercent(percent int) { n.update(func() { n.self.CPUPercent = percent }) }
 
 // enqueue adds a message to the sender's queue and returns the time until it is delivered.
 func (n *Node) enqueue(bytes int) time.Duration {
--- a/internal/serve/upstream/answer.go
+++ b/internal/serve/upstream/answer.go
@@ -28,11 +28,11 @@
 	stopCtxWatch func() bool
 	body         io.Reader
 	chunked      bool
-	// neverReuse is Request.KeepNone.
-	neverReuse bool
-	complete   bool
-	closed     bool
-	reusable   bool
+	// closeAfterAnswer is Request.CloseAfterAnswer.
+	closeAfterAnswer bool
+	complete         bool
+	closed           bool
+	reusable         bool
 	// written is closed when writing the request body has ended; writeFailed is set if it
 	// failed.
 	written     chan struct{}
@@ -54,7 +54,7 @@
 			continue // an interim (1xx) answer
 		}
 		a.setFraming(r.Method)
-		if r.IsOurs == nil || r.IsOurs(&a.Header) {
+		if r.MatchesRequest == nil || r.MatchesRequest(&a.Header) {
 			return nil
 		}
 		skipped++
@@ -137,16 +137,16 @@
 	return errFraming
 }
 
-// Close ends the exchange. The connection is kept for reuse if the body was read to its end
-// and the request was written completely. Otherwise it is closed, which also tells the target
-// to stop its work on the request.
+// Close ends the exchange. The connection is kept for reuse if the body was read to its end,
+// the request was written completely and CloseAfterAnswer isn't set. Otherwise it is closed,
+// which also tells a target that is still working on the request to stop.
 func (a *Answer) Close() {
 	if a.closed {
 		return
 	}
 	a.closed = true
 	inTime := a.stopCtxWatch()
-	if a.complete && a.reusable && !a.neverReuse && inTime && a.conn.R.Buffered() == 0 && a.requestWritten() {
+	if a.complete && a.reusable && !a.closeAfterAnswer && inTime && a.conn.R.Buffered() == 0 && a.requestWritten() {
 		a.conn.IdleTimeout = idleTime(&a.Header)
 		a.client.idle.Put(a.address, a.conn, time.Now())
 		return
--- a/internal/serve/upstream/upstream.go
+++ b/internal/serve/upstream/upstream.go
@@ -29,18 +29,20 @@
 	Host   string
 	Header []Header
 	Body   []byte
-	// MaxAge limits how long a reused connection may have been unused; 0 means no limit beyond
-	// that of the connection pool.
-	MaxAge time.Duration
-	// MaxKept limits the unused connections that are kept to the address; 0 means no limit
-	// beyond that of the connection pool. KeepNone closes the connection after the answer.
-	MaxKept  int
-	KeepNone bool
-	// IsOurs reports whether an answer with this header belongs to this request. Any other
-	// answer is a late one to an earlier request and is discarded.
-	IsOurs func(*fasthttp.ResponseHeader) bool
-	// Sent is called when the whole request has been written. It may be nil.
-	Sent func()
+	// MaxIdleTime limits how long a reused connection may have been unused; 0 means no limit
+	// beyond that of the connection pool.
+	MaxIdleTime time.Duration
+	// MaxIdleConns limits the unused connections that are kept to the address; 0 means no limit
+	// beyond that of the connection pool. CloseAfterAnswer closes the connection after the
+	// answer.
+	MaxIdleConns     int
+	CloseAfterAnswer bool
+	// MatchesRequest reports whether an answer with this header belongs to this request. Any
+	// other answer is a late one to an earlier request and is discarded. nil accepts every
+	// answer.
+	MatchesRequest func(*fasthttp.ResponseHeader) bool
+	// OnSent is called when the whole request has been written. It may be nil.
+	OnSent func()
 }
 
 // Failure is the error of an attempt that got no answer.
@@ -93,8 +95,9 @@
 // Prune closes connections that have been unused for too long.
 func (c *Client) Prune(now time.Time) { c.idle.Prune(now) }
 
-// Drop closes the unused connections to an address, because another target may get it.
-func (c *Client) Drop(address string) { c.idle.CloseIdle(address) }
+// CloseIdle closes the unused connections to an address. Call it when the target there has
+// left: another one may have or get the address.
+func (c *Client) CloseIdle(address string) { c.idle.CloseIdle(address) }
 
 // Send makes one attempt and reads the header of the answer. Every error is a *Failure. When
 // ctx ends, the connection is closed, also while the body is being read. The caller must
@@ -104,8 +107,8 @@
 	if err != nil {
 		return nil, &Failure{Err: err}
 	}
-	conn.MaxIdle = r.MaxKept
-	a := &Answer{client: c, address: r.Address, conn: conn, neverReuse: r.KeepNone, written: make(chan struct{})}
+	conn.MaxIdleConns = r.MaxIdleConns
+	a := &Answer{client: c, address: r.Address, conn: conn, closeAfterAnswer: r.CloseAfterAnswer, written: make(chan struct{})}
 	a.stopCtxWatch = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	if err := ctx.Err(); err != nil {
 		a.Close()
@@ -132,7 +135,7 @@
 }
 
 func (c *Client) connect(ctx context.Context, r *Request) (*conns.Conn, error) {
-	if kept := c.idle.Take(r.Address, time.Now(), r.MaxAge); kept != nil {
+	if kept := c.idle.Take(r.Address, time.Now(), r.MaxIdleTime); kept != nil {
 		return kept, nil
 	}
 	c.dialed.Add(1)
@@ -146,8 +149,8 @@
 		defer close(a.written)
 		_, _ = a.conn.W.Write(r.Body) // Flush returns the error of any earlier write
 		err := a.conn.W.Flush()
-		if err == nil && r.Sent != nil {
-			r.Sent()
+		if err == nil && r.OnSent != nil {
+			r.OnSent()
 		}
 		return err
 	}
@@ -159,8 +162,8 @@
 		defer close(a.written)
 		_, err := a.conn.Conn.Write(r.Body)
 		a.writeFailed.Store(err != nil)
-		if err == nil && r.Sent != nil {
-			r.Sent()
+		if err == nil && r.OnSent != nil {
+			r.OnSent()
 		}
 	}()
 	return nil
--- a/internal/serve/upstream/upstream_test.go
+++ b/internal/serve/upstream/upstream_test.go
@@ -61,7 +61,7 @@
 	return &Request{
 		Address: address, Method: "GET", URI: "/a%2Fb//c?x=%20&y", Host: "h.example",
 		Header: []Header{{"X-Attempt", "id-1"}, {"x-lower", "v"}},
-		IsOurs: func(h *fasthttp.ResponseHeader) bool {
+		MatchesRequest: func(h *fasthttp.ResponseHeader) bool {
 			id := string(h.Peek("X-Attempt"))
 			return id == "" || id == "id-1"
 		},
@@ -120,21 +120,21 @@
 	}
 }
 
-// A target accepts a limited number of connections from all processes answers. If each
+// A target accepts a limited number of connections from all processes together. If each
 // process keeps as many as it needed at its busiest moment, the target resets new connections,
 // and requests sent on those have an unknown outcome.
 func TestIdleConnectionLimit(t *testing.T) {
 	for name, tc := range map[string]struct {
-		maxKept  int
-		keepNone bool
-		kept     int
+		maxIdleConns     int
+		closeAfterAnswer bool
+		kept             int
 	}{"no bound": {0, false, 4}, "two": {2, false, 2}, "none": {0, true, 0}} {
 		address := startTarget(t, alwaysAnswer(plainAnswer))
 		var c Client
 		var answers []*Answer
 		for range 4 {
 			r := newRequest(address)
-			r.MaxKept, r.KeepNone = tc.maxKept, tc.keepNone
+			r.MaxIdleConns, r.CloseAfterAnswer = tc.maxIdleConns, tc.closeAfterAnswer
 			a, err := c.Send(context.Background(), r)
 			assert.NilError(t, err)
 			answers = append(answers, a)
@@ -299,12 +299,12 @@
 	}
 }
 
-func TestMaxAgeSkipsOldIdleConnections(t *testing.T) {
+func TestMaxIdleTimeSkipsOldIdleConnections(t *testing.T) {
 	address := startTarget(t, alwaysAnswer(plainAnswer))
 	var c Client
 	for range 2 {
 		r := newRequest(address)
-		r.MaxAge = 10 * time.Millisecond
+		r.MaxIdleTime = 10 * time.Millisecond
 		a, err := c.Send(context.Background(), r)
 		assert.NilError(t, err)
 		assert.Equal(t, readAll(t, a), "hello")
--- a/internal/suspect/suspect.go
+++ b/internal/suspect/suspect.go
@@ -68,7 +68,7 @@
 	// Unrestricted: like any other request.
 	Unrestricted Permission = "free"
 	// Isolated: as the only attempt of this suspect, and on a target without another suspect.
-	// Table.Done ends the permission.
+	// Table.ReleasePermission ends the permission.
 	Isolated Permission = "alone"
 	// MustWait: another attempt of it has to end first, in this or another process.
 	MustWait Permission = "wait"
@@ -180,9 +180,9 @@
 	}
 }
 
-// Ask returns how a request may run now. If the evidence isn't nil, the caller must send it to
-// the peers: this process took over a suspect whose owner's time is up.
-func (t *Table) Ask(f Fingerprint, now time.Time) (Permission, *Evidence) {
+// RequestPermission returns how a request may run now. If the evidence isn't nil, the caller
+// must send it to the peers: this process took over a suspect whose owner's time is up.
+func (t *Table) RequestPermission(f Fingerprint, now time.Time) (Permission, *Evidence) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch t.verdict(f, now) {
@@ -205,8 +205,8 @@
 	}
 }
 
-// Done ends the permission Isolated that Ask returned.
-func (t *Table) Done(f Fingerprint) {
+// ReleasePermission ends the permission Isolated that RequestPermission granted.
+func (t *Table) ReleasePermission(f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.records[f]; r != nil {
@@ -214,8 +214,9 @@
 	}
 }
 
-// MayGoOn reports whether an attempt that was permitted earlier may continue to run.
-func (t *Table) MayGoOn(f Fingerprint, permission Permission, now time.Time) bool {
+// MayContinue reports whether an attempt that was permitted to run earlier may continue, given
+// the evidence received since.
+func (t *Table) MayContinue(f Fingerprint, permission Permission, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	verdict := t.verdict(f, now)
@@ -258,9 +259,9 @@
 	}
 }
 
-// Crashed records that a target crashed while running the request, and returns the evidence to
-// send to the peers.
-func (t *Table) Crashed(f Fingerprint, address string, now time.Time) Evidence {
+// RecordCrash records that a target crashed while running the request, and returns the
+// evidence to send to the peers.
+func (t *Table) RecordCrash(f Fingerprint, address string, now time.Time) Evidence {
 	defer t.notifyWatchers(f)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -273,9 +274,9 @@
 	return &Evidence{Fingerprint: f, Crashes: append([]Crash(nil), r.crashes...), ClearedAt: r.clearedAt}
 }
 
-// Cleared records that a suspect completed without a crash, and returns the evidence to send
-// to the peers. A conviction remains.
-func (t *Table) Cleared(f Fingerprint, now time.Time) Evidence {
+// RecordSuccess records that a suspect completed without a crash, and returns the evidence to
+// send to the peers. A conviction remains.
+func (t *Table) RecordSuccess(f Fingerprint, now time.Time) Evidence {
 	defer t.notifyWatchers(f)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -383,7 +384,8 @@
 type Report struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Verdict     Verdict     `json:"verdict"`
-	Crashes     int         `json:"crashes"`
+	// Crashes is the number of targets that crashed while running the request.
+	Crashes int `json:"crashes"`
 }
 
 // List returns the suspected and convicted requests.
--- a/internal/suspect/suspect_test.go
+++ b/internal/suspect/suspect_test.go
@@ -10,22 +10,22 @@
 var start = time.Unix(1000, 0)
 
 func permission(t *Table, f Fingerprint, at time.Time) Permission {
-	l, _ := t.Ask(f, at)
-	return l
+	granted, _ := t.RequestPermission(f, at)
+	return granted
 }
 
 func TestTwoCrashesConvict(t *testing.T) {
 	table := NewTable("p")
 	f := FingerprintOf("quote", "poison")
 	assert.Equal(t, permission(table, f, start), Unrestricted)
-	table.Crashed(f, "a:1", start)
+	table.RecordCrash(f, "a:1", start)
 	assert.Equal(t, table.Check(f, start), Suspected)
-	table.Crashed(f, "b:1", start.Add(time.Second))
+	table.RecordCrash(f, "b:1", start.Add(time.Second))
 	assert.Equal(t, table.Check(f, start.Add(time.Second)), Convicted)
 	assert.Equal(t, permission(table, f, start.Add(time.Second)), Denied)
 	later := start.Add(EvidenceTTL + 2*time.Second)
 	assert.Equal(t, table.Check(f, later), Clear)
-	table.Crashed(f, "c:1", later)
+	table.RecordCrash(f, "c:1", later)
 	assert.Equal(t, table.Check(f, later), Suspected)
 }
 
@@ -34,13 +34,13 @@
 func TestSuspectRunsOnceAtATime(t *testing.T) {
 	table := NewTable("p")
 	f := FingerprintOf("quote", "poison")
-	table.Crashed(f, "a:1", start)
+	table.RecordCrash(f, "a:1", start)
 	assert.Equal(t, permission(table, f, start.Add(PropagationDelay/2)), MustWait)
 	at := start.Add(PropagationDelay)
 	assert.Equal(t, permission(table, f, at), Isolated)
 	assert.Equal(t, permission(table, f, at), MustWait)
-	assert.Assert(t, table.MayGoOn(f, Isolated, at))
-	table.Done(f)
+	assert.Assert(t, table.MayContinue(f, Isolated, at))
+	table.ReleasePermission(f)
 	assert.Equal(t, permission(table, f, at), Isolated)
 }
 
@@ -50,8 +50,8 @@
 func TestDuplicateReportsOfACrashAreMerged(t *testing.T) {
 	p, q := NewTable("p"), NewTable("q")
 	f := FingerprintOf("quote", "either")
-	byP := p.Crashed(f, "a:1", start)
-	byQ := q.Crashed(f, "a:1", start.Add(50*time.Millisecond))
+	byP := p.RecordCrash(f, "a:1", start)
+	byQ := q.RecordCrash(f, "a:1", start.Add(50*time.Millisecond))
 	p.MergeEvidence(byQ, start)
 	q.MergeEvidence(byP, start)
 	at := start.Add(time.Second)
@@ -65,16 +65,16 @@
 	f := FingerprintOf("quote", "poison")
 	notified := 0
 	stop := there.Watch(f, func() { notified++ })
-	there.MergeEvidence(here.Crashed(f, "a:1", start), start)
+	there.MergeEvidence(here.RecordCrash(f, "a:1", start), start)
 	assert.Equal(t, notified, 1)
-	assert.Assert(t, !there.MayGoOn(f, Unrestricted, start))
+	assert.Assert(t, !there.MayContinue(f, Unrestricted, start))
 	assert.Assert(t, there.DiedRecently("a:1", start))
 	assert.Assert(t, !there.DiedRecently("a:1", start.Add(deadTargetTimeout)))
 	stop()
-	there.MergeEvidence(here.Crashed(f, "b:1", start), start)
+	there.MergeEvidence(here.RecordCrash(f, "b:1", start), start)
 	assert.Equal(t, notified, 1)
 	assert.Equal(t, there.Check(f, start), Convicted)
-	assert.Assert(t, !here.MayGoOn(f, Isolated, start))
+	assert.Assert(t, !here.MayContinue(f, Isolated, start))
 }
 
 // The owner of a suspect dies, or its caller leaves, before the second attempt. The request
@@ -82,13 +82,13 @@
 func TestOwnershipIsTakenOverAfterTimeout(t *testing.T) {
 	p, q, r := NewTable("p"), NewTable("q"), NewTable("r")
 	f := FingerprintOf("quote", "innocent")
-	e := p.Crashed(f, "a:1", start)
+	e := p.RecordCrash(f, "a:1", start)
 	q.MergeEvidence(e, start)
 	r.MergeEvidence(e, start)
 	at := start.Add(ownershipTimeout + time.Second)
-	l, byQ := q.Ask(f, at)
-	assert.Equal(t, l, MustWait)
-	_, byR := r.Ask(f, at.Add(time.Millisecond))
+	granted, byQ := q.RequestPermission(f, at)
+	assert.Equal(t, granted, MustWait)
+	_, byR := r.RequestPermission(f, at.Add(time.Millisecond))
 	q.MergeEvidence(*byR, at)
 	r.MergeEvidence(*byQ, at)
 	p.MergeEvidence(*byQ, at)
@@ -102,9 +102,9 @@
 func TestClearingVoidsEarlierCrashesInAnyOrder(t *testing.T) {
 	p, q, r := NewTable("p"), NewTable("q"), NewTable("r")
 	f := FingerprintOf("x")
-	p.Crashed(f, "a:1", start)
-	late := q.Crashed(f, "a:1", start.Add(time.Millisecond))
-	cleared := p.Cleared(f, start.Add(time.Second))
+	p.RecordCrash(f, "a:1", start)
+	late := q.RecordCrash(f, "a:1", start.Add(time.Millisecond))
+	cleared := p.RecordSuccess(f, start.Add(time.Second))
 	assert.Equal(t, len(p.List(start)), 0)
 	p.MergeEvidence(late, start)
 	r.MergeEvidence(cleared, start)
@@ -118,9 +118,9 @@
 func TestConvictionCannotBeCleared(t *testing.T) {
 	table := NewTable("p")
 	f := FingerprintOf("x")
-	table.Crashed(f, "a:1", start)
-	table.Crashed(f, "b:1", start)
-	table.Cleared(f, start.Add(time.Second))
+	table.RecordCrash(f, "a:1", start)
+	table.RecordCrash(f, "b:1", start)
+	table.RecordSuccess(f, start.Add(time.Second))
 	table.MergeEvidence(Evidence{Fingerprint: f, ClearedAt: start.Add(time.Second)}, start)
 	assert.Equal(t, table.Check(f, start), Convicted)
 }
