--- a/test/crossing_test.go
+++ b/test/answer_swapper_test.go
@@ -17,44 +17,46 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// crossing stands before a target and gives two callers that come at the same
-// time each other's answers, whole and well formed. With no second caller at
-// hand the answer goes where it belongs.
-type crossing struct {
+// answerSwapper is a proxy in front of a target that gives two concurrent
+// callers each other's answers, complete and well formed. Without a second
+// caller within swapTimeout, the answer goes to its own caller.
+type answerSwapper struct {
 	target  string
-	pair    chan *crossedAnswer
-	crossed atomic.Int64
+	offers  chan *pendingAnswer
+	swapped atomic.Int64
 	server  *httptest.Server
 }
 
-type crossedAnswer struct {
+// pendingAnswer is a target's answer that may be swapped with another.
+type pendingAnswer struct {
 	status int
 	header http.Header
 	body   []byte
-	other  chan *crossedAnswer // where the one that waits gets the other's
+	other  chan *pendingAnswer // receives the answer to swap with
 }
 
-// crossingPatience is how long an answer waits for another to be crossed with.
-const crossingPatience = 30 * time.Millisecond
+// swapTimeout is how long an answer waits for another to be swapped with.
+const swapTimeout = 30 * time.Millisecond
 
-func crossAt(t *testing.T, target string) *crossing {
+func startAnswerSwapper(t *testing.T, target string) *answerSwapper {
 	t.Helper()
-	c := &crossing{target: target, pair: make(chan *crossedAnswer)}
+	c := &answerSwapper{target: target, offers: make(chan *pendingAnswer)}
 	c.server = httptest.NewServer(c)
 	t.Cleanup(c.server.Close)
 	return c
 }
 
-func (c *crossing) address() string { return strings.TrimPrefix(c.server.URL, "http://") }
+func (c *answerSwapper) address() string { return strings.TrimPrefix(c.server.URL, "http://") }
 
-// ServeHTTP answers one call.
-func (c *crossing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	own, err := c.ask(r)
+// ServeHTTP forwards one call and swaps its answer, except those of load and
+// health checks.
+func (c *answerSwapper) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	own, err := c.forward(r)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	if r.URL.Path != targetapi.PathLoad && r.URL.Path != targetapi.PathHealth {
-		own = c.cross(own)
+		own = c.swap(own)
 	}
 	for name, values := range own.header {
 		w.Header()[name] = values
@@ -63,7 +65,7 @@
 	_, _ = w.Write(own.body)
 }
 
-func (c *crossing) ask(r *http.Request) (*crossedAnswer, error) {
+func (c *answerSwapper) forward(r *http.Request) (*pendingAnswer, error) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, err
@@ -80,26 +82,26 @@
 	defer func() { _ = resp.Body.Close() }()
 	answer, err := io.ReadAll(resp.Body)
 	resp.Header.Del("Trailer")
-	return &crossedAnswer{status: resp.StatusCode, header: resp.Header, body: answer, other: make(chan *crossedAnswer, 1)}, err
+	return &pendingAnswer{status: resp.StatusCode, header: resp.Header, body: answer, other: make(chan *pendingAnswer, 1)}, err
 }
 
-func (c *crossing) cross(own *crossedAnswer) *crossedAnswer {
+func (c *answerSwapper) swap(own *pendingAnswer) *pendingAnswer {
 	select {
-	case waiting := <-c.pair:
-		c.crossed.Add(2)
+	case waiting := <-c.offers:
+		c.swapped.Add(2)
 		waiting.other <- own
 		return waiting
 	default:
 	}
 	select {
-	case c.pair <- own:
+	case c.offers <- own:
 		return <-own.other
-	case <-time.After(crossingPatience):
+	case <-time.After(swapTimeout):
 		return own
 	}
 }
 
-// moveTargets has the VM list name other addresses for some targets.
+// moveTargets replaces the addresses of some targets in the VM list.
 func (c *cluster) moveTargets(moved map[string]string) {
 	c.t.Helper()
 	resp, err := client.Get("http://" + c.controlAddress + "/vms")
--- a/test/caller_test.go
+++ b/test/caller_test.go
@@ -25,15 +25,16 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// client makes a new connection for each request, as callers that come and go
-// do, and never sends a request twice by itself.
+// client opens a new connection for each request, as short-lived callers do, so
+// that the transport never resends a request on its own.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// looker asks how things are; a process that stands still must not hold it up.
-var looker = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 5 * time.Second}
+// probeClient polls the state of processes. Its timeout keeps a frozen process
+// from blocking the test.
+var probeClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 5 * time.Second}
 
 func httpOK(url string) bool {
-	resp, err := looker.Get(url)
+	resp, err := probeClient.Get(url)
 	if err != nil {
 		return false
 	}
@@ -51,17 +52,17 @@
 	headers map[string]string
 }
 
-// reply is what a caller got. Err is set where there was no whole answer.
+// reply is the result of one request. err is set if no complete answer arrived.
 type reply struct {
-	status  int
-	body    []byte
-	problem *problem.Problem
-	id      string
-	err     error
-	took    time.Duration
+	status    int
+	body      []byte
+	problem   *problem.Problem
+	requestID string
+	err       error
+	took      time.Duration
 }
 
-// pipelineRequest asks the usual pipeline for so many tokens.
+// pipelineRequest asks the default pipeline for the given number of tokens.
 func pipelineRequest(ref string, tokens int) request {
 	return request{
 		path: "/v1/pipelines/quote",
@@ -69,8 +70,8 @@
 	}
 }
 
-// confirm asks for a booking that must run at most once.
-func confirm(key string) request {
+// bookingRequest is a booking, a call that must run at most once.
+func bookingRequest(key string) request {
 	return request{path: "/v1/services/booking/confirm", body: fmt.Sprintf(`{"hall":"[ref:%s]"}`, key), key: key}
 }
 
@@ -96,20 +97,20 @@
 	return req
 }
 
-// send makes one request at one entry VM and reads the whole answer.
+// send makes one request to one entry VM and reads the whole answer.
 func send(ctx context.Context, address string, r request) reply {
 	return sendBy(client, r.build(address).WithContext(ctx))
 }
 
-func sendBy(by *http.Client, req *http.Request) reply {
+func sendBy(httpClient *http.Client, req *http.Request) reply {
 	start := time.Now()
-	resp, err := by.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return reply{err: err, took: time.Since(start)}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	got := reply{status: resp.StatusCode, body: body, id: resp.Header.Get(targetapi.HeaderRequestID), err: err, took: time.Since(start)}
+	got := reply{status: resp.StatusCode, body: body, requestID: resp.Header.Get(targetapi.HeaderRequestID), err: err, took: time.Since(start)}
 	if resp.Header.Get("Content-Type") == problem.ContentType {
 		got.problem = &problem.Problem{}
 		if err := json.Unmarshal(body, got.problem); err != nil {
@@ -121,7 +122,7 @@
 
 func sendNow(address string, r request) reply { return send(context.Background(), address, r) }
 
-// output reads the text of a pipeline's answer.
+// output returns the generated text of a pipeline's answer.
 func (r reply) output(t *testing.T) string {
 	t.Helper()
 	assert.NilError(t, r.err)
@@ -131,7 +132,8 @@
 	return a.Output
 }
 
-// wholeText is the only right answer to a request for so many tokens.
+// wholeText is the only correct output for a request of the given number of
+// tokens.
 func wholeText(ref string, tokens int) string {
 	words := make([]string, tokens)
 	for i := range words {
@@ -140,19 +142,19 @@
 	return strings.Join(words, " ")
 }
 
-// errCut says that a stream ended without its end mark or a problem.
-var errCut = errors.New("stream was cut")
+// errStreamCut says that a stream ended without its end marker or a problem.
+var errStreamCut = errors.New("stream ended without end marker or problem")
 
-// streamed is what a caller got of a stream.
-type streamed struct {
+// streamResult is what a caller received on a stream.
+type streamResult struct {
 	text    string
 	status  int
 	problem *problem.Problem
 	err     error
 }
 
-// stream asks for a stream; each is called with every piece of text.
-func stream(ctx context.Context, address, ref string, tokens int, each func(text string)) streamed {
+// stream requests a stream and calls onText for every piece of text.
+func stream(ctx context.Context, address, ref string, tokens int, onText func(text string)) streamResult {
 	r := request{
 		path:    "/v1/pipelines/quote",
 		body:    fmt.Sprintf(`{"input":"hall for forty [ref:%s]","max_tokens":%d,"stream":true}`, ref, tokens),
@@ -160,20 +162,20 @@
 	}
 	resp, err := client.Do(r.build(address).WithContext(ctx))
 	if err != nil {
-		return streamed{err: err}
+		return streamResult{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	got := streamed{status: resp.StatusCode}
+	got := streamResult{status: resp.StatusCode}
 	if resp.StatusCode != http.StatusOK {
 		got.problem = &problem.Problem{}
 		got.err = json.NewDecoder(resp.Body).Decode(got.problem)
 		return got
 	}
-	got.read(resp.Body, each)
+	got.read(resp.Body, onText)
 	return got
 }
 
-func (s *streamed) read(body io.Reader, each func(string)) {
+func (s *streamResult) read(body io.Reader, onText func(string)) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, 1<<20)
 	failed := false
@@ -201,19 +203,19 @@
 		}
 		for _, choice := range c.Choices {
 			s.text += choice.Text
-			if each != nil && choice.Text != "" {
-				each(choice.Text)
+			if onText != nil && choice.Text != "" {
+				onText(choice.Text)
 			}
 		}
 	}
-	s.err = errCut
+	s.err = errStreamCut
 }
 
-// operatorClient gives up on a process that stands still.
+// operatorClient times out on a frozen process.
 var operatorClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 20 * time.Second}
 
-// operate makes one call of an operator.
-func operate(address, method, path string, body any, headers map[string]string) reply {
+// callAdminAPI makes one call to the admin API as an operator.
+func callAdminAPI(address, method, path string, body any, headers map[string]string) reply {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return reply{err: err}
@@ -230,10 +232,11 @@
 	return sendBy(operatorClient, r.build(address))
 }
 
-// put has an item accepted through one entry VM and gives the revision.
-func (c *cluster) put(address, path string, item any, expect config.Revision) config.Revision {
+// putItem writes a configuration item through one entry VM and returns the
+// accepted revision.
+func (c *cluster) putItem(address, path string, item any, expect config.Revision) config.Revision {
 	c.t.Helper()
-	got := operate(address, http.MethodPut, path, item, map[string]string{"If-Match": strconv.FormatUint(uint64(expect), 10)})
+	got := callAdminAPI(address, http.MethodPut, path, item, map[string]string{"If-Match": strconv.FormatUint(uint64(expect), 10)})
 	assert.NilError(c.t, got.err)
 	assert.Equal(c.t, got.status, http.StatusOK, "%s", got.body)
 	var accepted entry.Accepted
@@ -241,34 +244,36 @@
 	return accepted.Revision
 }
 
-// applyUsual puts pools, pipeline, service and contract in force everywhere.
-func (c *cluster) applyUsual() {
+// applyDefaultConfig writes the default pools, pipeline, service and contract
+// and waits until they are in force at every entry VM.
+func (c *cluster) applyDefaultConfig() {
 	c.t.Helper()
 	first := c.entries[0].address
 	for _, p := range c.fleetFile.Pools {
 		pool := config.Pool{Name: p.Pool, Kind: p.Kind, ChecksFencing: p.ChecksFencing, Model: p.Model, Version: p.Version}
-		c.put(first, "pools/"+p.Pool, pool, 0)
+		c.putItem(first, "pools/"+p.Pool, pool, 0)
 	}
-	c.put(first, "pipelines/quote", config.Pipeline{Name: "quote", Stages: []config.Stage{
+	c.putItem(first, "pipelines/quote", config.Pipeline{Name: "quote", Stages: []config.Stage{
 		{Name: "encode", Pool: "encoder"},
 		{Name: "retrieve", Pool: "retriever"},
 		{Name: "rerank", Pool: "reranker"},
 		{Name: "generate", Pool: "llm", MaxTokens: 16},
 	}}, 0)
-	c.put(first, "services/booking", config.Service{Name: "booking", Pool: "booking", Routes: []config.Route{
+	c.putItem(first, "services/booking", config.Service{Name: "booking", Pool: "booking", Routes: []config.Route{
 		{Method: http.MethodPost, PathPrefix: "/", NonIdempotent: true},
 		{Method: http.MethodPut, PathPrefix: "/", NonIdempotent: true},
 		{Method: http.MethodDelete, PathPrefix: "/", NonIdempotent: true},
 		{Method: http.MethodGet, PathPrefix: "/once/", NonIdempotent: true},
 		{Method: http.MethodGet, PathPrefix: "/"},
 	}}, 0)
-	last := c.put(first, "contracts/"+customer, config.Contract{Customer: customer, KeyHashes: []string{hashOf(customerKey)}}, 0)
+	last := c.putItem(first, "contracts/"+customer, config.Contract{Customer: customer, KeyHashes: []string{hashOf(customerKey)}}, 0)
 	c.waitInForce(last)
 }
 
-// revisionAt is the revision that one entry VM has in force.
+// revisionAt returns the revision that one entry VM has in force, 0 if it can't
+// be read.
 func revisionAt(address string) config.Revision {
-	got := operate(address, http.MethodGet, "config", nil, nil)
+	got := callAdminAPI(address, http.MethodGet, "config", nil, nil)
 	var state config.State
 	if got.err != nil || json.Unmarshal(got.body, &state) != nil {
 		return 0
@@ -276,7 +281,8 @@
 	return state.Revision
 }
 
-// waitInForce waits until every entry VM has a revision in force.
+// waitInForce waits until every entry VM has the revision or a newer one in
+// force.
 func (c *cluster) waitInForce(revision config.Revision) {
 	c.t.Helper()
 	for _, e := range c.entries {
@@ -286,7 +292,7 @@
 	}
 }
 
-// setFault switches a fault of the stand-ins; an empty one ends it.
+// setFault sets a fault of the stand-ins; an empty fault clears it.
 func (c *cluster) setFault(scope string, f fault.Fault) {
 	c.t.Helper()
 	raw, err := json.Marshal(struct {
@@ -302,7 +308,7 @@
 	assert.Assert(c.t, resp.StatusCode < 300, "fault %s: status %d", scope, resp.StatusCode)
 }
 
-// executions are what the targets themselves counted.
+// executions returns the executions that the targets recorded.
 func (c *cluster) executions() []count.Execution {
 	c.t.Helper()
 	resp, err := client.Get("http://" + c.controlAddress + "/counts")
@@ -315,8 +321,8 @@
 	return all.Executions
 }
 
-// ranWithKey counts the executions of a non-idempotent call.
-func (c *cluster) ranWithKey(key string) int {
+// executionsWithKey counts the executions under an idempotency key.
+func (c *cluster) executionsWithKey(key string) int {
 	c.t.Helper()
 	n := 0
 	for _, e := range c.executions() {
@@ -327,9 +333,9 @@
 	return n
 }
 
-// standings asks one entry VM which revision each process has in force.
-func standings(address string) []inforce.ProcessRevision {
-	got := operate(address, http.MethodGet, "in_force", nil, nil)
+// processRevisions asks one entry VM which revision each process has in force.
+func processRevisions(address string) []inforce.ProcessRevision {
+	got := callAdminAPI(address, http.MethodGet, "in_force", nil, nil)
 	var all entry.InForce
 	if got.err != nil || json.Unmarshal(got.body, &all) != nil {
 		return nil
@@ -337,19 +343,19 @@
 	return all.VMs
 }
 
-// waitLinked waits until every entry VM reaches every other as its peer. What
-// peers tell each other is told at once from then on.
+// waitLinked waits until every entry VM reaches every other as its peer. From
+// then on, peers pass on changes immediately.
 func (c *cluster) waitLinked() {
 	c.t.Helper()
 	for _, e := range c.entries {
-		waitFor(c.t, e.name+" to reach its peers", func() bool { return len(answering(e.address)) == len(c.entries) })
+		waitFor(c.t, e.name+" to reach its peers", func() bool { return len(reachableProcesses(e.address)) == len(c.entries) })
 	}
 }
 
-// answering lists the processes that one entry VM gets an answer from.
-func answering(address string) []inforce.ProcessRevision {
+// reachableProcesses lists the processes that one entry VM gets an answer from.
+func reachableProcesses(address string) []inforce.ProcessRevision {
 	var list []inforce.ProcessRevision
-	for _, st := range standings(address) {
+	for _, st := range processRevisions(address) {
 		if st.Incarnation != "" {
 			list = append(list, st)
 		}
@@ -357,16 +363,16 @@
 	return list
 }
 
-// entriesAt is what an entry VM tells callers to use.
+// entriesAt returns the entry VMs that the one at address tells callers to use.
 func (c *cluster) entriesAt(address string) []entry.Entry {
 	resp, err := client.Get("http://" + address + "/v1/entries")
 	if err != nil {
 		return nil
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var told entry.Entries
-	if json.NewDecoder(resp.Body).Decode(&told) != nil {
+	var listed entry.Entries
+	if json.NewDecoder(resp.Body).Decode(&listed) != nil {
 		return nil
 	}
-	return told.Entries
+	return listed.Entries
 }
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -197,7 +197,7 @@
 		c.waitReady(e)
 	}
 	if !s.emptyConfig {
-		c.applyUsual()
+		c.applyDefaultConfig()
 	}
 	return c
 }
--- a/test/configuration_test.go
+++ b/test/configuration_test.go
@@ -23,16 +23,16 @@
 	"github.com/vanillagate/vanillagate/internal/standin/fault"
 )
 
-// laterKey takes the place of the customer's key.
-const laterKey = "another-key-of-the-tests"
+// replacementKey replaces the customer's key.
+const replacementKey = "another-key-of-the-tests"
 
-// stateAt is the configuration that one entry VM goes by; nil while it doesn't
-// serve.
+// stateAt returns the configuration that one entry VM has in force; nil while
+// it isn't ready.
 func stateAt(address string) *config.State {
 	if !httpOK("http://" + address + "/readyz") {
 		return nil
 	}
-	got := operate(address, http.MethodGet, "config", nil, nil)
+	got := callAdminAPI(address, http.MethodGet, "config", nil, nil)
 	state := &config.State{}
 	if got.err != nil || json.Unmarshal(got.body, state) != nil {
 		return nil
@@ -40,9 +40,10 @@
 	return state
 }
 
-// change is a call of an operator that changes an item.
-func change(address, by, id, path string, item any, expect config.Revision) reply {
-	return operate(address, http.MethodPut, path, item, map[string]string{
+// changeItem writes a configuration item under an operator's name and a change
+// ID.
+func changeItem(address, by, id, path string, item any, expect config.Revision) reply {
+	return callAdminAPI(address, http.MethodPut, path, item, map[string]string{
 		"If-Match": strconv.FormatUint(uint64(expect), 10), "X-Operator": by, "Change-Id": id,
 	})
 }
@@ -56,11 +57,11 @@
 	return a.Revision
 }
 
-// revisionWatch checks all the time that no entry VM goes back behind a
-// revision that it went by before, also when its VM is replaced.
+// revisionWatch polls the entry VMs and records every return to an older
+// revision, also across the replacement of a VM.
 type revisionWatch struct {
-	wrong failureList
-	done  chan struct{}
+	regressions failureList
+	done        chan struct{}
 }
 
 func watchRevisions(c *cluster) *revisionWatch {
@@ -85,7 +86,7 @@
 			continue
 		}
 		if state.Revision < highest {
-			w.wrong.add(fmt.Sprintf("%s went back from revision %d to %d", address, highest, state.Revision))
+			w.regressions.add(fmt.Sprintf("%s returned from revision %d to %d", address, highest, state.Revision))
 		}
 		highest = max(highest, state.Revision)
 	}
@@ -99,15 +100,15 @@
 	}
 }
 
-func (w *revisionWatch) never(t *testing.T) {
+func (w *revisionWatch) assertNoRegression(t *testing.T) {
 	t.Helper()
 	w.stop()
-	w.wrong.checkEmpty(t)
+	w.regressions.checkEmpty(t)
 }
 
-// inForceWithin measures how long a revision takes to be in force at the
-// given entry VMs.
-func inForceWithin(t *testing.T, since time.Time, revision config.Revision, addresses ...string) time.Duration {
+// timeUntilInForce waits until the revision is in force at the given entry VMs
+// and returns the time elapsed since the given start.
+func timeUntilInForce(t *testing.T, since time.Time, revision config.Revision, addresses ...string) time.Duration {
 	t.Helper()
 	for _, address := range addresses {
 		waitFor(t, fmt.Sprintf("revision %d at %s", revision, address), func() bool {
@@ -118,15 +119,16 @@
 	return time.Since(since)
 }
 
-func rival(by string, n int) config.Contract {
+func rivalContract(by string, n int) config.Contract {
 	c := config.Contract{Customer: "rival", KeyHashes: []string{hashOf(by)}, InFlight: 100 + n, Share: 1 + n}
 	return c
 }
 
-// Two operators of two shifts read the same contract and change it at the same
-// moment through two entry VMs. One of them must be told that he lost, by whom
-// and at which revision, and nothing of what he wanted may be in force.
-func TestRaceOfTwoShifts(t *testing.T) {
+// Two operators read the same contract and change it at the same moment through
+// two entry VMs. The one whose change is rejected must be told who changed the
+// item and at which revision, and no part of the rejected change may be in
+// force.
+func TestConcurrentChangesOfOneItemConflict(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, clusterOptions{})
 	c.waitLinked()
@@ -136,13 +138,13 @@
 	for round := range 12 {
 		got := make([]reply, 2)
 		wanted := make([]config.Contract, 2)
-		shifts := []string{"day shift", "night shift"}
-		began := time.Now()
+		operators := []string{"day shift", "night shift"}
+		start := time.Now()
 		var both sync.WaitGroup
-		for i, by := range shifts {
-			wanted[i] = rival(by, 2*round+i)
+		for i, by := range operators {
+			wanted[i] = rivalContract(by, 2*round+i)
 			both.Go(func() {
-				got[i] = change(c.entries[i].address, by, fmt.Sprintf("%d-%s", round, by), "contracts/rival", wanted[i], last)
+				got[i] = changeItem(c.entries[i].address, by, fmt.Sprintf("%d-%s", round, by), "contracts/rival", wanted[i], last)
 			})
 		}
 		both.Wait()
@@ -151,54 +153,54 @@
 			winner = 1
 		}
 		revision := got[winner].accepted(t)
-		lost := got[1-winner]
-		assert.Equal(t, lost.status, http.StatusPreconditionFailed, "%s", lost.body)
-		says := fmt.Sprintf("%s changed this item at revision %d (change %d-%s)", shifts[winner], revision, round, shifts[winner])
-		assert.Assert(t, strings.Contains(lost.problem.Detail, says), "%q does not say %q", lost.problem.Detail, says)
+		conflict := got[1-winner]
+		assert.Equal(t, conflict.status, http.StatusPreconditionFailed, "%s", conflict.body)
+		wantDetail := fmt.Sprintf("%s changed this item at revision %d (change %d-%s)", operators[winner], revision, round, operators[winner])
+		assert.Assert(t, strings.Contains(conflict.problem.Detail, wantDetail), "%q does not say %q", conflict.problem.Detail, wantDetail)
 		assert.Assert(t, last == 0 || revision == last+1, "revision %d after %d", revision, last)
-		longest = max(longest, inForceWithin(t, began, revision, c.addresses()...))
+		longest = max(longest, timeUntilInForce(t, start, revision, c.addresses()...))
 		for _, address := range c.addresses() {
 			assert.DeepEqual(t, stateAt(address).Contracts["rival"], wanted[winner])
 		}
 		last = revision
 	}
-	watch.never(t)
-	t.Logf("12 races, in force everywhere after %d ms at most", longest.Milliseconds())
+	watch.assertNoRegression(t)
+	t.Logf("12 rounds, in force everywhere after %d ms at most", longest.Milliseconds())
 	assert.Assert(t, longest < maxPropagationDelay)
 }
 
-// The table service takes every second change in and its answer gets lost.
-// Operators who are told that nobody knows send the change again. Each change
-// must stand exactly once, and what was said to have changed nothing must not
-// be there.
-func TestLostAnswerOfAnAcceptance(t *testing.T) {
+// The table service applies writes but loses half of its answers. Operators who
+// are told that the outcome is unknown send the change again. Each change must
+// be applied exactly once, and a change reported as not_run must not have been
+// applied.
+func TestConfigChangeWithLostTableAnswerAppliesOnce(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, clusterOptions{})
 	c.waitLinked()
 	watch := watchRevisions(c)
 	base := stateAt(c.entries[0].address).Revision
 	const changes = 8
-	again := 0
+	resent := 0
 	for i := range changes {
 		name := fmt.Sprintf("customer-%d", i)
 		item := config.Contract{Customer: name, Share: i + 1}
 		c.setFault(fault.ScopeTable, fault.Fault{LoseAnswerShare: 0.5})
-		got := change(c.entries[i%3].address, "day shift", "change-"+name, "contracts/"+name, item, 0)
+		got := changeItem(c.entries[i%3].address, "day shift", "change-"+name, "contracts/"+name, item, 0)
 		c.setFault(fault.ScopeTable, fault.Fault{})
 		if got.status != http.StatusOK {
-			again++
+			resent++
 			assert.Equal(t, got.status, http.StatusServiceUnavailable, "%s", got.body)
-			stands := base + config.Revision(i) + 1
+			minRevision := base + config.Revision(i) + 1
 			if got.problem.Execution == "not_run" {
-				stands--
+				minRevision--
 			}
-			got = change(c.entries[(i+1)%3].address, "day shift", "change-"+name, "contracts/"+name, item, 0)
-			assert.Assert(t, got.accepted(t) >= stands)
+			got = changeItem(c.entries[(i+1)%3].address, "day shift", "change-"+name, "contracts/"+name, item, 0)
+			assert.Assert(t, got.accepted(t) >= minRevision)
 		}
 		assert.Equal(t, got.accepted(t), base+config.Revision(i)+1)
 	}
 	assert.Assert(t, c.tableStats().LostAnswers > changes, "no answers were lost")
-	inForceWithin(t, time.Now(), base+changes, c.addresses()...)
+	timeUntilInForce(t, time.Now(), base+changes, c.addresses()...)
 	for _, address := range c.addresses() {
 		state := stateAt(address)
 		assert.Equal(t, state.Revision, base+changes)
@@ -206,26 +208,27 @@
 			assert.Equal(t, state.Contracts[fmt.Sprintf("customer-%d", i)].Share, i+1)
 		}
 	}
-	watch.never(t)
-	t.Logf("%d changes, %d sent again by their operator, %d answers lost", changes, again, c.tableStats().LostAnswers)
+	watch.assertNoRegression(t)
+	t.Logf("%d changes, %d resent by their operator, %d answers lost", changes, resent, c.tableStats().LostAnswers)
 }
 
-// rotateKey gives the customer another key in place of the one he has.
+// rotateKey replaces the customer's key.
 func (c *cluster) rotateKey(address string) config.Revision {
 	c.t.Helper()
 	last := stateAt(address).LastChanges[config.ItemKey(config.KindContract, customer)].Revision
-	item := config.Contract{Customer: customer, KeyHashes: []string{hashOf(laterKey)}}
-	return change(address, "night shift", "rotate", "contracts/"+customer, item, last).accepted(c.t)
+	item := config.Contract{Customer: customer, KeyHashes: []string{hashOf(replacementKey)}}
+	return changeItem(address, "night shift", "rotate", "contracts/"+customer, item, last).accepted(c.t)
 }
 
-// withKey sends a small request under a key and gives the status.
-func withKey(address, key string) int {
+// statusWithKey sends a small request with an API key and returns the status.
+func statusWithKey(address, key string) int {
 	r := pipelineRequest("K", 4)
 	r.headers = map[string]string{"Authorization": "Bearer " + key}
 	return sendNow(address, r).status
 }
 
-// snapshotRevision is the revision of the snapshot in the object store.
+// snapshotRevision returns the revision of the snapshot in the object store, 0
+// if it can't be read.
 func (c *cluster) snapshotRevision() config.Revision {
 	store := objects.New(backing.StoreConfig{
 		URL: "http://" + c.fleetFile.Objects, Region: "local", AccessKey: "vanillagate", SecretKey: "vanillagate",
@@ -238,21 +241,21 @@
 	return state.Revision
 }
 
-// A customer's key got into wrong hands. An operator replaces it, and right
-// after that the table service goes down. During the outage the entry VMs are
-// replaced one after another; each begins with a snapshot in which the old key
-// still stands. It must not open any door again.
-func TestStoreGoesDownRightAfterAcceptance(t *testing.T) {
+// A customer's key has leaked. An operator replaces it, and right afterwards
+// the table service fails. During the outage the entry VMs are replaced one
+// after another; each starts from a snapshot that still contains the old key.
+// The old key must stay rejected.
+func TestRotatedKeyStaysRejectedDuringTableOutage(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, clusterOptions{})
 	c.waitLinked()
-	old := c.snapshotHas(stateAt(c.entries[0].address).Revision)
+	old := c.waitForSnapshot(stateAt(c.entries[0].address).Revision)
 	c.setFault(fault.ScopeObjects, fault.Fault{Refuse: true}) // keeps the snapshot as it is
 	watch := watchRevisions(c)
-	began := time.Now()
+	start := time.Now()
 	revision := c.rotateKey(c.entries[0].address)
 	c.setFault(fault.ScopeTable, fault.Fault{Down: true})
-	took := inForceWithin(t, began, revision, c.addresses()...)
+	took := timeUntilInForce(t, start, revision, c.addresses()...)
 	t.Logf("in force everywhere after %d ms, with the table service down", took.Milliseconds())
 	assert.Assert(t, took < maxPropagationDelay)
 	c.setFault(fault.ScopeObjects, fault.Fault{})
@@ -262,52 +265,53 @@
 		e.kill(t)
 		started := time.Now()
 		next := c.restart(e)
-		opened := 0
+		oldKeyAccepted := 0
 		waitFor(t, "the new VM to serve", func() bool {
-			if withKey(next.address, customerKey) == http.StatusOK {
-				opened++
+			if statusWithKey(next.address, customerKey) == http.StatusOK {
+				oldKeyAccepted++
 			}
-			return withKey(next.address, laterKey) == http.StatusOK
+			return statusWithKey(next.address, replacementKey) == http.StatusOK
 		})
-		assert.Equal(t, opened, 0, "the old key opened the new VM")
+		assert.Equal(t, oldKeyAccepted, 0, "the replaced VM accepted the old key")
 		t.Logf("replaced VM serves after %d ms", time.Since(started).Milliseconds())
 		c.waitLinked()
-		assert.Equal(t, withKey(next.address, customerKey), http.StatusUnauthorized)
+		assert.Equal(t, statusWithKey(next.address, customerKey), http.StatusUnauthorized)
 	}
-	watch.never(t)
+	watch.assertNoRegression(t)
 }
 
-// snapshotHas waits until the snapshot holds a revision.
-func (c *cluster) snapshotHas(revision config.Revision) config.Revision {
+// waitForSnapshot waits until the snapshot contains a revision and returns the
+// snapshot's revision.
+func (c *cluster) waitForSnapshot(revision config.Revision) config.Revision {
 	c.t.Helper()
 	waitFor(c.t, "the snapshot", func() bool { return c.snapshotRevision() >= revision })
 	return c.snapshotRevision()
 }
 
-// All entry VMs are lost while the table service is down, and one comes back
-// before the others: nobody can tell it what is in force but the snapshot.
-func TestLastSnapshotIsInForceWhereNobodyAnswers(t *testing.T) {
+// All entry VMs fail while the table service is down, and one comes back before
+// the others: the snapshot is its only source of the configuration.
+func TestEntryVMStartsFromSnapshotWithoutTableOrPeers(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, clusterOptions{})
 	revision := stateAt(c.entries[0].address).Revision
-	c.snapshotHas(revision)
+	c.waitForSnapshot(revision)
 	c.setFault(fault.ScopeTable, fault.Fault{Down: true})
 	for _, e := range c.entries {
 		e.kill(t)
 	}
-	began := time.Now()
+	start := time.Now()
 	next := c.restart(c.entries[0])
 	c.waitReady(next)
-	t.Logf("serves by the snapshot after %d ms", time.Since(began).Milliseconds())
+	t.Logf("serves from the snapshot after %d ms", time.Since(start).Milliseconds())
 	assert.Equal(t, stateAt(next.address).Revision, revision)
 	assert.Equal(t, sendNow(next.address, pipelineRequest("Q", 4)).output(t), wholeText("Q", 4))
 }
 
-// An entry VM stands still for a while, as VMs do when they are moved. While
-// it does, a customer's key is replaced. Requests with the old key wait at its
-// door; when it goes on it must not let them in by the contract that it still
-// has in memory, also when the table service can't be asked.
-func TestFrozenVMDoesNotBringAnOldContractBack(t *testing.T) {
+// An entry VM freezes for a while, as VMs do during a live migration. Meanwhile
+// a customer's key is replaced, and requests with the old key queue at the
+// frozen VM. When it resumes, it must not admit them by the contract that it
+// still has in memory, also if the table service can't be read.
+func TestResumedVMRejectsRotatedKey(t *testing.T) {
 	t.Parallel()
 	for _, down := range []bool{false, true} {
 		t.Run(fmt.Sprintf("table down %t", down), func(t *testing.T) {
@@ -315,47 +319,47 @@
 			c := startCluster(t, clusterOptions{})
 			c.waitLinked()
 			frozen := c.entries[2]
-			assert.Equal(t, withKey(frozen.address, customerKey), http.StatusOK)
+			assert.Equal(t, statusWithKey(frozen.address, customerKey), http.StatusOK)
 			watch := watchRevisions(c)
 			frozen.signal(t, syscall.SIGSTOP)
-			stopped := time.Now()
-			began := time.Now()
+			frozenAt := time.Now()
+			start := time.Now()
 			revision := c.rotateKey(c.entries[0].address)
-			inForceWithin(t, began, revision, c.entries[0].address, c.entries[1].address)
+			timeUntilInForce(t, start, revision, c.entries[0].address, c.entries[1].address)
 			if down {
 				c.setFault(fault.ScopeTable, fault.Fault{Down: true})
 			}
 			code, out := c.vgctl("contract", "wait", "--timeout", "2s", strconv.Itoa(int(revision)))
 			assert.Equal(t, code, 5, "%s", out)
 			for i, want := range []string{"yes", "yes", "no answer"} {
-				assert.Equal(t, c.says(out, c.entries[i].address), want, "%s", out)
+				assert.Equal(t, c.lastColumns(out, c.entries[i].address), want, "%s", out)
 			}
 			const waiting = 20
 			var got [waiting]int
 			var all sync.WaitGroup
 			for i := range got {
-				all.Go(func() { got[i] = withKey(frozen.address, customerKey) })
+				all.Go(func() { got[i] = statusWithKey(frozen.address, customerKey) })
 			}
-			waitFor(t, "the VM to have stood still for long", func() bool { return time.Since(stopped) > 2500*time.Millisecond })
+			waitFor(t, "the VM to have been frozen for 2.5 s", func() bool { return time.Since(frozenAt) > 2500*time.Millisecond })
 			frozen.signal(t, syscall.SIGCONT)
-			thawed := time.Now()
+			resumed := time.Now()
 			all.Wait()
 			for _, status := range got {
 				assert.Equal(t, status, http.StatusUnauthorized, "%v", got)
 			}
-			took := inForceWithin(t, thawed, revision, frozen.address)
-			t.Logf("in force there %d ms after it went on", took.Milliseconds())
+			took := timeUntilInForce(t, resumed, revision, frozen.address)
+			t.Logf("in force there %d ms after it resumed", took.Milliseconds())
 			code, out = c.vgctl("contract", "wait", "--timeout", "20s", strconv.Itoa(int(revision)))
 			assert.Equal(t, code, 0, "%s", out)
 			for _, e := range c.entries {
-				assert.Equal(t, c.says(out, e.address), "yes", "%s", out)
+				assert.Equal(t, c.lastColumns(out, e.address), "yes", "%s", out)
 			}
-			watch.never(t)
+			watch.assertNoRegression(t)
 		})
 	}
 }
 
-// vgctl runs the operators' desk against the first entry VM.
+// vgctl runs the operators' command-line tool against the first entry VM.
 func (c *cluster) vgctl(args ...string) (code int, out string) {
 	c.t.Helper()
 	cmd := exec.Command(binaryPath("vgctl"), args...)
@@ -367,8 +371,9 @@
 	return cmd.ProcessState.ExitCode(), string(raw)
 }
 
-// says finds what a table of vgctl says in the last columns of a VM's row.
-func (c *cluster) says(out, address string) string {
+// lastColumns returns the text after the third column of a VM's row in a table
+// that vgctl printed.
+func (c *cluster) lastColumns(out, address string) string {
 	for line := range strings.Lines(out) {
 		fields := strings.Fields(line)
 		if len(fields) > 3 && fields[0] == address {
--- a/test/cost_test.go
+++ b/test/cost_test.go
@@ -17,7 +17,8 @@
 	"github.com/vanillagate/vanillagate/internal/standin/fault"
 )
 
-// costPeriod is how often the entry VMs of these tests write cost rows.
+// costPeriod is the interval at which the entry VMs of these tests write cost
+// rows.
 const costPeriod = 500 * time.Millisecond
 
 const (
@@ -25,26 +26,26 @@
 	secondKey      = "second-customer-key-of-the-tests"
 )
 
-// bill is engine time by customer, in microseconds.
-type bill map[string]int64
+// customerCosts is engine time by customer, in microseconds.
+type customerCosts map[string]int64
 
-func (b bill) total() int64 {
+func (c customerCosts) total() int64 {
 	var sum int64
-	for _, us := range b {
+	for _, us := range c {
 		sum += us
 	}
 	return sum
 }
 
-// attributed is what the system says that each customer cost, and the part of
-// it that it had to estimate.
-func (c *cluster) attributed(at string) (all bill, estimated int64) {
-	got := operate(at, http.MethodGet, "costs", nil, nil)
+// attributedCosts returns the costs that the system reports for each customer,
+// and the part of their sum that it estimated.
+func (c *cluster) attributedCosts(at string) (all customerCosts, estimated int64) {
+	got := callAdminAPI(at, http.MethodGet, "costs", nil, nil)
 	var report costs.Report
 	if got.err != nil || got.status != http.StatusOK || json.Unmarshal(got.body, &report) != nil {
-		return bill{}, 0
+		return customerCosts{}, 0
 	}
-	all = bill{}
+	all = customerCosts{}
 	for _, e := range report.Entries {
 		all[e.Customer] += e.EngineUS
 		estimated += e.EstimatedUS
@@ -52,10 +53,10 @@
 	return all, estimated
 }
 
-// counted is what the targets themselves counted, and the part of it that went
-// into calls that did not finish.
-func (c *cluster) counted() (all bill, unfinished int64) {
-	all = bill{}
+// countedCosts returns the engine time that the targets recorded for each
+// customer, and the part spent on calls that did not finish.
+func (c *cluster) countedCosts() (all customerCosts, unfinished int64) {
+	all = customerCosts{}
 	for _, e := range c.executions() {
 		all[e.Customer] += e.EngineUS
 		if !e.Finished {
@@ -65,9 +66,9 @@
 	return all, unfinished
 }
 
-// settled waits until all calls at targets have ended and what they cost has
-// been written: the bill stands still over two periods.
-func (c *cluster) settled(at string) (bill, int64) {
+// waitCostsSettled waits until all calls at targets have ended and their costs
+// are written: the report doesn't change for three periods.
+func (c *cluster) waitCostsSettled(at string) (customerCosts, int64) {
 	c.t.Helper()
 	waitFor(c.t, "all calls at targets to end", func() bool {
 		for _, e := range c.executions() {
@@ -77,43 +78,44 @@
 		}
 		return true
 	})
-	last, since := bill{}, time.Now()
+	last, since := customerCosts{}, time.Now()
 	waitFor(c.t, "the cost rows to be written", func() bool {
-		now, _ := c.attributed(at)
+		now, _ := c.attributedCosts(at)
 		if now.total() != last.total() {
 			last, since = now, time.Now()
 		}
 		return len(last) > 0 && time.Since(since) > 3*costPeriod
 	})
-	return c.attributed(at)
+	return c.attributedCosts(at)
 }
 
-// costCluster has two customers and quick cost rows.
+// costCluster starts a cluster with two customers and a short cost period.
 func costCluster(t *testing.T, policy string) *cluster {
 	t.Helper()
 	c := startCluster(t, clusterOptions{flags: []string{"--cost-period", costPeriod.String(), "--policy", policy}})
-	c.waitInForce(c.put(c.entries[0].address, "contracts/"+secondCustomer, config.Contract{
+	c.waitInForce(c.putItem(c.entries[0].address, "contracts/"+secondCustomer, config.Contract{
 		Customer: secondCustomer, KeyHashes: []string{hashOf(secondKey)},
 	}, 0))
 	return c
 }
 
-func (r request) as(key string) request {
+func (r request) withAPIKey(key string) request {
 	r.headers = map[string]string{"Authorization": "Bearer " + key}
 	return r
 }
 
-// work is what callers do at one entry VM.
-type work func(address, name string, i int)
+// workFunc is what a caller does at one entry VM in its i-th turn.
+type workFunc func(address, name string, i int)
 
-// everyone has some callers at each entry VM do some work side by side.
-func (c *cluster) everyone(callers, each int, do work) {
+// runCallers runs concurrent callers at each entry VM; each does the work for a
+// number of turns.
+func (c *cluster) runCallers(callers, turns int, work workFunc) {
 	var all sync.WaitGroup
-	for place, e := range c.entries {
+	for vm, e := range c.entries {
 		for j := range callers {
 			all.Go(func() {
-				for i := range each {
-					do(e.address, fmt.Sprintf("c%d-%d", place, j), i)
+				for i := range turns {
+					work(e.address, fmt.Sprintf("c%d-%d", vm, j), i)
 				}
 			})
 		}
@@ -121,27 +123,27 @@
 	all.Wait()
 }
 
-// mixed asks for pipelines as JSON and as streams, and for the plain service
-// in both its forms, as two customers.
-func mixed(address, name string, i int) {
+// mixedWork sends pipeline requests as JSON and as streams, and idempotent and
+// non-idempotent calls of the plain service, as two customers.
+func mixedWork(address, name string, i int) {
 	ref := fmt.Sprintf("%s-%d", name, i)
 	switch i % 5 {
 	case 0:
 		sendNow(address, pipelineRequest(ref, 8))
 	case 1:
-		sendNow(address, pipelineRequest(ref, 12).as(secondKey))
+		sendNow(address, pipelineRequest(ref, 12).withAPIKey(secondKey))
 	case 2:
 		stream(context.Background(), address, ref, 10, nil)
 	case 3:
-		sendNow(address, lookupRequest(ref).as(secondKey))
+		sendNow(address, lookupRequest(ref).withAPIKey(secondKey))
 	case 4:
-		sendNow(address, confirm(newKey()))
+		sendNow(address, bookingRequest(newKey()))
 	}
 }
 
-// impatient is a caller that leaves while its stream runs, and one whose time
-// runs out.
-func impatient(address, name string, i int) {
+// abandonedWork alternates between a caller that disconnects in mid-stream and
+// a request whose timeout expires.
+func abandonedWork(address, name string, i int) {
 	ref := fmt.Sprintf("%s-%d", name, i)
 	if i%2 == 0 {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -159,93 +161,94 @@
 	sendNow(address, r)
 }
 
-// near checks what was attributed against what the targets counted: it may be
-// off by 1%, and by two thirds of what calls cost that told nothing, as it was
-// estimated or counted. On a busy machine calls stall and are hedged where no
-// case asked for it, so that every case has some of them.
-func near(t *testing.T, what string, got, want, untold int64) {
+// assertCostClose compares the attributed with the counted cost. It may be off
+// by 1%, plus two thirds of what calls cost that reported nothing, as estimated
+// or counted. On a busy machine calls stall and are hedged where no case asked
+// for it, so that every case has some of those calls.
+func assertCostClose(t *testing.T, what string, got, want, unreported int64) {
 	t.Helper()
 	off := max(got-want, want-got)
 	t.Logf("COST %s: attributed %d us, counted %d us, off %+.2f%%", what, got, want, 100*float64(got-want)/float64(max(want, 1)))
-	assert.Assert(t, off <= want/100+untold*2/3, "%s: attributed %d, counted %d, untold %d", what, got, want, untold)
+	assert.Assert(t, off <= want/100+unreported*2/3, "%s: attributed %d, counted %d, unreported %d", what, got, want, unreported)
 }
 
-// A customer is billed by what its requests cost the targets. What is counted
-// twice or left out is somebody's money. Streams tell their cost at their end
-// only, a hedge's loser and a caller that leaves tell nothing, and the table
-// may take a row and lose the answer.
-func TestCostsAreWhatTheTargetsCounted(t *testing.T) {
+// A customer is billed for the engine time of its requests, so no cost may be
+// counted twice or left out. Streams report their cost only at the end, the
+// loser of a hedge and a call whose caller disconnects report nothing, and the
+// table may write a row and lose the answer.
+func TestAttributedCostsMatchTargets(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		name string
-		// estimates says that some calls of the case tell no cost.
-		estimates bool
-		run       func(c *cluster)
+		// hasEstimates is set if some calls of the case report no cost.
+		hasEstimates bool
+		run          func(c *cluster)
 	}{
-		{name: "JSON, streams and services", run: func(c *cluster) { c.everyone(4, 30, mixed) }},
+		{name: "JSON, streams and services", run: func(c *cluster) { c.runCallers(4, 30, mixedWork) }},
 		{name: "answers of the store lost", run: func(c *cluster) {
-			half := make(chan struct{})
+			firstHalfDone := make(chan struct{})
 			go func() {
-				defer close(half)
-				c.everyone(3, 20, withoutBookings)
+				defer close(firstHalfDone)
+				c.runCallers(3, 20, mixedWithoutBookings)
 			}()
 			c.tableRelay.SetFaults(relay.Faults{LoseAnswer: true})
-			<-half
-			<-time.After(3 * costPeriod) // rows are written again and again
+			<-firstHalfDone
+			<-time.After(3 * costPeriod) // the rows are resent meanwhile
 			c.tableRelay.SetFaults(relay.Faults{})
-			c.everyone(3, 20, withoutBookings)
+			c.runCallers(3, 20, mixedWithoutBookings)
 		}},
-		{name: "hedges", estimates: true, run: func(c *cluster) {
-			c.everyone(2, 20, withoutBookings)
+		{name: "hedges", hasEstimates: true, run: func(c *cluster) {
+			c.runCallers(2, 20, mixedWithoutBookings)
 			c.setFault(fault.TargetScope(c.targets("retriever")[0]), fault.Fault{StraggleFactor: 30})
-			c.everyone(4, 30, withoutBookings)
+			c.runCallers(4, 30, mixedWithoutBookings)
 		}},
-		{name: "callers that leave", estimates: true, run: func(c *cluster) {
-			c.everyone(4, 40, func(address, name string, i int) {
+		{name: "callers that leave", hasEstimates: true, run: func(c *cluster) {
+			c.runCallers(4, 40, func(address, name string, i int) {
 				if i%4 == 3 {
-					impatient(address, name, i/4)
+					abandonedWork(address, name, i/4)
 					return
 				}
-				mixed(address, name, i)
+				mixedWork(address, name, i)
 			})
 		}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			// A busy machine has hedges by itself, and their losers' cost is
-			// estimated: the exact cases go without.
+			// On a busy machine hedges occur in any case, and the cost of their
+			// losers is estimated: the exact cases disable hedging.
 			policy := "no-hedge"
-			if tc.estimates {
+			if tc.hasEstimates {
 				policy = "present"
 			}
 			c := costCluster(t, policy)
 			tc.run(c)
-			got, estimated := c.settled(c.entries[0].address)
-			want, unfinished := c.counted()
-			untold := max(estimated, unfinished)
+			got, estimated := c.waitCostsSettled(c.entries[0].address)
+			want, unfinished := c.countedCosts()
+			unreported := max(estimated, unfinished)
 			t.Logf("COST %s: estimated %d us, unfinished calls cost %d us", tc.name, estimated, unfinished)
-			if !tc.estimates {
+			if !tc.hasEstimates {
 				for name := range want {
-					near(t, tc.name+", "+name, got[name], want[name], untold)
+					assertCostClose(t, tc.name+", "+name, got[name], want[name], unreported)
 				}
 				return
 			}
-			near(t, tc.name+", without the estimates", got.total()-estimated, want.total()-unfinished, untold)
-			near(t, tc.name+", all", got.total(), want.total(), untold)
+			assertCostClose(t, tc.name+", without the estimates", got.total()-estimated, want.total()-unfinished, unreported)
+			assertCostClose(t, tc.name+", all", got.total(), want.total(), unreported)
 		})
 	}
 }
 
-func withoutBookings(address, name string, i int) {
+func mixedWithoutBookings(address, name string, i int) {
 	if i%5 != 4 {
-		mixed(address, name, i)
+		mixedWork(address, name, i)
 	}
 }
 
-// An entry VM dies. What it gathered since its last cost rows is lost, and
-// nobody is billed for it. That must not be more than a period's worth.
-func TestKilledEntryVMLosesAPeriodOfCost(t *testing.T) {
+// An entry VM is killed. The costs that it collected since its last cost rows
+// are lost, and nobody is billed for them. That must not be more than the costs
+// of one period.
+func TestKilledEntryVMLosesAtMostOnePeriodOfCosts(t *testing.T) {
 	t.Parallel()
 	c := costCluster(t, "no-hedge")
 	l := startLoad(c, 3, nil)
@@ -253,11 +256,11 @@
 	c.entries[2].kill(t)
 	killed := time.Now()
 	l.stop()
-	got, _ := c.settled(c.entries[0].address)
-	want, _ := c.counted()
+	got, _ := c.waitCostsSettled(c.entries[0].address)
+	want, _ := c.countedCosts()
 	var atRisk int64
 	for _, e := range c.executions() {
-		if killed.Sub(time.UnixMicro(e.StartedUnixUS)) < costPeriod+longestCall {
+		if killed.Sub(time.UnixMicro(e.StartedUnixUS)) < costPeriod+maxChargeDelay {
 			atRisk += e.EngineUS
 		}
 	}
@@ -266,6 +269,6 @@
 	assert.Assert(t, lost >= -want.total()/100 && lost <= atRisk, "lost %d", lost)
 }
 
-// longestCall is above what a call takes that is charged when it ends, and a
-// write of rows.
-const longestCall = 500 * time.Millisecond
+// maxChargeDelay is above the duration of a call, which is charged when it
+// ends, plus that of a write of cost rows.
+const maxChargeDelay = 500 * time.Millisecond
--- a/test/path_test.go
+++ b/test/end_to_end_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestWholePath(t *testing.T) {
+func TestRequestsRunEndToEnd(t *testing.T) {
 	c := startCluster(t, clusterOptions{})
 	for _, e := range c.entries {
 		got := sendNow(e.address, pipelineRequest("Q1", 16))
@@ -17,9 +17,9 @@
 		assert.NilError(t, s.err)
 		assert.Equal(t, s.text, wholeText("Q2", 16))
 	}
-	first := sendNow(c.entries[0].address, confirm("K1"))
+	first := sendNow(c.entries[0].address, bookingRequest("K1"))
 	assert.Equal(t, first.status, http.StatusOK, "%s", first.body)
-	assert.Equal(t, c.ranWithKey("K1"), 1)
+	assert.Equal(t, c.executionsWithKey("K1"), 1)
 }
 
 func TestBadInputGetsClearProblems(t *testing.T) {
@@ -29,7 +29,7 @@
 		name   string
 		req    request
 		status int
-		says   string
+		title  string
 	}{
 		{"malformed JSON", request{path: "/v1/pipelines/quote", body: `{"input":`}, 400, "Malformed JSON"},
 		{"text that is not UTF-8", request{path: "/v1/pipelines/quote", body: "{\"input\":\"caf\xe9\"}"}, 400, "Malformed JSON"},
@@ -50,7 +50,7 @@
 			assert.NilError(t, got.err)
 			assert.Equal(t, got.status, tc.status, "%s", got.body)
 			assert.Assert(t, got.problem != nil, "%s", got.body)
-			assert.Equal(t, got.problem.Title, tc.says)
+			assert.Equal(t, got.problem.Title, tc.title)
 			assert.Equal(t, string(got.problem.Execution), "not_run")
 		})
 	}
--- a/test/identity_test.go
+++ b/test/identity_test.go
@@ -18,17 +18,18 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// stagePools are the pools of the usual pipeline.
+// stagePools are the pools of the default pipeline's stages.
 var stagePools = []string{"encoder", "retriever", "reranker", "llm"}
 
-// burst sends many pipeline requests at once, JSON and streams by turns, over
-// all entry VMs, and checks that each answer is its own request's and whole.
-// It counts the answers; whatever is none has to be a clear problem.
-func (c *cluster) burst(prefix string, n int) (answered int, ids map[string]string) {
+// sendBurst sends n pipeline requests at once, alternating between JSON and
+// streams and between entry VMs, and checks that each answer is complete and
+// belongs to its request. It counts the answers; every other reply must be a
+// problem. ids maps the request IDs of the JSON answers to their references.
+func (c *cluster) sendBurst(prefix string, n int) (answered int, ids map[string]string) {
 	c.t.Helper()
 	var all sync.WaitGroup
 	replies := make([]reply, n)
-	streams := make([]streamed, n)
+	streams := make([]streamResult, n)
 	for i := range n {
 		all.Go(func() {
 			at, ref := c.entries[i%len(c.entries)].address, refOf(prefix, i)
@@ -61,11 +62,11 @@
 		return 0
 	}
 	assert.Equal(c.t, got.output(c.t), wholeText(ref, 8))
-	ids[got.id] = ref
+	ids[got.requestID] = ref
 	return 1
 }
 
-func (c *cluster) checkStream(ref string, got streamed) int {
+func (c *cluster) checkStream(ref string, got streamResult) int {
 	c.t.Helper()
 	assert.NilError(c.t, got.err, ref)
 	if got.problem != nil {
@@ -76,8 +77,9 @@
 	return 1
 }
 
-// stageInputs are the bodies that the targets got for answered requests, by
-// reference and stage: what one stage hands to the next shows in them.
+// stageInputs returns the fingerprints of the bodies that the targets got for
+// answered requests, by reference and stage: they show what each stage passed
+// on to the next.
 func (c *cluster) stageInputs(ids map[string]string) map[string]map[string]bool {
 	c.t.Helper()
 	inputs := map[string]map[string]bool{}
@@ -97,106 +99,105 @@
 	return inputs
 }
 
-// One target of every pool mixes up its callers: two that come at the same time
-// get each other's answers, on connections that are kept. Without a look at
-// whose answer it is, a caller would read another's quote, or a quote made from
-// another's documents.
-func TestCrossedAnswersAreNeverForwarded(t *testing.T) {
+// One target of every pool swaps the answers of two concurrent calls, on reused
+// connections. Without a check of the answer's identity, a caller would get
+// another caller's quote, or a quote generated from another's documents.
+func TestSwappedAnswersAreNeverForwarded(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, clusterOptions{entries: 2})
 	const requests = 60
-	answered, ids := c.burst("Q", requests)
+	answered, ids := c.sendBurst("Q", requests)
 	assert.Equal(t, answered, requests)
 	before := c.stageInputs(ids)
 
-	moved, mixers := map[string]string{}, map[string]*crossing{}
+	moved, swappers := map[string]string{}, map[string]*answerSwapper{}
 	for _, p := range c.fleetFile.Pools {
-		mixer := crossAt(t, p.FirstAddress)
-		moved[p.FirstAddress] = mixer.address()
-		mixers[p.Pool] = mixer
+		swapper := startAnswerSwapper(t, p.FirstAddress)
+		moved[p.FirstAddress] = swapper.address()
+		swappers[p.Pool] = swapper
 	}
 	c.moveTargets(moved)
 	for _, pool := range stagePools {
-		waitFor(t, "crossed answers of "+pool, func() bool {
-			answered, ids = c.burst("Q", requests)
+		waitFor(t, "swapped answers of "+pool, func() bool {
+			answered, ids = c.sendBurst("Q", requests)
 			assert.Assert(t, answered > 0)
 			for key, inputs := range c.stageInputs(ids) {
 				assert.DeepEqual(t, inputs, before[key])
 			}
-			return mixers[pool].crossed.Load() > 0
+			return swappers[pool].swapped.Load() > 0
 		})
 	}
-	waitFor(t, "crossed answers of booking", func() bool {
-		c.burstOfBookings(30)
-		return mixers["booking"].crossed.Load() > 0
+	waitFor(t, "swapped answers of booking", func() bool {
+		c.sendBookingBurst(30)
+		return swappers["booking"].swapped.Load() > 0
 	})
 }
 
-// burstOfBookings sends bookings and looks at once, and checks that each answer
-// is its own call's.
-func (c *cluster) burstOfBookings(n int) {
+// sendBookingBurst sends bookings and reads at once, and checks that each
+// answer belongs to its own call.
+func (c *cluster) sendBookingBurst(n int) {
 	c.t.Helper()
 	keys := make([]string, n)
-	replies, looks := make([]reply, n), make([]reply, n)
+	replies, reads := make([]reply, n), make([]reply, n)
 	var all sync.WaitGroup
 	for i := range n {
 		keys[i] = newKey()
 		at := c.entries[i%len(c.entries)].address
-		all.Go(func() { replies[i] = sendNow(at, confirm(keys[i])) })
+		all.Go(func() { replies[i] = sendNow(at, bookingRequest(keys[i])) })
 		all.Go(func() {
-			looks[i] = sendNow(at, request{method: http.MethodGet, path: "/v1/services/booking/look/" + keys[i]})
+			reads[i] = sendNow(at, request{method: http.MethodGet, path: "/v1/services/booking/look/" + keys[i]})
 		})
 	}
 	all.Wait()
 	for i, key := range keys {
-		c.checkTrue("crossed", key, replies[i])
+		c.checkExecution("swapped", key, replies[i])
 		if replies[i].status == http.StatusOK {
 			assert.Assert(c.t, strings.Contains(string(replies[i].body), `"[ref:`+key+`]"`), "%s got %s", key, replies[i].body)
 		}
-		if looks[i].status == http.StatusOK {
-			assert.Assert(c.t, strings.Contains(string(looks[i].body), "/look/"+key+`"`), "%s got %s", key, looks[i].body)
+		if reads[i].status == http.StatusOK {
+			assert.Assert(c.t, strings.Contains(string(reads[i].body), "/look/"+key+`"`), "%s got %s", key, reads[i].body)
 		}
 	}
 }
 
-// Targets answer under another request's identity, of each stage in turn and
-// then of all at once. Every answer that a caller gets is its own all the same.
-func TestAnswersWithAnothersIdentityAreDropped(t *testing.T) {
+// Targets answer with another request's identity, one stage at a time and then
+// all at once. Every answer that a caller gets must still be its own.
+func TestAnswersWithWrongIdentityAreDropped(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, clusterOptions{entries: 2})
 	wrong := fault.Fault{WrongIdentityShare: 0.3}
 	for _, pool := range stagePools {
 		c.setFault(fault.PoolScope(pool), wrong)
-		answered, _ := c.burst(pool, 20)
+		answered, _ := c.sendBurst(pool, 20)
 		assert.Assert(t, answered > 0, pool)
 		c.setFault(fault.PoolScope(pool), fault.Fault{})
 	}
 	for _, pool := range append([]string{"booking"}, stagePools...) {
 		c.setFault(fault.PoolScope(pool), wrong)
 	}
-	c.burst("all", 20)
-	c.burstOfBookings(10)
-	// With the whole pool at it there is no answer at all.
-	c.setFault(bookingPool, fault.Fault{WrongIdentityShare: 1})
-	got := sendNow(c.entries[0].address, confirm(newKey()))
+	c.sendBurst("all", 20)
+	c.sendBookingBurst(10)
+	// If all answers of the pool have a wrong identity, the caller gets none.
+	c.setFault(bookingScope, fault.Fault{WrongIdentityShare: 1})
+	got := sendNow(c.entries[0].address, bookingRequest(newKey()))
 	assert.Equal(t, got.status, http.StatusBadGateway, "%s", got.body)
 }
 
-// One target in three is far slower than the others. The stages are hedged and
-// tried again elsewhere, and the slow answers come late, when the request has
-// long gone on or another one uses the connection. None may be used twice, or
-// for another.
+// One target in three is far slower than the others, so stages are hedged and
+// retried elsewhere. The slow answers arrive late, when the request has moved
+// on or another one uses the connection. None may be used twice, or for another
+// request.
 func TestLateAnswersOfHedgesAndEarlierAttemptsAreNotUsed(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, clusterOptions{entries: 2})
-	answered, ids := c.burst("Q", 40)
+	answered, ids := c.sendBurst("Q", 40)
 	assert.Equal(t, answered, 40)
 	before := c.stageInputs(ids)
 	for _, p := range c.fleetFile.Pools {
 		c.setFault(fault.TargetScope(p.FirstAddress), fault.Fault{StraggleFactor: 40})
 	}
 	waitFor(t, "hedges", func() bool {
-		answered, ids = c.burst("Q", 40)
+		answered, ids = c.sendBurst("Q", 40)
 		assert.Assert(t, answered > 0)
 		for key, inputs := range c.stageInputs(ids) {
 			assert.DeepEqual(t, inputs, before[key])
@@ -205,7 +206,7 @@
 	})
 }
 
-// secondAttempts counts attempts after the first of their stage.
+// secondAttempts counts the attempts after the first of each stage.
 func (c *cluster) secondAttempts() int {
 	c.t.Helper()
 	n := 0
@@ -217,15 +218,15 @@
 	return n
 }
 
-// An engine took an old order and runs another version of the model than the
-// one in force. Its answers look like all others, and a customer would be
-// quoted by a model that was withdrawn.
+// An engine followed an outdated order and runs another version of the model
+// than the one in force. Its answers look like all others, and a customer would
+// get a quote from a withdrawn model.
 func TestAnswersOfAnotherModelVersionAreNeverForwarded(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, clusterOptions{entries: 1})
 	at := c.entries[0].address
 	old := c.fleetFile.Pools[0].FirstAddress
-	c.orderModel(old, targetapi.SetModelRequest{Model: "m1", Version: "0"})
+	c.setModel(old, targetapi.SetModelRequest{Model: "m1", Version: "0"})
 	asked := false
 	for i := range 40 {
 		got := sendNow(at, pipelineRequest(refOf("V", i), 4))
@@ -239,23 +240,23 @@
 
 	// No engine runs the version in force.
 	pool := config.Pool{Name: "llm", Kind: config.TargetEngine, ChecksFencing: true, Model: "m1", Version: "2"}
-	c.waitInForce(c.put(at, "pools/llm", pool, c.lastChange(at, config.KindPool, "llm")))
+	c.waitInForce(c.putItem(at, "pools/llm", pool, c.lastChange(at, config.KindPool, "llm")))
 	got := sendNow(at, pipelineRequest("V", 4))
 	assert.Assert(t, got.problem != nil, "%s", got.body)
 	s := stream(context.Background(), at, "V", 4, nil)
 	assert.Assert(t, s.problem != nil && s.text == "")
 }
 
-// lastChange is the revision of an item's last change.
+// lastChange returns the revision of an item's last change.
 func (c *cluster) lastChange(at string, kind config.Kind, name string) config.Revision {
 	c.t.Helper()
 	var state config.State
-	assert.NilError(c.t, json.Unmarshal(operate(at, http.MethodGet, "config", nil, nil).body, &state))
+	assert.NilError(c.t, json.Unmarshal(callAdminAPI(at, http.MethodGet, "config", nil, nil).body, &state))
 	return state.LastChanges[config.ItemKey(kind, name)].Revision
 }
 
-// orderModel has an engine serve another model or version.
-func (c *cluster) orderModel(engine string, order targetapi.SetModelRequest) {
+// setModel makes an engine serve another model or version.
+func (c *cluster) setModel(engine string, order targetapi.SetModelRequest) {
 	c.t.Helper()
 	raw, err := json.Marshal(order)
 	assert.NilError(c.t, err)
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -27,7 +27,7 @@
 // announceStop has a stop announced at one entry VM.
 func announceStop(t *testing.T, address string, stop config.Stop, expect config.Revision) entry.Accepted {
 	t.Helper()
-	got := operate(address, http.MethodPut, "stops/"+stop.ID, stop, map[string]string{"If-Match": strconv.FormatUint(uint64(expect), 10)})
+	got := callAdminAPI(address, http.MethodPut, "stops/"+stop.ID, stop, map[string]string{"If-Match": strconv.FormatUint(uint64(expect), 10)})
 	assert.NilError(t, got.err)
 	assert.Assert(t, got.status == http.StatusOK || got.status == http.StatusAccepted, "%s", got.body)
 	var a entry.Accepted
@@ -182,7 +182,7 @@
 	c := startCluster(t, clusterOptions{editFleet: inOneZone})
 	c.waitLinked()
 	first := announceStop(t, c.entries[0].address, stopOf("S", c.targets("llm")[0]), 0)
-	ended := operate(c.entries[1].address, http.MethodDelete, "stops/S", nil, map[string]string{"If-Match": strconv.FormatUint(uint64(first.Revision), 10)})
+	ended := callAdminAPI(c.entries[1].address, http.MethodDelete, "stops/S", nil, map[string]string{"If-Match": strconv.FormatUint(uint64(first.Revision), 10)})
 	assert.Equal(t, ended.status, http.StatusOK, "%s", ended.body)
 	var a entry.Accepted
 	assert.NilError(t, json.Unmarshal(ended.body, &a))
@@ -221,7 +221,7 @@
 }
 
 func stopInForce(address, id string) bool {
-	got := operate(address, http.MethodGet, "config", nil, nil)
+	got := callAdminAPI(address, http.MethodGet, "config", nil, nil)
 	var state config.State
 	if got.err != nil || json.Unmarshal(got.body, &state) != nil {
 		return false
@@ -239,10 +239,10 @@
 	c.waitLinked()
 	targets := c.targets("llm")
 	announceStop(t, c.entries[0].address, stopOf("S", targets[0]), 0)
-	lost := operate(c.entries[1].address, http.MethodPut, "stops/S", stopOf("S", targets[1]), map[string]string{"If-Match": "0"})
+	lost := callAdminAPI(c.entries[1].address, http.MethodPut, "stops/S", stopOf("S", targets[1]), map[string]string{"If-Match": "0"})
 	assert.Equal(t, lost.status, http.StatusPreconditionFailed, "%s", lost.body)
 	bad := map[string]string{"id": "T", "on": "target", "address": targets[2], "raeson": "a misspelt field"}
-	refused := operate(c.entries[1].address, http.MethodPut, "stops/T", bad, map[string]string{"If-Match": "0"})
+	refused := callAdminAPI(c.entries[1].address, http.MethodPut, "stops/T", bad, map[string]string{"If-Match": "0"})
 	assert.Equal(t, refused.status, http.StatusBadRequest, "%s", refused.body)
 	refusedAt := time.Now()
 	l := startLoad(c, 2, nil)
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -20,14 +20,15 @@
 	"github.com/vanillagate/vanillagate/internal/standin/vmlist"
 )
 
-// admitted is one request that was let in and answered.
-type admitted struct {
+// admittedRequest is one request that was admitted and answered.
+type admittedRequest struct {
 	start, end time.Time
-	units      float64 // what it takes of the limit
+	units      float64 // its cost in units of the limit
 }
 
-// demand sends at given rates, whatever comes back, and keeps what was let in.
-type demand struct {
+// rateLoad sends requests at fixed rates, regardless of the answers, and
+// records those that were admitted.
+type rateLoad struct {
 	request func(n int64) request
 	units   float64
 
@@ -35,61 +36,62 @@
 	wait   sync.WaitGroup
 	sent   atomic.Int64
 
-	mu  sync.Mutex // guards got
-	got []admitted
+	mu       sync.Mutex // guards admitted
+	admitted []admittedRequest
 }
 
-// startDemand sends so many requests a second for each place, to the entry VM
-// that at names for it.
-func startDemand(c *cluster, d *demand, rates []float64, at func(place int) string) {
+// startRateLoad sends at each of the rates (per second) to the entry VM whose
+// address at returns for the rate's index.
+func startRateLoad(c *cluster, l *rateLoad, rates []float64, at func(index int) string) {
 	ctx, cancel := context.WithCancel(context.Background())
-	d.cancel = cancel
-	for place, rate := range rates {
+	l.cancel = cancel
+	for index, rate := range rates {
 		if rate > 0 {
-			d.wait.Go(func() { d.send(ctx, rate, func() string { return at(place) }) })
+			l.wait.Go(func() { l.send(ctx, rate, func() string { return at(index) }) })
 		}
 	}
-	c.t.Cleanup(d.stop)
+	c.t.Cleanup(l.stop)
 }
 
-func (d *demand) send(ctx context.Context, rate float64, at func() string) {
+func (l *rateLoad) send(ctx context.Context, rate float64, at func() string) {
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer ticker.Stop()
-	var under sync.WaitGroup
-	defer under.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		n := d.sent.Add(1)
-		under.Go(func() { d.one(at(), d.request(n)) })
+		n := l.sent.Add(1)
+		inFlight.Go(func() { l.sendOne(at(), l.request(n)) })
 	}
 }
 
-func (d *demand) one(address string, r request) {
+func (l *rateLoad) sendOne(address string, r request) {
 	start := time.Now()
 	got := sendNow(address, r)
 	if got.err != nil || got.status != http.StatusOK {
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.got = append(d.got, admitted{start: start, end: time.Now(), units: d.units})
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.admitted = append(l.admitted, admittedRequest{start: start, end: time.Now(), units: l.units})
 }
 
-func (d *demand) stop() {
-	d.cancel()
-	d.wait.Wait()
+func (l *rateLoad) stop() {
+	l.cancel()
+	l.wait.Wait()
 }
 
-// between gives what was let in during some seconds from a time on.
-func (d *demand) between(from time.Time, length time.Duration) []admitted {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	var list []admitted
-	for _, a := range d.got {
+// admittedBetween returns the requests that were admitted within length after
+// from.
+func (l *rateLoad) admittedBetween(from time.Time, length time.Duration) []admittedRequest {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var list []admittedRequest
+	for _, a := range l.admitted {
 		if !a.start.Before(from) && a.start.Before(from.Add(length)) {
 			list = append(list, a)
 		}
@@ -97,29 +99,30 @@
 	return list
 }
 
-// held is by how much a limit was missed, as a share of it: over the whole
-// time, and in the second with most and with least.
-type held struct{ mean, most, least float64 }
+// deviation is the relative deviation from a limit: over the whole time, and at
+// the maximum and the minimum.
+type deviation struct{ mean, max, min float64 }
 
-func (h held) String() string {
-	return fmt.Sprintf("mean %+.1f%%, most in a second %+.1f%%, least %+.1f%%", 100*h.mean, 100*h.most, 100*h.least)
+func (d deviation) String() string {
+	return fmt.Sprintf("mean %+.1f%%, most in a second %+.1f%%, least %+.1f%%", 100*d.mean, 100*d.max, 100*d.min)
 }
 
-// rateHeld compares units a second with a limit.
-func rateHeld(list []admitted, from time.Time, seconds int, limit float64) held {
-	per := make([]float64, seconds)
+// rateDeviation compares units per second with a limit; max and min are those
+// of any second.
+func rateDeviation(list []admittedRequest, from time.Time, seconds int, limit float64) deviation {
+	perSecond := make([]float64, seconds)
 	total := 0.0
 	for _, a := range list {
-		per[min(int(a.start.Sub(from)/time.Second), seconds-1)] += a.units
+		perSecond[min(int(a.start.Sub(from)/time.Second), seconds-1)] += a.units
 		total += a.units
 	}
-	return held{total/(limit*float64(seconds)) - 1, slices.Max(per)/limit - 1, slices.Min(per)/limit - 1}
+	return deviation{total/(limit*float64(seconds)) - 1, slices.Max(perSecond)/limit - 1, slices.Min(perSecond)/limit - 1}
 }
 
-// inFlightHeld compares how many were under way at once with a limit; most and
-// least are those of any moment.
-func inFlightHeld(list []admitted, from time.Time, seconds int, limit float64) held {
-	const steps = 100 // a second
+// inFlightDeviation compares the number of concurrent requests with a limit;
+// max and min are those of any sample.
+func inFlightDeviation(list []admittedRequest, from time.Time, seconds int, limit float64) deviation {
+	const steps = 100 // samples per second
 	counts := make([]float64, seconds*steps)
 	total := 0.0
 	for i := range counts {
@@ -131,9 +134,9 @@
 			}
 		}
 	}
-	// The first moments lack what began before them.
+	// The samples of the first second lack the requests that began before it.
 	counts = counts[steps:]
-	return held{total/float64(seconds*steps)/limit - 1, slices.Max(counts)/limit - 1, slices.Min(counts)/limit - 1}
+	return deviation{total/float64(seconds*steps)/limit - 1, slices.Max(counts)/limit - 1, slices.Min(counts)/limit - 1}
 }
 
 // limitKind is one limit of a contract and how it is measured.
@@ -141,57 +144,61 @@
 	name     string
 	contract config.Contract
 	limit    float64
-	demand   func() *demand
-	measure  func([]admitted, time.Time, int, float64) held
-	// slow makes the calls of the plain service take so long.
-	slow time.Duration
+	newLoad  func() *rateLoad
+	measure  func([]admittedRequest, time.Time, int, float64) deviation
+	// callDelay is added to the calls of the plain service.
+	callDelay time.Duration
 }
 
 var limitKinds = []limitKind{
 	{
 		name: "requests a second", limit: 60, contract: config.Contract{RequestsPerSecond: 60, Burst: 6},
-		demand: func() *demand {
-			return &demand{units: 1, request: func(n int64) request { return lookupRequest(fmt.Sprint("r", n)) }}
+		newLoad: func() *rateLoad {
+			return &rateLoad{units: 1, request: func(n int64) request { return lookupRequest(fmt.Sprint("r", n)) }}
 		},
-		measure: rateHeld,
+		measure: rateDeviation,
 	},
 	{
-		name: "in flight", limit: 24, contract: config.Contract{InFlight: 24}, slow: 400 * time.Millisecond,
-		demand: func() *demand {
-			return &demand{units: 1, request: func(n int64) request { return lookupRequest(fmt.Sprint("f", n)) }}
+		name: "in flight", limit: 24, contract: config.Contract{InFlight: 24}, callDelay: 400 * time.Millisecond,
+		newLoad: func() *rateLoad {
+			return &rateLoad{units: 1, request: func(n int64) request { return lookupRequest(fmt.Sprint("f", n)) }}
 		},
-		measure: inFlightHeld,
+		measure: inFlightDeviation,
 	},
 	{
 		name: "tokens a second", limit: 480, contract: config.Contract{TokensPerSecond: 480},
-		demand: func() *demand {
-			return &demand{units: 8, request: func(n int64) request { return pipelineRequest(fmt.Sprint("t", n), 8) }}
+		newLoad: func() *rateLoad {
+			return &rateLoad{units: 8, request: func(n int64) request { return pipelineRequest(fmt.Sprint("t", n), 8) }}
 		},
-		measure: rateHeld,
+		measure: rateDeviation,
 	},
 }
 
-// limitCase is what the entry VMs and callers do.
+// limitCase is the load on the entry VMs and what happens to them meanwhile.
 type limitCase struct {
 	name  string
 	rates []float64
-	// flagsOf and event are what goes wrong, and when.
-	flagsOf func(*cluster, int) []string
-	// without leaves the last VM out at first.
-	without bool
-	event   func(c *cluster)
-	// gone has the callers of the last VM go to the first after the event.
-	gone bool
-	// most is the bound of the mean over the limit, least that under it.
-	most, least float64
+	// flagsFor gives further flags of one entry VM; event runs when the
+	// measurement starts.
+	flagsFor func(*cluster, int) []string
+	// lastVMAbsent starts the case without the last VM.
+	lastVMAbsent bool
+	event        func(c *cluster)
+	// redirectCallers sends the last VM's callers to the first VM after the
+	// event.
+	redirectCallers bool
+	// maxOver and maxUnder bound the mean deviation above and below the limit.
+	maxOver, maxUnder float64
 }
 
 const (
-	evenRate = 60
-	allRate  = 180
+	ratePerVM = 60
+	totalRate = 180
 )
 
-func otherKeys(_ *cluster, i int) []string {
+// isolateLastVM gives the last VM other peer keys, so that it can't reach its
+// peers.
+func isolateLastVM(_ *cluster, i int) []string {
 	if i < 2 {
 		return nil
 	}
@@ -199,38 +206,38 @@
 }
 
 var limitCases = []limitCase{
-	{name: "callers even", rates: []float64{evenRate, evenRate, evenRate}, most: 0.1, least: 0.1},
-	{name: "one VM gets all", rates: []float64{allRate, 0, 0}, most: 0.1, least: 0.15},
+	{name: "callers even", rates: []float64{ratePerVM, ratePerVM, ratePerVM}, maxOver: 0.1, maxUnder: 0.1},
+	{name: "one VM gets all", rates: []float64{totalRate, 0, 0}, maxOver: 0.1, maxUnder: 0.15},
 	{
-		name: "a VM joins", rates: []float64{evenRate, evenRate, evenRate}, without: true,
-		event: func(c *cluster) { c.waitReady(c.restart(c.entries[2])); c.listEntries(3) }, most: 0.15, least: 0.15,
+		name: "a VM joins", rates: []float64{ratePerVM, ratePerVM, ratePerVM}, lastVMAbsent: true,
+		event: func(c *cluster) { c.waitReady(c.restart(c.entries[2])); c.setListedEntries(3) }, maxOver: 0.15, maxUnder: 0.15,
 	},
 	{
-		name: "a VM leaves", rates: []float64{evenRate, evenRate, evenRate}, gone: true,
+		name: "a VM leaves", rates: []float64{ratePerVM, ratePerVM, ratePerVM}, redirectCallers: true,
 		event: func(c *cluster) {
-			c.listEntries(2)
+			c.setListedEntries(2)
 			_ = c.entries[2].cmd.Process.Signal(syscall.SIGTERM)
-		}, most: 0.15, least: 0.25,
+		}, maxOver: 0.15, maxUnder: 0.25,
 	},
 	{
-		name: "a VM is killed", rates: []float64{evenRate, evenRate, evenRate}, gone: true,
-		event: func(c *cluster) { c.entries[2].kill(c.t); c.listEntries(2) }, most: 0.15, least: 0.3,
+		name: "a VM is killed", rates: []float64{ratePerVM, ratePerVM, ratePerVM}, redirectCallers: true,
+		event: func(c *cluster) { c.entries[2].kill(c.t); c.setListedEntries(2) }, maxOver: 0.15, maxUnder: 0.3,
 	},
-	// Where all ask alike the split for a cut-off VM is exact; where one VM
-	// gets all, what the cut-off one would be due is not used.
-	{name: "a VM is cut off", rates: []float64{evenRate, evenRate, evenRate}, flagsOf: otherKeys, most: 0.1, least: 0.1},
-	{name: "a VM is cut off, it gets all", rates: []float64{0, 0, allRate}, flagsOf: otherKeys, most: 0.1, least: 0.75},
-	{name: "a VM is cut off, another gets all", rates: []float64{allRate, 0, 0}, flagsOf: otherKeys, most: 0.1, least: 0.6},
+	// With an even load the share of an isolated VM is exact; with the whole
+	// load on one side, the share of the other side stays unused.
+	{name: "a VM is cut off", rates: []float64{ratePerVM, ratePerVM, ratePerVM}, flagsFor: isolateLastVM, maxOver: 0.1, maxUnder: 0.1},
+	{name: "a VM is cut off, it gets all", rates: []float64{0, 0, totalRate}, flagsFor: isolateLastVM, maxOver: 0.1, maxUnder: 0.75},
+	{name: "a VM is cut off, another gets all", rates: []float64{totalRate, 0, 0}, flagsFor: isolateLastVM, maxOver: 0.1, maxUnder: 0.6},
 }
 
-// listEntries has the VM list name the first few entry VMs only.
-func (c *cluster) listEntries(count int) {
+// setListedEntries makes the VM list name only the first count entry VMs.
+func (c *cluster) setListedEntries(count int) {
 	c.t.Helper()
 	var rows []vmlist.Row
 	for _, row := range c.vmRows() {
 		left := slices.DeleteFunc(row.Targets, func(address string) bool {
-			place := slices.IndexFunc(c.entries, func(e *entryVM) bool { return e.address == address })
-			return place >= count
+			index := slices.IndexFunc(c.entries, func(e *entryVM) bool { return e.address == address })
+			return index >= count
 		})
 		if row.Targets = left; len(left) > 0 {
 			rows = append(rows, row)
@@ -264,48 +271,48 @@
 }
 
 const (
-	limitWarmUp  = 5 * time.Second // demands are exchanged once a second
+	limitWarmUp  = 5 * time.Second // entry VMs exchange their demand once a second
 	limitSeconds = 8
 )
 
-// measureLimit runs one case and says how the limit was held.
-func measureLimit(t *testing.T, tc limitCase, kind limitKind, flags ...string) held {
+// measureLimit runs one case and returns the deviation from the limit.
+func measureLimit(t *testing.T, tc limitCase, kind limitKind, flags ...string) deviation {
 	t.Helper()
-	c := startCluster(t, clusterOptions{flags: flags, flagsFor: tc.flagsOf})
+	c := startCluster(t, clusterOptions{flags: flags, flagsFor: tc.flagsFor})
 	contract := kind.contract
 	contract.Customer, contract.KeyHashes = customer, []string{hashOf(customerKey)}
-	c.waitInForce(c.put(c.entries[0].address, "contracts/"+customer, contract, c.lastChange(c.entries[0].address, config.KindContract, customer)))
-	c.setFault(bookingPool, fault.Fault{DelayMS: int(kind.slow.Milliseconds())})
-	if tc.without {
+	c.waitInForce(c.putItem(c.entries[0].address, "contracts/"+customer, contract, c.lastChange(c.entries[0].address, config.KindContract, customer)))
+	c.setFault(bookingScope, fault.Fault{DelayMS: int(kind.callDelay.Milliseconds())})
+	if tc.lastVMAbsent {
 		c.entries[2].kill(t)
-		c.listEntries(2)
+		c.setListedEntries(2)
 	}
-	var moved atomic.Bool
-	moved.Store(tc.without)
-	d := kind.demand()
-	startDemand(c, d, tc.rates, func(place int) string {
-		if place == 2 && moved.Load() {
-			place = 0
+	var redirected atomic.Bool
+	redirected.Store(tc.lastVMAbsent)
+	l := kind.newLoad()
+	startRateLoad(c, l, tc.rates, func(index int) string {
+		if index == 2 && redirected.Load() {
+			index = 0
 		}
-		return c.fleetFile.Entries[place].Address
+		return c.fleetFile.Entries[index].Address
 	})
 	<-time.After(limitWarmUp)
 	from := time.Now()
 	if tc.event != nil {
 		tc.event(c)
-		moved.Store(tc.gone)
+		redirected.Store(tc.redirectCallers)
 	}
 	<-time.After(limitSeconds*time.Second - time.Since(from))
-	d.stop()
-	return kind.measure(d.between(from, limitSeconds*time.Second), from, limitSeconds, kind.limit)
+	l.stop()
+	return kind.measure(l.admittedBetween(from, limitSeconds*time.Second), from, limitSeconds, kind.limit)
 }
 
-// A customer sends three times what its contract allows, to three entry VMs.
-// If each gave it the whole limit it would get three times what was agreed, at
-// the cost of the others; if each gave it a fixed third, a customer whose
-// callers all stand near one VM would get a third of what it pays for. The
-// limits must hold also while a VM joins, leaves, dies or hears no peer. The
-// bounds are those that CI holds; what was measured is in docs/EXPERIMENTS.md.
+// A customer sends three times what its contract allows, to three entry VMs. If
+// each VM granted the whole limit, the customer would get three times its due,
+// at the cost of others; if each granted a fixed third, a customer whose
+// callers all use one VM would get a third of what it pays for. The limits must
+// also hold while a VM joins, leaves, dies or can't reach its peers. The bounds
+// are those that CI enforces; docs/EXPERIMENTS.md has the measured figures.
 func TestContractLimitsHoldOverAllEntryVMs(t *testing.T) {
 	t.Parallel()
 	for _, kind := range limitKinds {
@@ -314,7 +321,7 @@
 				t.Parallel()
 				got := measureLimit(t, tc, kind)
 				t.Logf("LIMIT by-demand | %s | %s | %s", kind.name, tc.name, got)
-				assert.Assert(t, got.mean <= tc.most && got.mean >= -tc.least, "%s", got)
+				assert.Assert(t, got.mean <= tc.maxOver && got.mean >= -tc.maxUnder, "%s", got)
 			})
 		}
 	}
--- a/test/load_test.go
+++ b/test/load_test.go
@@ -82,7 +82,7 @@
 		return
 	}
 	l.per[address]++
-	l.byID[got.id] = address
+	l.byID[got.requestID] = address
 }
 
 // replyError says what is wrong with an answer; empty for nothing.
--- a/test/long_test.go
+++ b/test/long_test.go
@@ -280,7 +280,7 @@
 func (r *longRun) bookOn(ctx context.Context, name string) {
 	for i := 0; ctx.Err() == nil; i++ {
 		key := fmt.Sprintf("%s-%d", name, i)
-		booking := confirm(key)
+		booking := bookingRequest(key)
 		booking.timeout = 1500 * time.Millisecond
 		got, done := r.try(booking, succeeded)
 		r.mu.Lock()
@@ -304,7 +304,7 @@
 		accepted := map[string]config.Revision{}
 		for i := 0; ctx.Err() == nil; i++ {
 			name := fmt.Sprintf("long-%d", i)
-			got := change(r.somewhere(i), "day shift", "change-"+name, "contracts/"+name, config.Contract{Customer: name, Share: 7}, 0)
+			got := changeItem(r.somewhere(i), "day shift", "change-"+name, "contracts/"+name, config.Contract{Customer: name, Share: 7}, 0)
 			if got.err == nil && got.status == http.StatusOK {
 				accepted[name] = got.accepted(r.t)
 			}
@@ -319,7 +319,7 @@
 // and gives when it did.
 func (r *longRun) announce(target string) time.Time {
 	for n := 0; ; n++ {
-		got := operate(r.somewhere(n), http.MethodPut, "stops/long", stopOf("long", target), map[string]string{"If-Match": "0", "Change-Id": "stop-long"})
+		got := callAdminAPI(r.somewhere(n), http.MethodPut, "stops/long", stopOf("long", target), map[string]string{"If-Match": "0", "Change-Id": "stop-long"})
 		if got.err == nil && (got.status == http.StatusOK || got.status == http.StatusAccepted) {
 			return time.Now()
 		}
@@ -358,7 +358,7 @@
 	for _, revision := range accepted {
 		last = max(last, revision)
 	}
-	inForceWithin(t, time.Now(), last, c.addresses()...)
+	timeUntilInForce(t, time.Now(), last, c.addresses()...)
 	for _, address := range c.addresses() {
 		state := stateAt(address)
 		for name, revision := range accepted {
@@ -367,7 +367,7 @@
 			}
 		}
 	}
-	watch.never(t)
+	watch.assertNoRegression(t)
 	r.wrong.checkEmpty(t)
 	ran := map[string]int{}
 	for _, e := range c.executions() {
--- a/test/outage_test.go
+++ b/test/outage_test.go
@@ -80,9 +80,9 @@
 func loadFactor(t *testing.T, o outage, policy string) float64 {
 	t.Helper()
 	c := startCluster(t, clusterOptions{flags: []string{"--policy", policy}})
-	d := &demand{units: 1, request: o.request}
-	startDemand(c, d, []float64{outageRate, outageRate, outageRate}, func(place int) string { return c.entries[place].address })
-	waitFor(t, "answers before the outage", func() bool { return len(d.between(time.Now().Add(-forever), 2*forever)) > 100 })
+	d := &rateLoad{units: 1, request: o.request}
+	startRateLoad(c, d, []float64{outageRate, outageRate, outageRate}, func(place int) string { return c.entries[place].address })
+	waitFor(t, "answers before the outage", func() bool { return len(d.admittedBetween(time.Now().Add(-forever), 2*forever)) > 100 })
 	c.setFault(fault.PoolScope(o.pool), o.fault)
 	sent, calls := d.sent.Load(), o.calls(c)
 	<-time.After(outageLength)
--- a/test/planned_stop_test.go
+++ b/test/planned_stop_test.go
@@ -25,11 +25,11 @@
 // longStreams are streams that run while something is stopped.
 type longStreams struct {
 	wait sync.WaitGroup
-	got  []streamed
+	got  []streamResult
 }
 
 func startStreams(name string, n int, addresses ...string) *longStreams {
-	s := &longStreams{got: make([]streamed, n)}
+	s := &longStreams{got: make([]streamResult, n)}
 	for i := range n {
 		s.wait.Go(func() {
 			s.got[i] = stream(context.Background(), addresses[i%len(addresses)], fmt.Sprintf("%s%d", name, i), longTokens, nil)
@@ -124,7 +124,7 @@
 func book(ctx context.Context, c *cluster, address, name string, wrong func(string)) (keys []string) {
 	for i := 0; ctx.Err() == nil; i++ {
 		key := fmt.Sprintf("%s-%d", name, i)
-		got := sendNow(address, confirm(key))
+		got := sendNow(address, bookingRequest(key))
 		if ctx.Err() != nil && got.err != nil {
 			return keys // sent when the VM was gone, as planned
 		}
--- a/test/recovery_test.go
+++ b/test/recovery_test.go
@@ -85,7 +85,7 @@
 	const vms = 8
 	c := startCluster(t, clusterOptions{entries: vms})
 	c.waitLinked()
-	c.snapshotHas(stateAt(c.entries[0].address).Revision)
+	c.waitForSnapshot(stateAt(c.entries[0].address).Revision)
 	for _, e := range c.entries {
 		e.kill(t)
 	}
--- a/test/status_test.go
+++ b/test/status_test.go
@@ -13,21 +13,21 @@
 
 func (c *cluster) status(address string) status.Status {
 	c.t.Helper()
-	got := operate(address, http.MethodGet, "status", nil, nil)
+	got := callAdminAPI(address, http.MethodGet, "status", nil, nil)
 	assert.NilError(c.t, got.err)
 	var st status.Status
 	assert.NilError(c.t, json.Unmarshal(got.body, &st), "%s", got.body)
 	return st
 }
 
-// An operator announces the stop of an entry VM and waits until it may be
-// switched off. Where the VM counts the asking itself as a request, or doesn't
-// see that its own stop was announced, the wait never ends.
+// An operator announces the stop of an entry VM and waits until it is safe to
+// switch off. If the VM counted the status request itself as in flight, or
+// didn't notice that its own stop was announced, the wait would never end.
 func TestAnnouncedStopOfEntryVMBecomesSafe(t *testing.T) {
 	c := startCluster(t, clusterOptions{})
 	c.waitLinked()
 	leaving := c.entries[2]
-	c.put(c.entries[0].address, "stops/disk", config.Stop{
+	c.putItem(c.entries[0].address, "stops/disk", config.Stop{
 		ID: "disk", Subject: config.StopVM, Address: leaving.address, By: "night shift",
 	}, 0)
 	waitFor(t, "the stop to be safe", func() bool {
@@ -35,9 +35,9 @@
 		return len(st.Stops) == 1 && st.Stops[0].SafeToStop()
 	})
 	for _, e := range c.entries {
-		waitFor(t, e.name+" to tell callers of the others only", func() bool {
-			for _, told := range c.entriesAt(e.address) {
-				if told.Address == leaving.address {
+		waitFor(t, e.name+" to list only the other entry VMs", func() bool {
+			for _, listed := range c.entriesAt(e.address) {
+				if listed.Address == leaving.address {
 					return false
 				}
 			}
--- a/test/steward_test.go
+++ b/test/steward_test.go
@@ -50,7 +50,7 @@
 	state := stateAt(address)
 	pool := state.Pools["llm"]
 	pool.Version = version
-	return c.put(address, "pools/llm", pool, state.LastChanges[config.ItemKey(config.KindPool, "llm")].Revision)
+	return c.putItem(address, "pools/llm", pool, state.LastChanges[config.ItemKey(config.KindPool, "llm")].Revision)
 }
 
 // versions are what the engines say that they serve.
@@ -79,7 +79,7 @@
 // lease gives the holder of the engines' lease and its token, as the operators
 // see them.
 func (c *cluster) lease() (holder string, token uint64) {
-	got := operate(c.entries[0].address, http.MethodGet, "status", nil, nil)
+	got := callAdminAPI(c.entries[0].address, http.MethodGet, "status", nil, nil)
 	var st status.Status
 	if got.err != nil || json.Unmarshal(got.body, &st) != nil {
 		return "", 0
--- a/test/tls_test.go
+++ b/test/tls_test.go
@@ -21,9 +21,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// certificate writes a self-signed one for 127.0.0.1 and gives both files and
-// the pool that trusts it.
-func certificate(t *testing.T) (certFile, keyFile string, trusted *x509.CertPool) {
+// selfSignedCert writes a self-signed certificate for 127.0.0.1 and its key,
+// and returns both files and a pool that trusts it.
+func selfSignedCert(t *testing.T) (certFile, keyFile string, trusted *x509.CertPool) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
@@ -54,14 +54,14 @@
 }
 
 func TestTLSBetweenProcesses(t *testing.T) {
-	cert, key, _ := certificate(t)
+	cert, key, _ := selfSignedCert(t)
 	c := startCluster(t, clusterOptions{flags: []string{"--peer-tls-cert", cert, "--peer-tls-key", key}})
 	c.waitLinked()
 	assert.Equal(t, sendNow(c.entries[1].address, pipelineRequest("Q", 8)).output(t), wholeText("Q", 8))
 }
 
-func TestTLSTowardsCallers(t *testing.T) {
-	cert, key, trusted := certificate(t)
+func TestTLSForCallers(t *testing.T) {
+	cert, key, trusted := selfSignedCert(t)
 	c := startCluster(t, clusterOptions{})
 	row := c.fleetFile.Entries[2]
 	c.entries[2].kill(t)
