--- a/test/leaving_test.go
+++ b/test/announced_stop_test.go
@@ -17,14 +17,15 @@
 	"github.com/vanillagate/vanillagate/internal/standin/fleet"
 )
 
-// maxPropagationDelay is what "a few seconds" means here.
+// maxPropagationDelay is how long it may take until a change or an announced stop is applied
+// everywhere, which is specified as "a few seconds".
 const maxPropagationDelay = 3 * time.Second
 
-func stopOf(id, target string) config.Stop {
+func newStop(id, target string) config.Stop {
 	return config.Stop{ID: id, Subject: config.StopTarget, Address: target, By: "night shift", At: time.Now().UTC()}
 }
 
-// announceStop has a stop announced at one entry VM.
+// announceStop announces a stop at one entry VM.
 func announceStop(t *testing.T, address string, stop config.Stop, expect config.Revision) entry.Accepted {
 	t.Helper()
 	got := callAdminAPI(address, http.MethodPut, "stops/"+stop.ID, stop, map[string]string{"If-Match": strconv.FormatUint(uint64(expect), 10)})
@@ -35,7 +36,7 @@
 	return a
 }
 
-// setVMState changes what the platform will say of a VM once its lag is over.
+// setVMState changes the state of a VM that the VM list reports once its lag has passed.
 func (c *cluster) setVMState(address, state string) {
 	c.t.Helper()
 	raw, err := json.Marshal(fleet.StateOrder{Address: address, State: state})
@@ -46,14 +47,13 @@
 	assert.Assert(c.t, resp.StatusCode < 300)
 }
 
-// A target's VM is about to be replaced. A user whose request is sent there
-// after the announcement may see it cut when the VM goes. The announcement
-// comes in different ways, and each time something else is broken: the VM list
-// lags, the table service is down, only one entry VM still has the table, or
-// the VM list is down and shows nothing.
+// A target's VM is about to be replaced. A request that is sent there after the announcement may be
+// cut when the VM is switched off. The announcement comes in different ways, and each time
+// something else is broken: the VM list lags, the table service is down or silent, only one entry VM
+// reaches the table, or the VM list is down and reports nothing.
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
 	t.Parallel()
-	cutTables := func(c *cluster, i int) []string {
+	ownTableRelay := func(c *cluster, i int) []string {
 		if i == 0 {
 			return nil
 		}
@@ -62,34 +62,34 @@
 		return []string{"--table-url", "http://" + r.Address()}
 	}
 	operator := func(t *testing.T, c *cluster, target string) {
-		announceStop(t, c.entries[0].address, stopOf("S", target), 0)
+		announceStop(t, c.entries[0].address, newStop("S", target), 0)
 	}
 	tests := []struct {
-		name     string
-		shape    clusterOptions
-		broken   func(c *cluster)
-		announce func(t *testing.T, c *cluster, target string)
-		within   time.Duration
+		name        string
+		options     clusterOptions
+		injectFault func(c *cluster)
+		announce    func(t *testing.T, c *cluster, target string)
+		within      time.Duration
 	}{
 		{name: "operator", announce: operator, within: maxPropagationDelay},
 		{
 			name: "VM list that lags", within: maxPropagationDelay + 1500*time.Millisecond,
-			shape:    clusterOptions{editFleet: func(f *fleet.File) { f.VMListLagMS = 1500 }},
+			options:  clusterOptions{editFleet: func(f *fleet.File) { f.VMListLagMS = 1500 }},
 			announce: func(_ *testing.T, c *cluster, target string) { c.setVMState(target, "leaving") },
 		},
 		{
 			name: "table service down", within: maxPropagationDelay,
-			broken:   func(c *cluster) { c.setFault(fault.ScopeTable, fault.Fault{Down: true}) },
-			announce: operator,
+			injectFault: func(c *cluster) { c.setFault(fault.ScopeTable, fault.Fault{Down: true}) },
+			announce:    operator,
 		},
 		{
 			name: "table service silent", within: maxPropagationDelay,
-			broken:   func(c *cluster) { c.tableRelay.SetFaults(relay.Faults{FreezeToCaller: true}) },
-			announce: operator,
+			injectFault: func(c *cluster) { c.tableRelay.SetFaults(relay.Faults{FreezeToCaller: true}) },
+			announce:    operator,
 		},
 		{
-			name: "at one VM, the others cut from the table", within: maxPropagationDelay, shape: clusterOptions{flagsFor: cutTables},
-			broken: func(c *cluster) {
+			name: "at one VM, the others cut off from the table", within: maxPropagationDelay, options: clusterOptions{flagsFor: ownTableRelay},
+			injectFault: func(c *cluster) {
 				for _, r := range c.extraRelays {
 					r.SetFaults(relay.Faults{RefuseConnections: true})
 					r.ResetConnections()
@@ -99,7 +99,7 @@
 		},
 		{
 			name: "VM list and table service down", within: maxPropagationDelay,
-			broken: func(c *cluster) {
+			injectFault: func(c *cluster) {
 				c.setFault(fault.ScopeVMList, fault.Fault{Down: true})
 				c.setFault(fault.ScopeTable, fault.Fault{Down: true})
 			},
@@ -109,17 +109,17 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			change := tc.shape.editFleet
-			tc.shape.editFleet = func(f *fleet.File) {
-				inOneZone(f)
+			change := tc.options.editFleet
+			tc.options.editFleet = func(f *fleet.File) {
+				useOneZone(f)
 				if change != nil {
 					change(f)
 				}
 			}
-			c := startCluster(t, tc.shape)
+			c := startCluster(t, tc.options)
 			c.waitLinked()
 			for _, pool := range []string{"llm", "booking"} {
-				c.checkStop(t, pool, tc.broken, tc.announce, tc.within)
+				c.checkStop(t, pool, tc.injectFault, tc.announce, tc.within)
 				if tc.name != "operator" {
 					break
 				}
@@ -128,60 +128,62 @@
 	}
 }
 
-// busiest is the target of a pool that gets work from the most entry VMs.
-func (l *loadGenerator) busiest(pool string) string {
+// busiestTarget returns the target of a pool that gets requests from the most entry VMs.
+func (l *loadGenerator) busiestTarget(pool string) string {
 	best, most := "", 0
 	for _, target := range l.c.targets(pool) {
-		if n := len(l.lastStart(target)); n > most {
+		if n := len(l.lastStartByEntry(target)); n > most {
 			best, most = target, n
 		}
 	}
 	return best
 }
 
-// inOneZone keeps entry VMs from preferring the targets of their own zone, so
-// that each sends work to every target.
-func inOneZone(f *fleet.File) {
+// useOneZone puts all targets into one zone, so that no entry VM prefers some of them and each entry
+// VM sends requests to every target.
+func useOneZone(f *fleet.File) {
 	for i := range f.Pools {
 		f.Pools[i].Zones = zones[:1]
 	}
 }
 
-func (c *cluster) checkStop(t *testing.T, pool string, broken func(*cluster), announce func(*testing.T, *cluster, string), within time.Duration) {
+// checkStop runs load on the cluster, injects a fault, announces a stop of the busiest target of a
+// pool, and checks that the target gets no new request later than within after the announcement.
+func (c *cluster) checkStop(t *testing.T, pool string, injectFault func(*cluster), announce func(*testing.T, *cluster, string), within time.Duration) {
 	t.Helper()
 	if pool != "llm" {
 		announce = func(t *testing.T, c *cluster, target string) {
-			announceStop(t, c.entries[1].address, stopOf("S-"+pool, target), 0)
+			announceStop(t, c.entries[1].address, newStop("S-"+pool, target), 0)
 		}
 	}
 	l := startLoad(c, 3, nil)
 	l.waitServed(40, c.addresses()...)
-	target := l.busiest(pool)
-	assert.Assert(t, len(l.lastStart(target)) >= 2, "too few entry VMs send work to %s", target)
-	if broken != nil {
-		broken(c)
+	target := l.busiestTarget(pool)
+	assert.Assert(t, len(l.lastStartByEntry(target)) >= 2, "too few entry VMs send requests to %s", target)
+	if injectFault != nil {
+		injectFault(c)
 	}
 	announced := time.Now()
 	announce(t, c, target)
 	answered := time.Since(announced)
-	waitFor(t, "the time to pass", func() bool { return time.Since(announced) > within })
+	waitFor(t, "the propagation delay to pass", func() bool { return time.Since(announced) > within })
 	l.waitServed(50, c.addresses()...)
 	l.stopAndCheck(t)
-	for from, last := range l.lastStart(target) {
+	for from, last := range l.lastStartByEntry(target) {
 		took := last.Sub(announced)
 		t.Logf("%s: last new request from %s %d ms after the announcement began (answered after %d ms)", target, from, took.Milliseconds(), answered.Milliseconds())
-		assert.Assert(t, took < within, "%s sent work to %s %s after the announcement", from, target, took)
+		assert.Assert(t, took < within, "%s sent a request to %s %s after the announcement", from, target, took)
 	}
 }
 
-// A stop was announced and ended some time ago. The same target is to stop
-// again, under the same name, and this time the table service is down. What
-// was decided then must not hide what is announced now.
+// A stop was announced and ended some time ago. The same target is stopped again with the same stop
+// ID, this time while the table service is down. Guards against the earlier end of the stop hiding
+// the new announcement.
 func TestStopAnnouncedAgainDuringAnOutage(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, clusterOptions{editFleet: inOneZone})
+	c := startCluster(t, clusterOptions{editFleet: useOneZone})
 	c.waitLinked()
-	first := announceStop(t, c.entries[0].address, stopOf("S", c.targets("llm")[0]), 0)
+	first := announceStop(t, c.entries[0].address, newStop("S", c.targets("llm")[0]), 0)
 	ended := callAdminAPI(c.entries[1].address, http.MethodDelete, "stops/S", nil, map[string]string{"If-Match": strconv.FormatUint(uint64(first.Revision), 10)})
 	assert.Equal(t, ended.status, http.StatusOK, "%s", ended.body)
 	var a entry.Accepted
@@ -189,35 +191,34 @@
 	c.waitInForce(a.Revision)
 	c.checkStop(t, "llm", func(c *cluster) { c.setFault(fault.ScopeTable, fault.Fault{Down: true}) },
 		func(t *testing.T, c *cluster, target string) {
-			assert.Assert(t, announceStop(t, c.entries[0].address, stopOf("S", target), a.Revision).Announced)
+			assert.Assert(t, announceStop(t, c.entries[0].address, newStop("S", target), a.Revision).Announced)
 		}, maxPropagationDelay)
 }
 
-// During an outage of the table service an operator announces a stop at one
-// entry VM, and that VM dies. The announcement must not die with it: the
-// target gets no work, also from the VM that comes in its place, and the stop
-// is in force once the table service is back.
-func TestAnnouncedStopOutlivesTheVMThatTookItIn(t *testing.T) {
+// An operator announces a stop at one entry VM while the table service is down, and that VM fails.
+// The announcement must not be lost: the target gets no new requests, not even from the replacement
+// VM, and the stop is in force once the table service is back.
+func TestAnnouncedStopSurvivesTheVMThatAcceptedIt(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, clusterOptions{editFleet: inOneZone})
+	c := startCluster(t, clusterOptions{editFleet: useOneZone})
 	c.waitLinked()
 	target := c.targets("llm")[0]
 	c.setFault(fault.ScopeTable, fault.Fault{Down: true})
-	assert.Assert(t, announceStop(t, c.entries[0].address, stopOf("S", target), 0).Announced)
+	assert.Assert(t, announceStop(t, c.entries[0].address, newStop("S", target), 0).Announced)
 	c.entries[0].kill(t)
 	next := c.restart(c.entries[0])
 	c.waitReady(next)
 	c.waitLinked()
 	l := startLoad(c, 2, nil)
 	l.waitServed(60, c.addresses()...)
-	assert.Equal(t, len(l.lastStart(target)), 0)
+	assert.Equal(t, len(l.lastStartByEntry(target)), 0)
 	c.setFault(fault.ScopeTable, fault.Fault{})
 	for _, e := range c.entries {
 		waitFor(t, "the stop to be in force at "+e.address, func() bool { return stopInForce(e.address, "S") })
 	}
 	l.waitServed(20, c.addresses()...)
 	l.stopAndCheck(t)
-	assert.Equal(t, len(l.lastStart(target)), 0)
+	assert.Equal(t, len(l.lastStartByEntry(target)), 0)
 }
 
 func stopInForce(address, id string) bool {
@@ -230,25 +231,25 @@
 	return found
 }
 
-// An operator's announcement is refused: somebody else announced another stop
-// under the same name before him, or it has a mistake. He is told that nothing
-// was applied, and so nothing must be: the target he named stays in use.
+// An operator's announcement is refused, because another stop with the same ID was announced before
+// or because it has an unknown field. As the operator is told that nothing was applied, the target
+// must stay in use.
 func TestRefusedStopTakesNothingOutOfUse(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, clusterOptions{editFleet: inOneZone})
+	c := startCluster(t, clusterOptions{editFleet: useOneZone})
 	c.waitLinked()
 	targets := c.targets("llm")
-	announceStop(t, c.entries[0].address, stopOf("S", targets[0]), 0)
-	lost := callAdminAPI(c.entries[1].address, http.MethodPut, "stops/S", stopOf("S", targets[1]), map[string]string{"If-Match": "0"})
-	assert.Equal(t, lost.status, http.StatusPreconditionFailed, "%s", lost.body)
+	announceStop(t, c.entries[0].address, newStop("S", targets[0]), 0)
+	conflicting := callAdminAPI(c.entries[1].address, http.MethodPut, "stops/S", newStop("S", targets[1]), map[string]string{"If-Match": "0"})
+	assert.Equal(t, conflicting.status, http.StatusPreconditionFailed, "%s", conflicting.body)
 	bad := map[string]string{"id": "T", "on": "target", "address": targets[2], "raeson": "a misspelt field"}
 	refused := callAdminAPI(c.entries[1].address, http.MethodPut, "stops/T", bad, map[string]string{"If-Match": "0"})
 	assert.Equal(t, refused.status, http.StatusBadRequest, "%s", refused.body)
 	refusedAt := time.Now()
 	l := startLoad(c, 2, nil)
 	for _, target := range targets[1:3] {
-		waitFor(t, "new work at "+target, func() bool {
-			last := l.lastStart(target)
+		waitFor(t, "new requests at "+target, func() bool {
+			last := l.lastStartByEntry(target)
 			for _, at := range last {
 				if at.Before(refusedAt) {
 					return false
--- a/test/bench_test.go
+++ b/test/bench_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// benchCommand runs the bench script on one quick scenario.
+// benchCommand returns a command that runs the bench script with one short scenario.
 func benchCommand(t *testing.T, out string) *exec.Cmd {
 	t.Helper()
 	bin, err := filepath.Abs(filepath.Dir(binaryPath("vgload")))
@@ -26,10 +26,10 @@
 func TestBenchPrintsALineAndWritesTheReport(t *testing.T) {
 	out := t.TempDir()
 	cmd := benchCommand(t, out)
-	var said, complained strings.Builder
-	cmd.Stdout, cmd.Stderr = &said, &complained
-	assert.NilError(t, cmd.Run(), "%s", &complained)
-	line := said.String()
+	var stdout, stderr strings.Builder
+	cmd.Stdout, cmd.Stderr = &stdout, &stderr
+	assert.NilError(t, cmd.Run(), "%s", &stderr)
+	line := stdout.String()
 	assert.Assert(t, strings.HasPrefix(line, "policy=present scenario=straggler attainment="), line)
 	for _, want := range []string{" p50_ms=", " p95_ms=", " cost=", " lost=0 doubled=0 crossed=0 false_not_run=0 "} {
 		assert.Assert(t, strings.Contains(line, want), "%s in %s", want, line)
@@ -39,8 +39,8 @@
 	assert.Assert(t, strings.Contains(string(page), "<svg"))
 }
 
-// Someone stops the bench halfway. Entry VMs and stand-ins that ran on would
-// slow the machine down for whatever is measured next.
+// Somebody interrupts the bench script. Guards against entry VMs and stand-ins that keep running and slow the
+// machine down for later measurements.
 func TestInterruptedBenchLeavesNothingRunning(t *testing.T) {
 	out := t.TempDir()
 	cmd := benchCommand(t, out)
--- a/test/cluster_test.go
+++ b/test/cluster_test.go
@@ -1,6 +1,6 @@
-// Package test holds the tests with real processes: entry processes, stewards
-// and stand-ins as programs, behind small relays that delay, cut, freeze and
-// lose answers.
+// Package test holds the end-to-end tests. They run the entry processes, the
+// stewards and the stand-ins as programs of their own, with TCP relays between
+// them that delay, cut or freeze connections or drop answers.
 package test
 
 import (
@@ -38,22 +38,22 @@
 	customer    = "granite-brook"
 	peerKeys    = "0123456789abcdef0123456789abcdef"
 
-	// waitTimeout bounds every wait for a condition.
+	// waitTimeout is how long a test waits for a condition before it fails.
 	waitTimeout  = 30 * time.Second
 	pollInterval = 20 * time.Millisecond
 )
 
-// process is one program that a test runs.
+// process is a program that a test has started, and its log output.
 type process struct {
 	name string
 	cmd  *exec.Cmd
 	log  *bytes.Buffer
-	mu   sync.Mutex // guards log while the program writes
-	done chan struct{}
-	err  error // of Wait, set before done is closed
+	mu   sync.Mutex    // guards log while the program writes
+	done chan struct{} // closed once the program has ended
+	err  error         // the result of Wait, set before done is closed
 }
 
-// Write takes in what the program logs.
+// Write appends what the program prints to its log.
 func (p *process) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,25 +71,27 @@
 	assert.NilError(t, p.cmd.Process.Signal(sig))
 }
 
-// kill ends the program at once, as a VM that fails does.
+// kill ends the program with SIGKILL, as if its VM had failed.
 func (p *process) kill(t *testing.T) {
 	t.Helper()
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// waitExit waits for the program to end by itself and gives its exit code.
+// waitExit waits for the program to end by itself and returns its exit code.
 func (p *process) waitExit(t *testing.T, within time.Duration) int {
 	t.Helper()
 	select {
 	case <-p.done:
 		return p.cmd.ProcessState.ExitCode()
 	case <-time.After(within):
-		t.Fatalf("%s still runs after %s", p.name, within)
+		t.Fatalf("%s is still running after %s", p.name, within)
 		return -1
 	}
 }
 
+// binaryPath returns the path of a program of this project, in the directory that
+// VANILLAGATE_BIN names or else in ../bin.
 func binaryPath(name string) string {
 	if dir := os.Getenv("VANILLAGATE_BIN"); dir != "" {
 		return filepath.Join(dir, name)
@@ -97,13 +99,13 @@
 	return filepath.Join("..", "bin", name)
 }
 
-// launch starts a program that is ended with the test.
+// launch starts a program, which is killed when the test ends.
 func launch(t *testing.T, name, binary string, args ...string) *process {
 	t.Helper()
 	return launchCommand(t, name, func(*exec.Cmd) {}, binary, args...)
 }
 
-// launchCommand starts a program after prepare has changed how.
+// launchCommand is launch with a function that changes the command before it starts.
 func launchCommand(t *testing.T, name string, prepare func(*exec.Cmd), binary string, args ...string) *process {
 	t.Helper()
 	p := &process{name: name, log: &bytes.Buffer{}, done: make(chan struct{})}
@@ -131,7 +133,7 @@
 	return strings.Join(lines[max(0, len(lines)-n):], "\n")
 }
 
-// entryVM is one vanillagate process.
+// entryVM is a vanillagate process and the addresses it was started with.
 type entryVM struct {
 	*process
 	address     string
@@ -140,63 +142,66 @@
 	args        []string
 }
 
-// cluster is a small deployment: stand-ins, entry VMs and stewards.
+// cluster is a small deployment on this machine: the stand-ins, the entry VMs and,
+// in some tests, stewards.
 type cluster struct {
 	t              *testing.T
 	fleetFile      fleet.File
 	controlAddress string
 	standin        *process
 	entries        []*entryVM
-	// tableRelay is the relay that stands before the tableRelay service.
-	tableRelay   *relay.Relay
+	// tableRelay is between the entry VMs and the table service.
+	tableRelay *relay.Relay
+	// objectsRelay is between the processes and the object store.
 	objectsRelay *relay.Relay
-	// extraRelays are further relays that a test's flagsOf has put in.
+	// extraRelays are relays that a test has added in clusterOptions.flagsFor.
 	extraRelays []*relay.Relay
-	// initialVMRows is the VM list as it was at first, once a test has changed it.
+	// initialVMRows is the VM list before a test first changed it; nil until then.
 	initialVMRows []vmlist.Row
 }
 
-// clusterOptions says what a cluster is made of; the zero value is the usual one.
+// clusterOptions say how a cluster differs from the default one, which is the zero
+// value.
 type clusterOptions struct {
-	entries int // zero means 3
-	// editFleet alters the fleet file before it is written.
+	entries int // 0 means 3
+	// editFleet changes the fleet file before it is written.
 	editFleet func(*fleet.File)
-	// flags are further flags of every entry process.
+	// flags are additional flags of every entry process.
 	flags []string
-	// flagsFor gives further flags of one entry process.
+	// flagsFor returns additional flags of the i-th entry process.
 	flagsFor func(c *cluster, i int) []string
-	// emptyConfig leaves the configuration empty.
+	// emptyConfig leaves the cluster without any configuration.
 	emptyConfig bool
 }
 
 var zones = []string{"a", "b", "c"}
 
-// startCluster runs a deployment and waits until every entry VM serves with
-// the usual configuration in force.
-func startCluster(t *testing.T, s clusterOptions) *cluster {
+// startCluster starts a deployment and waits until every entry VM is ready and has
+// the configuration of applyDefaultConfig in force, unless opts.emptyConfig is set.
+func startCluster(t *testing.T, opts clusterOptions) *cluster {
 	t.Helper()
-	if s.entries == 0 {
-		s.entries = 3
+	if opts.entries == 0 {
+		opts.entries = 3
 	}
-	c := &cluster{t: t, fleetFile: defaultFleet(s.entries)}
-	if s.editFleet != nil {
-		s.editFleet(&c.fleetFile)
+	c := &cluster{t: t, fleetFile: defaultFleet(opts.entries)}
+	if opts.editFleet != nil {
+		opts.editFleet(&c.fleetFile)
 	}
 	c.controlAddress = c.fleetFile.Control
 	c.startStandins()
 	c.tableRelay = c.startRelay(c.fleetFile.Table)
 	c.objectsRelay = c.startRelay(c.fleetFile.Objects)
-	for i := range s.entries {
-		flags := s.flags
-		if s.flagsFor != nil {
-			flags = append(flags, s.flagsFor(c, i)...)
+	for i := range opts.entries {
+		flags := opts.flags
+		if opts.flagsFor != nil {
+			flags = append(flags, opts.flagsFor(c, i)...)
 		}
 		c.entries = append(c.entries, c.startEntry(c.fleetFile.Entries[i], flags...))
 	}
 	for _, e := range c.entries {
 		c.waitReady(e)
 	}
-	if !s.emptyConfig {
+	if !opts.emptyConfig {
 		c.applyDefaultConfig()
 	}
 	return c
@@ -212,6 +217,7 @@
 	waitFor(c.t, "the stand-ins to answer", func() bool { return httpOK("http://" + c.controlAddress + "/summary") })
 }
 
+// startRelay starts a relay to an address that is closed when the test ends.
 func (c *cluster) startRelay(address string) *relay.Relay {
 	c.t.Helper()
 	r, err := relay.Listen("127.0.0.1:0", address)
@@ -235,7 +241,8 @@
 	}
 }
 
-// restart runs a VM again at the same addresses, as a replaced VM does.
+// restart starts an ended entry VM again with the same addresses and flags, as a
+// replacement VM would be.
 func (c *cluster) restart(e *entryVM) *entryVM {
 	c.t.Helper()
 	next := *e
@@ -248,8 +255,8 @@
 	return &next
 }
 
-// replaceEntry ends an entry VM and starts another at the same addresses, after
-// prepare has changed how.
+// replaceEntry kills an entry VM and starts another one at the same addresses, with
+// additional flags and a command that prepare may change.
 func (c *cluster) replaceEntry(i int, prepare func(*exec.Cmd), flags ...string) *entryVM {
 	c.t.Helper()
 	c.entries[i].kill(c.t)
@@ -266,7 +273,8 @@
 	waitFor(c.t, e.name+" to be ready", func() bool { return httpOK("http://" + e.address + "/readyz") })
 }
 
-// defaultFleet is small and quick: a four-stage request takes some 40 ms.
+// defaultFleet describes a small, fast deployment: a four-stage request takes about
+// 40 ms.
 func defaultFleet(entries int) fleet.File {
 	ports := freePorts(60)
 	at := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", ports+i) }
@@ -298,14 +306,16 @@
 	lastPort  = 31000
 )
 
-// nextPort is where the next cluster looks for ports. Clusters that run side by
-// side must not find the same ones free before either has taken them.
+// nextPort is where the next cluster starts to look for free ports. Every cluster
+// moves it on, so that clusters that start at the same time don't pick the same
+// ports before either has opened them.
 var nextPort = struct {
 	sync.Mutex
 	port int
 }{port: firstPort + rand.IntN(lastPort-firstPort)}
 
-// freePorts finds a run of free ports below the kernel's own range.
+// freePorts finds n consecutive free ports below the range from which the kernel
+// assigns ports, and returns the first.
 func freePorts(n int) int {
 	nextPort.Lock()
 	defer nextPort.Unlock()
@@ -337,20 +347,20 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// waitFor polls until a condition holds; the test ends where it never does.
-func waitFor(t *testing.T, what string, holds func() bool) {
+// waitFor polls until a condition holds, and fails the test after waitTimeout.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	until := time.Now().Add(waitTimeout)
-	for time.Now().Before(until) {
-		if holds() {
+	deadline := time.Now().Add(waitTimeout)
+	for time.Now().Before(deadline) {
+		if condition() {
 			return
 		}
 		time.Sleep(pollInterval)
 	}
-	t.Fatalf("waited %s in vain for %s", waitTimeout, what)
+	t.Fatalf("waited %s for %s", waitTimeout, what)
 }
 
-// targets lists the addresses of a pool's targets.
+// targets returns the addresses of a pool's targets.
 func (c *cluster) targets(pool string) []string {
 	c.t.Helper()
 	for _, p := range c.fleetFile.Pools {
@@ -361,12 +371,12 @@
 		assert.NilError(c.t, err)
 		first, err := strconv.Atoi(port)
 		assert.NilError(c.t, err)
-		var all []string
+		var addresses []string
 		for i := range p.Count {
-			all = append(all, net.JoinHostPort(host, strconv.Itoa(first+i)))
+			addresses = append(addresses, net.JoinHostPort(host, strconv.Itoa(first+i)))
 		}
-		return all
+		return addresses
 	}
-	c.t.Fatalf("no pool %s", pool)
+	c.t.Fatalf("the fleet file has no pool %s", pool)
 	return nil
 }
--- a/test/load_test.go
+++ b/test/load_test.go
@@ -15,29 +15,29 @@
 	"github.com/vanillagate/vanillagate/internal/entry"
 )
 
-// loadGenerator sends requests at every entry VM of a cluster for as long as it runs:
-// pipelines as JSON, and calls of the plain service that may run again.
+// loadGenerator sends requests to every entry VM of a cluster until it is stopped: pipeline requests, and calls
+// of the plain service that are safe to repeat.
 type loadGenerator struct {
 	c      *cluster
 	cancel context.CancelFunc
 	wait   sync.WaitGroup
 
-	wrong failureList
+	failures failureList
 
-	mu   sync.Mutex // guards the rest
-	sent int
-	byID map[string]string // request to the entry VM that served it
-	per  map[string]int    // served by each entry VM
+	mu             sync.Mutex // guards the fields below
+	sent           int
+	entryByRequest map[string]string // request ID to the address of the entry VM that served it
+	servedByEntry  map[string]int    // number of requests that each entry VM served
 }
 
-// pace is the pause of one sender between two requests.
-const pace = 5 * time.Millisecond
+// sendPause is the pause of a sender between two requests.
+const sendPause = 5 * time.Millisecond
 
-// startLoad begins with some senders for each entry VM. Each goes to one VM,
-// or where choose is given to what it says.
+// startLoad starts some senders for each entry VM. Each sends to its entry VM or, if choose is given, to the
+// first address that choose returns.
 func startLoad(c *cluster, senders int, choose func() []string) *loadGenerator {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &loadGenerator{c: c, cancel: cancel, byID: map[string]string{}, per: map[string]int{}}
+	l := &loadGenerator{c: c, cancel: cancel, entryByRequest: map[string]string{}, servedByEntry: map[string]int{}}
 	for i, e := range c.entries {
 		for j := range senders {
 			addresses := func() []string { return []string{e.address} }
@@ -56,36 +56,36 @@
 		ref := fmt.Sprintf("%s-%d", name, i)
 		address := addresses()[0]
 		if i%3 == 2 {
-			l.note(address, sendNow(address, lookupRequest(ref)), ref, "")
+			l.record(address, sendNow(address, lookupRequest(ref)), ref, "")
 		} else {
-			l.note(address, sendNow(address, pipelineRequest(ref, 8)), ref, wholeText(ref, 8))
+			l.record(address, sendNow(address, pipelineRequest(ref, 8)), ref, wholeText(ref, 8))
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pace):
+		case <-time.After(sendPause):
 		}
 	}
 }
 
-// lookupRequest reads at the plain service, which may run any number of times.
+// lookupRequest reads from the plain service, which is safe to repeat.
 func lookupRequest(ref string) request {
 	return request{method: http.MethodGet, path: "/v1/services/booking/halls?ref=" + ref}
 }
 
-func (l *loadGenerator) note(address string, got reply, ref, want string) {
+func (l *loadGenerator) record(address string, got reply, ref, want string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sent++
 	fault := replyError(got, want)
 	if fault != "" {
-		l.wrong.add(fmt.Sprintf("%s at %s: %s", ref, address, fault))
+		l.failures.add(fmt.Sprintf("%s at %s: %s", ref, address, fault))
 		return
 	}
-	l.per[address]++
-	l.byID[got.requestID] = address
+	l.servedByEntry[address]++
+	l.entryByRequest[got.requestID] = address
 }
 
-// replyError says what is wrong with an answer; empty for nothing.
+// replyError describes what is wrong with a reply, or returns "" if nothing is. An empty want accepts any body.
 func replyError(got reply, want string) string {
 	switch {
 	case got.err != nil:
@@ -105,22 +105,22 @@
 	return ""
 }
 
-// served counts the requests that one entry VM served so far.
+// served returns the number of requests that an entry VM has served so far.
 func (l *loadGenerator) served(address string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.per[address]
+	return l.servedByEntry[address]
 }
 
-// waitServed waits until each of the entry VMs has served so many more.
+// waitServed waits until each of the entry VMs has served so many more requests.
 func (l *loadGenerator) waitServed(more int, addresses ...string) {
 	l.c.t.Helper()
-	until := map[string]int{}
+	wanted := map[string]int{}
 	for _, a := range addresses {
-		until[a] = l.served(a) + more
+		wanted[a] = l.served(a) + more
 	}
 	waitFor(l.c.t, fmt.Sprintf("%d more requests at each of %v", more, addresses), func() bool {
-		for a, n := range until {
+		for a, n := range wanted {
 			if l.served(a) < n {
 				return false
 			}
@@ -129,7 +129,7 @@
 	})
 }
 
-// failureList is what users would complain of.
+// failureList collects what callers find wrong with their answers.
 type failureList struct {
 	mu   sync.Mutex // guards list
 	list []string
@@ -141,12 +141,12 @@
 	c.list = append(c.list, what)
 }
 
-// checkEmpty fails where there are any, and shows the first of them.
+// checkEmpty fails the test if there are any failures, and shows the first three.
 func (c *failureList) checkEmpty(t *testing.T) {
 	t.Helper()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	assert.Equal(t, len(c.list), 0, "%d complaints: %s", len(c.list), strings.Join(c.list[:min(3, len(c.list))], "\n"))
+	assert.Equal(t, len(c.list), 0, "%d failures: %s", len(c.list), strings.Join(c.list[:min(3, len(c.list))], "\n"))
 }
 
 func (l *loadGenerator) stop() {
@@ -154,16 +154,15 @@
 	l.wait.Wait()
 }
 
-// stopAndCheck ends the load and checks that every request was answered rightly.
+// stopAndCheck stops the load and checks that every request got the correct answer.
 func (l *loadGenerator) stopAndCheck(t *testing.T) {
 	t.Helper()
 	l.stop()
-	l.wrong.checkEmpty(t)
+	l.failures.checkEmpty(t)
 }
 
-// lastStart is when the last new request that an entry VM sent to a target
-// began there, for each entry VM.
-func (l *loadGenerator) lastStart(target string) map[string]time.Time {
+// lastStartByEntry returns, for each entry VM, when the last request that it sent to a target started there.
+func (l *loadGenerator) lastStartByEntry(target string) map[string]time.Time {
 	l.c.t.Helper()
 	all := l.c.executions()
 	l.mu.Lock()
@@ -171,7 +170,7 @@
 	last := map[string]time.Time{}
 	for _, e := range all {
 		id, _, _ := strings.Cut(e.RequestID, "/")
-		from, known := l.byID[id]
+		from, known := l.entryByRequest[id]
 		at := time.UnixMicro(e.StartedUnixUS)
 		if e.Target == target && known && at.After(last[from]) {
 			last[from] = at
--- a/test/long_test.go
+++ b/test/long_test.go
@@ -23,30 +23,30 @@
 
 const (
 	defaultSeed = 2
-	// defaultLong is how long faults go on; VANILLAGATE_LONG sets another time.
-	defaultLong = 14 * time.Second
-	// callerTries is how often a caller sends one request, each time to another
-	// entry VM and with the same key.
+	// defaultFaultDuration is how long faults are injected; VANILLAGATE_LONG sets another duration.
+	defaultFaultDuration = 14 * time.Second
+	// callerTries is how often a caller sends a request, each time to another entry VM and with the
+	// same key.
 	callerTries = 6
 	callerPause = 150 * time.Millisecond
 )
 
-// longRun is a deployment under load and faults.
+// longRun is a deployment under load and faults, and what its callers were told.
 type longRun struct {
-	c     *cluster
-	t     *testing.T
-	wrong failureList
+	c        *cluster
+	t        *testing.T
+	failures failureList
 
-	// mu guards the entry VMs, which faults replace, and the rest below.
-	mu     sync.Mutex
-	keys   []string // bookings that a caller was told of as done
-	unsure []string // bookings that no caller knows of
-	notRun []string // bookings of which the last word was that they did not run
-	served atomic.Int64
-	gaveUp atomic.Int64
+	// mu guards the entry VMs of c, which faults replace, and the fields below.
+	mu      sync.Mutex
+	booked  []string // bookings that a caller was told were done
+	unknown []string // bookings of which no caller knows the outcome
+	notRun  []string // bookings whose last answer said that they did not run
+	served  atomic.Int64
+	gaveUp  atomic.Int64
 }
 
-func seedOf(t *testing.T) uint64 {
+func testSeed(t *testing.T) uint64 {
 	text := os.Getenv("VANILLAGATE_SEED")
 	if text == "" {
 		return defaultSeed
@@ -56,27 +56,24 @@
 	return seed
 }
 
-func longOf(t *testing.T) time.Duration {
+func longRunDuration(t *testing.T) time.Duration {
 	text := os.Getenv("VANILLAGATE_LONG")
 	if text == "" {
-		return defaultLong
+		return defaultFaultDuration
 	}
 	d, err := time.ParseDuration(text)
 	assert.NilError(t, err)
 	return d
 }
 
-// A bad quarter of an hour, made short: entry VMs are killed, frozen and
-// replaced, the table service goes down, loses answers and falls silent,
-// targets straggle, drop their streams and lose answers, engines die, and
-// operators go on changing contracts and announcing stops. Two or three of
-// these come together. Callers try again at other entry VMs under the same
-// key. A user may wait or be told that something failed; never may an answer
-// be another's or short, a booking run twice, or one that ran be called not
-// run. What was accepted must be in force at the end, and never have been
-// gone.
+// Injects random faults, two or three at a time, under load: entry VMs are killed, paused, stopped and
+// replaced; the table service goes down, loses answers or stops responding; targets are slow, drop their
+// streams, lose answers or go down. Meanwhile operators change contracts and announce a stop. Callers
+// retry at other entry VMs with the same key. Requests may be slow or fail, but no answer may be
+// incomplete or belong to another request, no booking may run twice, and none that ran may be reported
+// as not run. Every accepted change must be in force at the end, and must never have disappeared.
 func TestLongSeededRun(t *testing.T) {
-	seed := seedOf(t)
+	seed := testSeed(t)
 	t.Logf("VANILLAGATE_SEED=%d", seed)
 	c := startCluster(t, clusterOptions{entries: 4})
 	c.waitLinked()
@@ -86,53 +83,54 @@
 	defer cancel()
 	var callers sync.WaitGroup
 	for i := range 4 {
-		callers.Go(func() { r.ask(ctx, fmt.Sprintf("P%d", i)) })
-		callers.Go(func() { r.streamOn(ctx, fmt.Sprintf("S%d", i)) })
-		callers.Go(func() { r.bookOn(ctx, fmt.Sprintf("B%d", i)) })
+		callers.Go(func() { r.sendPipelines(ctx, fmt.Sprintf("P%d", i)) })
+		callers.Go(func() { r.sendStreams(ctx, fmt.Sprintf("S%d", i)) })
+		callers.Go(func() { r.sendBookings(ctx, fmt.Sprintf("B%d", i)) })
 	}
-	accepted := r.operateOn(ctx, &callers)
+	accepted := r.changeContracts(ctx, &callers)
 	random := rand.New(rand.NewPCG(seed, seed))
-	until := time.Now().Add(longOf(t))
+	until := time.Now().Add(longRunDuration(t))
 	rounds := 0
 	stopping, stoppedAt := c.targets("llm")[random.IntN(4)], time.Time{}
 	for ; time.Now().Before(until); rounds++ {
 		if rounds == 2 {
-			callers.Go(func() { stoppedAt = r.announce(stopping) })
+			callers.Go(func() { stoppedAt = r.announceUntilAccepted(stopping) })
 		}
-		r.faultsTogether(random)
+		r.injectFaults(random)
 	}
-	faulty := time.Since(until.Add(-longOf(t)))
+	faulty := time.Since(until.Add(-longRunDuration(t)))
 	cancel()
 	callers.Wait()
-	ended := time.Since(until.Add(-longOf(t)))
+	ended := time.Since(until.Add(-longRunDuration(t)))
 	r.check(watch, <-accepted)
 	r.checkStopped(stopping, stoppedAt)
-	t.Logf("faults until %s, callers until %s, checked until %s", faulty, ended, time.Since(until.Add(-longOf(t))))
+	t.Logf("faults until %s, callers until %s, checked until %s", faulty, ended, time.Since(until.Add(-longRunDuration(t))))
 	t.Logf("%d rounds of faults, %d requests served, %d given up by their callers, %d bookings done, %d of unknown outcome, %d not run",
-		rounds, r.served.Load(), r.gaveUp.Load(), len(r.keys), len(r.unsure), len(r.notRun))
+		rounds, r.served.Load(), r.gaveUp.Load(), len(r.booked), len(r.unknown), len(r.notRun))
 	if t.Failed() {
-		t.Logf("again with VANILLAGATE_SEED=%d", seed)
+		t.Logf("to reproduce, set VANILLAGATE_SEED=%d", seed)
 	}
 }
 
-// happening is a fault and how it ends. Replacements are waited for after the
-// other faults have ended: a VM that leaves while the table service is silent
-// goes on trying to record the outcomes that it owes, as it should.
-type happening struct {
+// faultEvent is a fault and how it ends. Replacements end after all other faults: a VM that shuts down
+// while the table service doesn't respond keeps trying to record the outcomes of its requests, as it
+// should.
+type faultEvent struct {
 	name     string
 	begin    func() (end func())
 	replaces bool
 }
 
-// faultsTogether lets two or three things happen at once, for a while.
-func (r *longRun) faultsTogether(random *rand.Rand) {
-	all := r.happenings(random)
+// injectFaults injects two or three faults at once, for a random time, and waits until requests are
+// served again.
+func (r *longRun) injectFaults(random *rand.Rand) {
+	all := r.faultEvents(random)
 	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	var ends []func()
-	for _, h := range all[:2+random.IntN(2)] {
-		r.t.Logf("%s", h.name)
-		end := h.begin()
-		if h.replaces {
+	for _, event := range all[:2+random.IntN(2)] {
+		r.t.Logf("%s", event.name)
+		end := event.begin()
+		if event.replaces {
 			ends = append(ends, end)
 		} else {
 			ends = append([]func(){end}, ends...)
@@ -147,43 +145,43 @@
 	waitFor(r.t, "requests to be served again", func() bool { return r.served.Load() > before+20 })
 }
 
-func (r *longRun) happenings(random *rand.Rand) []happening {
+func (r *longRun) faultEvents(random *rand.Rand) []faultEvent {
 	c := r.c
 	i, j := random.IntN(len(c.entries)), random.IntN(len(c.entries))
 	engine := c.targets("llm")[random.IntN(4)]
 	service := c.targets("booking")[random.IntN(3)]
-	faulty := func(name, scope string, f fault.Fault) happening {
-		return happening{name: name, begin: func() func() {
+	faulty := func(name, scope string, f fault.Fault) faultEvent {
+		return faultEvent{name: name, begin: func() func() {
 			c.setFault(scope, f)
 			return func() { c.setFault(scope, fault.Fault{}) }
 		}}
 	}
-	silent := func(f relay.Faults) func() func() {
+	tableFault := func(f relay.Faults) func() func() {
 		return func() func() {
 			c.tableRelay.SetFaults(f)
 			return func() { c.tableRelay.SetFaults(relay.Faults{}); c.tableRelay.ResetConnections() }
 		}
 	}
-	return []happening{
+	return []faultEvent{
 		{"an entry VM is killed and replaced", func() func() { return r.replace(i, func(e *entryVM) { e.kill(r.t) }) }, true},
 		{"an entry VM is stopped as planned and replaced", func() func() {
 			return r.replace(j, func(e *entryVM) { e.signal(r.t, syscall.SIGTERM) })
 		}, true},
-		{"an entry VM stands still", func() func() {
+		{"an entry VM is paused", func() func() {
 			e := r.entry(i)
-			_ = e.cmd.Process.Signal(syscall.SIGSTOP) // it may have ended already
+			_ = e.cmd.Process.Signal(syscall.SIGSTOP) // the process may have ended already
 			return func() { _ = e.cmd.Process.Signal(syscall.SIGCONT) }
 		}, false},
-		{"the table service falls silent", silent(relay.Faults{FreezeToCaller: true}), false},
-		{"the table service loses its answers", silent(relay.Faults{LoseAnswer: true}), false},
+		{"the table service stops responding", tableFault(relay.Faults{FreezeToCaller: true}), false},
+		{"the table service loses its answers", tableFault(relay.Faults{LoseAnswer: true}), false},
 		faulty("the table service is down", fault.ScopeTable, fault.Fault{Down: true}),
 		faulty("the table service loses some answers", fault.ScopeTable, fault.Fault{LoseAnswerShare: 0.3}),
-		faulty("an engine straggles", fault.TargetScope(engine), fault.Fault{StraggleFactor: 8}),
+		faulty("an engine is slow", fault.TargetScope(engine), fault.Fault{StraggleFactor: 8}),
 		faulty("an engine drops its streams", fault.TargetScope(engine), fault.Fault{DropStreamAfterTokens: 7}),
-		faulty("an engine dies", fault.TargetScope(engine), fault.Fault{Down: true}),
+		faulty("an engine goes down", fault.TargetScope(engine), fault.Fault{Down: true}),
 		faulty("a service's target loses answers", fault.TargetScope(service), fault.Fault{LoseAnswerShare: 0.5}),
-		faulty("a service's target dies", fault.TargetScope(service), fault.Fault{Down: true}),
-		faulty("answers of rerankers are mixed up", fault.PoolScope("reranker"), fault.Fault{WrongIdentityShare: 0.2}),
+		faulty("a service's target goes down", fault.TargetScope(service), fault.Fault{Down: true}),
+		faulty("rerankers answer with wrong identities", fault.PoolScope("reranker"), fault.Fault{WrongIdentityShare: 0.2}),
 		faulty("the VM list is down", fault.ScopeVMList, fault.Fault{Down: true}),
 	}
 }
@@ -194,7 +192,8 @@
 	return r.c.entries[i]
 }
 
-// replace ends a VM in some way; at the end another runs in its place.
+// replace ends an entry VM with the given function, unless it has ended already. The function that it
+// returns starts another one in its place.
 func (r *longRun) replace(i int, end func(*entryVM)) func() {
 	e := r.entry(i)
 	select {
@@ -206,7 +205,7 @@
 		_ = e.cmd.Process.Signal(syscall.SIGCONT)
 		code := e.waitExit(r.t, waitTimeout)
 		if code != 0 && e.cmd.ProcessState.Exited() {
-			r.wrong.add(fmt.Sprintf("%s ended with exit code %d", e.name, code))
+			r.failures.add(fmt.Sprintf("%s ended with exit code %d", e.name, code))
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -216,16 +215,16 @@
 	}
 }
 
-// somewhere picks an entry VM for the n-th try.
-func (r *longRun) somewhere(n int) string {
+// pickEntry returns the address of an entry VM for the n-th try.
+func (r *longRun) pickEntry(n int) string {
 	return r.entry((rand.IntN(len(r.c.entries)) + n) % len(r.c.entries)).address
 }
 
-// try sends a request until it gets a final answer.
-func (r *longRun) try(req request, final func(reply) bool) (got reply, done bool) {
+// sendWithRetries sends a request until final accepts the reply, at most callerTries times.
+func (r *longRun) sendWithRetries(req request, final func(reply) bool) (got reply, done bool) {
 	for n := range callerTries {
 		ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
-		got = send(ctx, r.somewhere(n), req)
+		got = send(ctx, r.pickEntry(n), req)
 		cancel()
 		if final(got) {
 			return got, true
@@ -235,37 +234,39 @@
 	return got, false
 }
 
+// succeeded reports whether the reply has status 200.
 func succeeded(got reply) bool { return got.err == nil && got.status == http.StatusOK }
 
-func (r *longRun) ask(ctx context.Context, name string) {
+// sendPipelines sends pipeline requests one after another until the context ends, and checks the answers.
+func (r *longRun) sendPipelines(ctx context.Context, name string) {
 	for i := 0; ctx.Err() == nil; i++ {
 		ref := fmt.Sprintf("%s-%d", name, i)
-		got, done := r.try(pipelineRequest(ref, 24), succeeded)
+		got, done := r.sendWithRetries(pipelineRequest(ref, 24), succeeded)
 		if !done {
 			r.gaveUp.Add(1)
 			continue
 		}
 		r.served.Add(1)
 		if wrong := replyError(got, wholeText(ref, 24)); wrong != "" {
-			r.wrong.add(ref + ": " + wrong)
+			r.failures.add(ref + ": " + wrong)
 		}
 	}
 }
 
-// streamOn checks that each stream is whole or ends in an error that says so;
-// what came until then must be the beginning of the answer.
-func (r *longRun) streamOn(ctx context.Context, name string) {
+// sendStreams checks that each stream is complete or ends in an error; the text received before the error
+// must be a prefix of the answer.
+func (r *longRun) sendStreams(ctx context.Context, name string) {
 	for i := 0; ctx.Err() == nil; i++ {
 		ref := fmt.Sprintf("%s-%d", name, i)
 		want := wholeText(ref, 60)
 		within, cancel := context.WithTimeout(context.Background(), 6*time.Second)
-		got := stream(within, r.somewhere(i), ref, 60, nil)
+		got := stream(within, r.pickEntry(i), ref, 60, nil)
 		cancel()
 		switch {
 		case got.err == nil && got.problem == nil && got.text != want:
-			r.wrong.add(fmt.Sprintf("%s: ended as if whole with %q", ref, got.text))
+			r.failures.add(fmt.Sprintf("%s: ended without an error, but the text is %q", ref, got.text))
 		case len(got.text) > len(want) || got.text != want[:len(got.text)]:
-			r.wrong.add(fmt.Sprintf("%s: text of another or doubled: %q", ref, got.text))
+			r.failures.add(fmt.Sprintf("%s: text of another request or repeated text: %q", ref, got.text))
 		case got.err == nil && got.problem == nil:
 			r.served.Add(1)
 		default:
@@ -275,36 +276,37 @@
 	}
 }
 
-// bookOn books under a key of its own each time. What it is told last of the
-// key is checked against the targets' own count.
-func (r *longRun) bookOn(ctx context.Context, name string) {
+// sendBookings sends bookings, each with its own key. The last reply for a key is checked against the
+// number of times that targets ran the booking.
+func (r *longRun) sendBookings(ctx context.Context, name string) {
 	for i := 0; ctx.Err() == nil; i++ {
 		key := fmt.Sprintf("%s-%d", name, i)
 		booking := bookingRequest(key)
 		booking.timeout = 1500 * time.Millisecond
-		got, done := r.try(booking, succeeded)
+		got, done := r.sendWithRetries(booking, succeeded)
 		r.mu.Lock()
 		switch {
 		case done:
-			r.keys = append(r.keys, key)
+			r.booked = append(r.booked, key)
 			r.served.Add(1)
 		case got.problem != nil && got.problem.Execution == problem.NotRun:
 			r.notRun = append(r.notRun, key)
 		default:
-			r.unsure = append(r.unsure, key)
+			r.unknown = append(r.unknown, key)
 		}
 		r.mu.Unlock()
 	}
 }
 
-// operateOn goes on changing contracts and gives what was accepted.
-func (r *longRun) operateOn(ctx context.Context, wait *sync.WaitGroup) <-chan map[string]config.Revision {
+// changeContracts changes one contract after the other until the context ends. The channel then gets the
+// revisions of the accepted changes by contract name.
+func (r *longRun) changeContracts(ctx context.Context, wait *sync.WaitGroup) <-chan map[string]config.Revision {
 	result := make(chan map[string]config.Revision, 1)
 	wait.Go(func() {
 		accepted := map[string]config.Revision{}
 		for i := 0; ctx.Err() == nil; i++ {
 			name := fmt.Sprintf("long-%d", i)
-			got := changeItem(r.somewhere(i), "day shift", "change-"+name, "contracts/"+name, config.Contract{Customer: name, Share: 7}, 0)
+			got := changeItem(r.pickEntry(i), "day shift", "change-"+name, "contracts/"+name, config.Contract{Customer: name, Share: 7}, 0)
 			if got.err == nil && got.status == http.StatusOK {
 				accepted[name] = got.accepted(r.t)
 			}
@@ -315,11 +317,11 @@
 	return result
 }
 
-// announce has a stop of a target announced at whatever entry VM takes it in,
-// and gives when it did.
-func (r *longRun) announce(target string) time.Time {
+// announceUntilAccepted announces the stop of a target at one entry VM after the other until one accepts
+// it, and returns the time of acceptance.
+func (r *longRun) announceUntilAccepted(target string) time.Time {
 	for n := 0; ; n++ {
-		got := callAdminAPI(r.somewhere(n), http.MethodPut, "stops/long", stopOf("long", target), map[string]string{"If-Match": "0", "Change-Id": "stop-long"})
+		got := callAdminAPI(r.pickEntry(n), http.MethodPut, "stops/long", newStop("long", target), map[string]string{"If-Match": "0", "Change-Id": "stop-long"})
 		if got.err == nil && (got.status == http.StatusOK || got.status == http.StatusAccepted) {
 			return time.Now()
 		}
@@ -327,7 +329,8 @@
 	}
 }
 
-// checkStopped checks that the stop was heeded soon and all the time after.
+// checkStopped checks that the target got no new requests from maxPropagationDelay after the announcement
+// on, and that the stop is still in force.
 func (r *longRun) checkStopped(target string, at time.Time) {
 	late, before := 0, 0
 	for _, e := range r.c.executions() {
@@ -335,19 +338,19 @@
 		case e.Target != target:
 		case started.After(at.Add(maxPropagationDelay)):
 			late++
-			r.t.Logf("%s began %s after the announcement", e.RequestID, started.Sub(at))
+			r.t.Logf("%s started %s after the announcement", e.RequestID, started.Sub(at))
 		default:
 			before++
 		}
 	}
-	assert.Equal(r.t, late, 0, "new work at a stopped target")
+	assert.Equal(r.t, late, 0, "new requests at a stopped target")
 	assert.Assert(r.t, before > 0)
 	for _, address := range r.c.addresses() {
-		assert.Assert(r.t, stopInForce(address, "long"), "%s lost the stop", address)
+		assert.Assert(r.t, stopInForce(address, "long"), "%s doesn't have the stop in force", address)
 	}
 }
 
-// check is the reckoning, after all is well again.
+// check verifies the results once all faults have ended and all VMs are ready.
 func (r *longRun) check(watch *revisionWatch, accepted map[string]config.Revision) {
 	t, c := r.t, r.c
 	for _, e := range c.entries {
@@ -368,7 +371,7 @@
 		}
 	}
 	watch.assertNoRegression(t)
-	r.wrong.checkEmpty(t)
+	r.failures.checkEmpty(t)
 	ran := map[string]int{}
 	for _, e := range c.executions() {
 		if e.IdempotencyKey != "" {
@@ -380,15 +383,15 @@
 			t.Errorf("booking %s ran %d times", key, n)
 		}
 	}
-	for _, key := range r.keys {
+	for _, key := range r.booked {
 		if ran[key] != 1 {
 			t.Errorf("booking %s was answered as done and ran %d times", key, ran[key])
 		}
 	}
 	for _, key := range r.notRun {
 		if ran[key] != 0 {
-			t.Errorf("booking %s was called not run and ran %d times", key, ran[key])
+			t.Errorf("booking %s was reported as not run and ran %d times", key, ran[key])
 		}
 	}
-	assert.Assert(t, len(r.keys) > 20 && len(accepted) > 5, "too little went well to say anything: %d bookings, %d changes", len(r.keys), len(accepted))
+	assert.Assert(t, len(r.booked) > 20 && len(accepted) > 5, "too few successes for a meaningful result: %d bookings, %d changes", len(r.booked), len(accepted))
 }
--- a/test/outage_test.go
+++ b/test/outage_test.go
@@ -13,8 +13,8 @@
 	"github.com/vanillagate/vanillagate/internal/standin/fault"
 )
 
-// failedCalls counts the calls at targets of a stage that failed, by what the
-// entry VMs say themselves.
+// failedCalls returns the number of failed calls at the targets of a stage, from the metrics of the entry
+// VMs.
 func (c *cluster) failedCalls(stage string) int {
 	c.t.Helper()
 	line := regexp.MustCompile(`vanillagate_target_failures_total\{stage="` + stage + `"\} (\d+)`)
@@ -34,8 +34,8 @@
 	return total
 }
 
-// ranIn counts the executions of a pool.
-func (c *cluster) ranIn(pool string) int {
+// executionsIn returns the number of executions in a pool.
+func (c *cluster) executionsIn(pool string) int {
 	n := 0
 	for _, e := range c.executions() {
 		if e.Pool == pool {
@@ -45,7 +45,7 @@
 	return n
 }
 
-// outage is how a whole pool fails, and how calls at it are counted.
+// outage describes how a whole pool fails, and how the calls at its targets are counted.
 type outage struct {
 	name, pool string
 	fault      fault.Fault
@@ -53,30 +53,32 @@
 	request    func(n int64) request
 }
 
-func quote(n int64) request { return pipelineRequest(fmt.Sprint("o", n), 4) }
+func quoteRequest(n int64) request { return pipelineRequest(fmt.Sprint("o", n), 4) }
 
-func ranAt(pool string) func(*cluster) int { return func(c *cluster) int { return c.ranIn(pool) } }
+func countExecutions(pool string) func(*cluster) int {
+	return func(c *cluster) int { return c.executionsIn(pool) }
+}
 
-func failedAt(stage string) func(*cluster) int {
+func countFailedCalls(stage string) func(*cluster) int {
 	return func(c *cluster) int { return c.failedCalls(stage) }
 }
 
 var outages = []outage{
-	{"a stage loses its answers", "reranker", fault.Fault{LoseAnswerShare: 1}, ranAt("reranker"), quote},
-	{"a stage refuses", "reranker", fault.Fault{Refuse: true}, failedAt("rerank"), quote},
-	{"all engines lose their answers", "llm", fault.Fault{LoseAnswerShare: 1}, ranAt("llm"), quote},
-	{"all engines refuse", "llm", fault.Fault{Refuse: true}, failedAt("generate"), quote},
-	{"a service loses its answers", "booking", fault.Fault{LoseAnswerShare: 1}, ranAt("booking"), func(n int64) request { return lookupRequest(fmt.Sprint("o", n)) }},
-	{"a service refuses", "booking", fault.Fault{Refuse: true}, failedAt("booking"), func(n int64) request { return lookupRequest(fmt.Sprint("o", n)) }},
+	{"a stage loses its answers", "reranker", fault.Fault{LoseAnswerShare: 1}, countExecutions("reranker"), quoteRequest},
+	{"a stage refuses", "reranker", fault.Fault{Refuse: true}, countFailedCalls("rerank"), quoteRequest},
+	{"all engines lose their answers", "llm", fault.Fault{LoseAnswerShare: 1}, countExecutions("llm"), quoteRequest},
+	{"all engines refuse", "llm", fault.Fault{Refuse: true}, countFailedCalls("generate"), quoteRequest},
+	{"a service loses its answers", "booking", fault.Fault{LoseAnswerShare: 1}, countExecutions("booking"), func(n int64) request { return lookupRequest(fmt.Sprint("o", n)) }},
+	{"a service refuses", "booking", fault.Fault{Refuse: true}, countFailedCalls("booking"), func(n int64) request { return lookupRequest(fmt.Sprint("o", n)) }},
 }
 
 const (
-	outageRate   = 30 // requests a second at each entry VM
+	outageRate   = 30 // requests per second at each entry VM
 	outageLength = 6 * time.Second
 )
 
-// loadFactor is how many calls the targets of a failed pool get for each
-// request of the callers that can have come so far.
+// loadFactor returns the number of calls at the targets of a failed pool per request that callers sent during
+// the outage.
 func loadFactor(t *testing.T, o outage, policy string) float64 {
 	t.Helper()
 	c := startCluster(t, clusterOptions{flags: []string{"--policy", policy}})
@@ -93,10 +95,9 @@
 	return factor
 }
 
-// All targets of a pool fail. Every request that is tried again makes the load
-// on them larger, by up to four times, and keeps them from coming back. Retries
-// must come out of a budget that all that fail share. The baseline shows what
-// it is without.
+// All targets of a pool fail. Every retry adds to their load, which can grow up to fourfold and keep them from
+// recovering. Therefore all failing requests must share one retry budget. The run without a budget shows that
+// the test would notice.
 func TestRetriesDoNotMultiplyAnOutage(t *testing.T) {
 	t.Parallel()
 	for _, o := range outages {
--- a/test/platform_explain_test.go
+++ b/test/platform_explain_test.go
@@ -16,11 +16,11 @@
 	"github.com/vanillagate/vanillagate/platform/standin"
 )
 
-// explain collects the logs of all VMs and asks vgctl for a request's story, as
-// docs/OPERATIONS.md says.
+// explain collects the logs of all VMs and runs vgctl explain for a request, as
+// docs/OPERATIONS.md describes.
 func (e *edgeSite) explain(id string) string {
 	e.t.Helper()
-	time.Sleep(200 * time.Millisecond) // the last lines are on their way
+	time.Sleep(200 * time.Millisecond) // until the last log lines have been read
 	folder := e.t.TempDir()
 	args := []string{"explain", id}
 	for i, p := range e.processes {
@@ -34,8 +34,8 @@
 	return string(out)
 }
 
-// send sends one request to the first VM and gives the status and whether the
-// answer was whole.
+// send sends a request to the first VM. It returns the status, and whether the answer was
+// complete.
 func (e *edgeSite) send(path, id string) (status int, whole bool) {
 	e.t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+e.vms[0].RequestAddress()+path, strings.NewReader("body"))
@@ -64,47 +64,46 @@
 	return string(body)
 }
 
-// A caller complains; the operators have its request's identity, the logs and
-// the metrics, and nothing else. The three stories of docs/OPERATIONS.md lead
-// from the identity to the cause.
-func TestPlatformThreeComplaintsAreExplained(t *testing.T) {
+// A caller reports a failed request. With nothing but the request's ID, the logs and the metrics,
+// the three procedures of docs/OPERATIONS.md lead operators to the cause.
+func TestPlatformFailedRequestsAreExplained(t *testing.T) {
 	t.Parallel()
-	e := startEdges(t, 3)
-	all := func(targets []*standin.Target, b standin.Behaviour) {
+	e := startEdgeSite(t, 3)
+	setBehaviour := func(targets []*standin.Target, b standin.Behaviour) {
 		for _, target := range targets {
 			target.SetBehaviour(func(*http.Request) standin.Behaviour { return b })
 		}
 	}
 
-	// A refusal: every target of the service was full.
-	all(e.site.Desks, standin.RejectsRequest)
+	// A rejected request: every target of the service was full.
+	setBehaviour(e.site.Desks, standin.RejectsRequest)
 	status, _ := e.send("/book/x", "refused-1")
 	assert.Equal(t, status, 503)
-	story := e.explain("refused-1")
-	assert.Assert(t, strings.Contains(story, "Target refused."), story)
-	assert.Assert(t, strings.Contains(story, "status=503"), story)
-	assert.Assert(t, strings.Contains(story, "ran=0"), story)
+	requestLog := e.explain("refused-1")
+	assert.Assert(t, strings.Contains(requestLog, "Target refused."), requestLog)
+	assert.Assert(t, strings.Contains(requestLog, "status=503"), requestLog)
+	assert.Assert(t, strings.Contains(requestLog, "ran=0"), requestLog)
 
-	// A booking whose outcome nobody knows: it ran, and its answer was lost.
-	all(e.site.Desks, standin.LosesAnswer)
+	// A booking of unknown outcome: it ran, and its answer was lost.
+	setBehaviour(e.site.Desks, standin.LosesAnswer)
 	status, _ = e.send("/book/x", "unknown-1")
 	assert.Equal(t, status, 502)
-	story = e.explain("unknown-1")
-	assert.Assert(t, strings.Contains(story, "Attempt got no answer."), story)
-	assert.Assert(t, strings.Contains(story, "sent=true"), story)
-	assert.Assert(t, strings.Contains(story, "reason=target gave no answer"), story)
-	assert.Assert(t, strings.Contains(story, "ran=1"), story)
+	requestLog = e.explain("unknown-1")
+	assert.Assert(t, strings.Contains(requestLog, "Attempt got no answer."), requestLog)
+	assert.Assert(t, strings.Contains(requestLog, "sent=true"), requestLog)
+	assert.Assert(t, strings.Contains(requestLog, "reason=target gave no answer"), requestLog)
+	assert.Assert(t, strings.Contains(requestLog, "ran=1"), requestLog)
 
-	// A stream that broke: the engines cut it, here and at the second try.
-	all(e.site.Engines, standin.CutsAnswer)
+	// A broken stream: the engine closed it, at the first attempt and at the retry.
+	setBehaviour(e.site.Engines, standin.CutsAnswer)
 	_, whole := e.send("/quote/x", "broken-1")
 	assert.Assert(t, !whole)
-	story = e.explain("broken-1")
-	assert.Assert(t, strings.Contains(story, "Stream broke."), story)
-	assert.Assert(t, strings.Contains(story, "after_event="), story)
+	requestLog = e.explain("broken-1")
+	assert.Assert(t, strings.Contains(requestLog, "Stream broke."), requestLog)
+	assert.Assert(t, strings.Contains(requestLog, "after_event="), requestLog)
 
-	// A request that was served leaves no line, which says so much.
-	all(e.site.Desks, standin.Normal)
+	// A request that was served leaves no log line, and vgctl says so.
+	setBehaviour(e.site.Desks, standin.Normal)
 	status, _ = e.send("/ask/x", "fine-1")
 	assert.Equal(t, status, 200)
 	assert.Assert(t, strings.Contains(e.explain("fine-1"), "No line about fine-1."))
--- a/test/platform_planned_work_test.go
+++ b/test/platform_planned_work_test.go
@@ -20,26 +20,28 @@
 )
 
 const (
-	// plannedFor is how long planned work goes on; VANILLAGATE_LONG sets another
-	// time. A test with the start and the last leaving takes some 15 s.
-	plannedFor = 6 * time.Second
-	// plannedRate is in requests a second: some twenty are under way at any time.
+	// plannedDuration is how long the planned work goes on; VANILLAGATE_LONG sets another
+	// duration. With start and the last shutdown a test takes about 15 s.
+	plannedDuration = 6 * time.Second
+	// plannedRate is in requests per second: about twenty are in flight at any time.
 	plannedRate = 60
-	// shortestGrace is the least grace period that the settings get, in seconds.
-	// The longest request and the callers' old answers need 4 s.
-	shortestGrace = 6
-	// firstGrace is what the stand-in writes into the settings at first.
-	firstGrace = 8
-	// reread is within what time a process takes over settings without being told.
-	reread = 2500 * time.Millisecond
-	// leaveOneIn is of how many VMs one leaves at a time at most.
-	leaveOneIn = 3
-	// spareService is the second one to which bookings may go.
+	// minGrace is the shortest grace period that the settings get, in seconds. The longest
+	// request and the callers' outdated addresses need 4 s.
+	minGrace = 6
+	// initialGrace is the grace period that the stand-in writes into the settings at first,
+	// in seconds.
+	initialGrace = 8
+	// settingsReadDelay is the longest time after which a process has applied changed
+	// settings without having been sent SIGHUP.
+	settingsReadDelay = 2500 * time.Millisecond
+	// vmsPerRestart is the number of VMs of which at most one is being restarted at a time.
+	vmsPerRestart = 3
+	// spareService is the second service to which bookings may be sent.
 	spareService = "spare-desk"
 )
 
-// plannedSeeds are those that CI runs. VANILLAGATE_SEED runs another one instead,
-// VANILLAGATE_SEEDS so many from there on.
+// plannedSeeds returns the seeds to test. CI uses the default ones. VANILLAGATE_SEED sets
+// another one, and VANILLAGATE_SEEDS the number of consecutive seeds from there on.
 func plannedSeeds(t *testing.T) []uint64 {
 	t.Helper()
 	if os.Getenv("VANILLAGATE_SEED") == "" && os.Getenv("VANILLAGATE_SEEDS") == "" {
@@ -53,93 +55,92 @@
 	}
 	var seeds []uint64
 	for i := range n {
-		seeds = append(seeds, seedOf(t)+uint64(i))
+		seeds = append(seeds, testSeed(t)+uint64(i))
 	}
 	return seeds
 }
 
-func plannedTime(t *testing.T) time.Duration {
+func plannedDurationOf(t *testing.T) time.Duration {
 	t.Helper()
 	if os.Getenv("VANILLAGATE_LONG") == "" {
-		return plannedFor
+		return plannedDuration
 	}
-	return longOf(t)
+	return longRunDuration(t)
 }
 
-// An ordinary day of platform and operators, made short: settings are rewritten,
-// for a moment half written or gone, and processes told so in bursts, also while
-// they start and leave; VMs leave one after the other and come back; asked twice
-// to leave, they leave once; configurations follow one another. All of it
-// overlaps. It is work that was planned, so each caller gets a whole answer or is
-// told truly that nothing ran. A process that any of it ends, or that closes
-// connections too early, leaves callers with half an answer or none.
+// Runs planned work on the platform's VMs, compressed into seconds: settings files are
+// rewritten, and for a moment are incomplete or missing; processes get bursts of SIGHUP, also
+// while they start and shut down; VMs are restarted one after the other, some with a second
+// SIGTERM during the shutdown; configurations follow one another. All of it overlaps. Since all
+// of this is planned, each caller must get a complete answer or be told, correctly, that nothing
+// ran. Guards against processes that end at one of these events or close connections too early,
+// so that callers get an incomplete answer or none.
 func TestPlatformPlannedWork(t *testing.T) {
 	t.Parallel()
 	for _, seed := range plannedSeeds(t) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			playPlannedWork(t, seed)
+			runPlannedWork(t, seed)
 		})
 	}
 }
 
-func playPlannedWork(t *testing.T, seed uint64) {
+func runPlannedWork(t *testing.T, seed uint64) {
 	t.Helper()
 	w := newPlannedWork(t, seed)
-	t.Cleanup(w.keepLogs)
+	t.Cleanup(w.saveLogs)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	callers := &standin.Callers{Site: w.edges.site, VMs: w.edges.vms, PerSecond: plannedRate, LongRequests: true, StaleAddresses: true}
 	done := make(chan standin.Tally, 1)
-	go func() { done <- callers.Run(ctx, time.Hour) }() // until cancelled
-	w.goOn()
+	go func() { done <- callers.Run(ctx, time.Hour) }() // runs until ctx is cancelled
+	w.runAll()
 	cancel()
 	tally := <-done
 	w.check(tally, callers.FailedRequests())
 }
 
-// graceSince is a grace period and since when a settings file has it.
-type graceSince struct {
+// gracePeriodChange is a grace period and when it was written into a settings file.
+type gracePeriodChange struct {
 	grace time.Duration
 	since time.Time
 }
 
-// A VM leaves while many callers hold its address longer than they were told, as
-// some do. They come all the time, so that there is no moment at which nothing is
-// under way. A process that waits for one goes on taking requests until its time is
-// over, and breaks off those that it took last: streams end in their middle, and a
-// booking has run whose caller hears nothing.
-func TestPlatformLeavingVMTakesNoMoreThanItCanFinish(t *testing.T) {
+// A VM shuts down while many callers keep sending to its address for longer than they were
+// told to, so that there is always a request in flight. Guards against a process that waits for
+// a moment without any: it accepts requests until its grace period is over and aborts the last
+// ones, so that streams break off and bookings run whose callers get no answer.
+func TestPlatformStoppingVMTakesNoMoreThanItCanFinish(t *testing.T) {
 	t.Parallel()
-	e := startEdges(t, 3)
+	e := startEdgeSite(t, 3)
 	callers := &standin.Callers{Site: e.site, VMs: e.vms, PerSecond: plannedRate, LongRequests: true, OnlyAddress: e.vms[0].RequestAddress()}
 	done := make(chan standin.Tally, 1)
-	go func() { done <- callers.Run(context.Background(), (1+firstGrace)*time.Second) }()
+	go func() { done <- callers.Run(context.Background(), (1+initialGrace)*time.Second) }()
 	time.Sleep(time.Second)
 	e.processes[0].signal(t, syscall.SIGTERM)
-	assert.Equal(t, e.processes[0].waitExit(t, firstGrace*time.Second), 0)
+	assert.Equal(t, e.processes[0].waitExit(t, initialGrace*time.Second), 0)
 	tally := <-done
 	t.Log(tally)
 	notSent := 0
-	for _, miss := range callers.FailedRequests() {
-		if miss.NotSent() {
+	for _, failed := range callers.FailedRequests() {
+		if failed.NotSent() {
 			notSent++
 			continue
 		}
-		t.Error(miss)
+		t.Error(failed)
 	}
 	assert.Equal(t, tally.Failed, 0)
 	assert.Equal(t, tally.Lost, notSent)
-	assert.Assert(t, tally.Answered > plannedRate, "too little was served to say anything: %v", tally)
+	assert.Assert(t, tally.Answered > plannedRate, "too few requests were answered for a meaningful result: %v", tally)
 	assert.Assert(t, tally.WrongAnswers == 0 && tally.RanTwice == 0 && tally.FalseRefusals == 0, "%v", tally)
 }
 
-// The platform tells a process that its settings have changed while it still reads
-// them for the first time. A process that catches the signal only later ends, and
-// its VM serves nobody until it is started again.
+// The platform sends SIGHUP for changed settings while the process still reads them for the
+// first time. Guards against a process that handles the signal only later: it would end, and its
+// VM would serve nobody until it is started again.
 func TestPlatformSettingsChangeWhileTheyAreRead(t *testing.T) {
 	t.Parallel()
-	e := newEdges(t, 1)
+	e := newEdgeSite(t, 1)
 	path := e.vms[0].Settings
 	assert.NilError(t, os.Rename(path, path+".whole"))
 	assert.NilError(t, syscall.Mkfifo(path, 0o600))
@@ -162,73 +163,71 @@
 	e.waitReady(0)
 }
 
-// A VM is asked to leave again and again until it has left. A process that stops
-// catching the signal before its very end is ended by the last one: whoever looks at
-// its exit code takes a stop that cut nothing for a failure.
-func TestPlatformAskedToLeaveUntilItHasLeft(t *testing.T) {
+// A VM gets SIGTERM again and again until its process has ended. Guards against a process that
+// stops handling the signal before its very end: the last signal would kill it, and its exit
+// status would report a failure although nothing was cut.
+func TestPlatformRepeatedTerminationSignals(t *testing.T) {
 	t.Parallel()
-	e := newEdges(t, 12) // each meets the moment by chance only
+	e := newEdgeSite(t, 12) // whether a signal comes that late is chance, hence many VMs
 	e.startAll()
-	until := time.Now().Add(firstGrace * time.Second)
+	until := time.Now().Add(initialGrace * time.Second)
 	for _, run := range e.processes {
 		for time.Now().Before(until) && run.cmd.Process.Signal(syscall.SIGTERM) == nil {
-			e.askAll()
+			e.terminateAll()
 		}
 	}
 	for _, run := range e.processes {
-		assert.Check(t, run.waitExit(t, firstGrace*time.Second) == 0, "%s: %s", run.name, run.cmd.ProcessState)
+		assert.Check(t, run.waitExit(t, initialGrace*time.Second) == 0, "%s: %s", run.name, run.cmd.ProcessState)
 	}
 }
 
-// askAll asks all processes to leave; those that have left don't mind.
-func (e *edgeSite) askAll() {
+// terminateAll sends SIGTERM to all processes; those that have ended are ignored.
+func (e *edgeSite) terminateAll() {
 	for _, run := range e.processes {
 		_ = run.cmd.Process.Signal(syscall.SIGTERM)
 	}
 }
 
-// plannedWork is a site on which planned work of several kinds goes on at once.
-// Each kind has its own random numbers, so that a seed gives the same sequence of
-// each.
+// plannedWork runs several kinds of planned work on a site at once. Each kind has its own random
+// number generator, so that a seed gives the same sequence for each of them.
 type plannedWork struct {
-	t     *testing.T
-	seed  uint64
-	edges *edgeSite
-	until time.Time
-	began time.Time
-	// files guard the VMs' settings files, held also while a process starts: the
-	// platform starts none without its settings.
-	files []sync.Mutex
-	texts []string // of the settings files at the beginning
-	// graces are the grace periods that each file has had.
-	graces [][]graceSince
-
-	mu     sync.Mutex // guards what follows, and the runs of edges
-	all    []*process
-	asked  map[*process]bool // those that got SIGTERM
-	wrong  []string
-	events []string
+	t        *testing.T
+	seed     uint64
+	edges    *edgeSite
+	deadline time.Time
+	began    time.Time
+	// settingsMu guards each VM's settings file. It is also held while a process starts, as
+	// the platform starts no process while its settings file is incomplete.
+	settingsMu      []sync.Mutex
+	initialSettings []string // contents of the settings files at the start
+	// graceHistory holds the grace periods that each settings file has had.
+	graceHistory [][]gracePeriodChange
+
+	mu         sync.Mutex // guards the fields below and edges.processes
+	started    []*process
+	terminated map[*process]bool // the processes that were sent SIGTERM
+	failures   []string
+	events     []string
 }
 
 func newPlannedWork(t *testing.T, seed uint64) *plannedWork {
 	t.Helper()
 	vms := 3 + int(seed%4)
 	w := &plannedWork{
-		t: t, seed: seed, edges: startEdges(t, vms), files: make([]sync.Mutex, vms), asked: map[*process]bool{},
+		t: t, seed: seed, edges: startEdgeSite(t, vms), settingsMu: make([]sync.Mutex, vms), terminated: map[*process]bool{},
 	}
-	w.all = append(w.all, w.edges.processes...)
+	w.started = append(w.started, w.edges.processes...)
 	for _, vm := range w.edges.vms {
 		text, err := os.ReadFile(vm.Settings)
 		assert.NilError(t, err)
-		w.texts = append(w.texts, string(text))
-		w.graces = append(w.graces, []graceSince{{grace: firstGrace * time.Second}})
+		w.initialSettings = append(w.initialSettings, string(text))
+		w.graceHistory = append(w.graceHistory, []gracePeriodChange{{grace: initialGrace * time.Second}})
 	}
 	w.addSpareDesk()
 	return w
 }
 
-// addSpareDesk starts a second service for bookings, to which no configuration
-// sends any yet.
+// addSpareDesk starts a second service for bookings. The first configuration sends it nothing.
 func (w *plannedWork) addSpareDesk() {
 	site := w.edges.site
 	for i := range 2 {
@@ -242,67 +241,69 @@
 	}
 }
 
-// goOn has all kinds of work go on until the time is over and every VM is back.
-func (w *plannedWork) goOn() {
+// runAll runs all kinds of work until the deadline, and until every VM is ready again.
+func (w *plannedWork) runAll() {
 	w.began = time.Now()
-	w.until = w.began.Add(plannedTime(w.t))
-	var kinds sync.WaitGroup
+	w.deadline = w.began.Add(plannedDurationOf(w.t))
+	var running sync.WaitGroup
 	stream := uint64(0)
 	random := func() *rand.Rand {
 		stream++
 		return rand.New(rand.NewPCG(w.seed, stream))
 	}
-	lanes := max(len(w.edges.vms)/leaveOneIn, 1)
-	for lane := range lanes {
+	groups := max(len(w.edges.vms)/vmsPerRestart, 1)
+	for group := range groups {
 		r := random()
-		kinds.Go(func() { w.leaveInTurn(r, lane, lanes) })
+		running.Go(func() { w.restartInTurn(r, group, groups) })
 	}
-	for _, kind := range []func(*rand.Rand){w.signalOn, w.rewriteOn, w.rewriteOn, w.publishOn} {
+	for _, kind := range []func(*rand.Rand){w.sendReloadSignals, w.rewriteSettings, w.rewriteSettings, w.publishConfigurations} {
 		r := random()
-		kinds.Go(func() { kind(r) })
+		running.Go(func() { kind(r) })
 	}
-	kinds.Wait()
+	running.Wait()
 }
 
-// on tells whether there is time left after a pause of at most so long.
-func (w *plannedWork) on(r *rand.Rand, longest time.Duration) bool {
-	time.Sleep(between(r, 0, longest))
-	return time.Now().Before(w.until)
+// sleepAndContinue sleeps for a random time of at most longest, and reports whether the deadline
+// is still ahead.
+func (w *plannedWork) sleepAndContinue(r *rand.Rand, longest time.Duration) bool {
+	time.Sleep(randomDuration(r, 0, longest))
+	return time.Now().Before(w.deadline)
 }
 
-func between(r *rand.Rand, low, high time.Duration) time.Duration {
+// randomDuration returns a random duration between low and high, both included.
+func randomDuration(r *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(r.Int64N(int64(high-low)+1))
 }
 
-func (w *plannedWork) note(format string, args ...any) {
+func (w *plannedWork) logEvent(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.events = append(w.events, time.Now().Format(time.StampMicro)+" "+fmt.Sprintf(format, args...))
 }
 
-func (w *plannedWork) fault(format string, args ...any) {
-	w.note("wrong: "+format, args...)
+func (w *plannedWork) addFailure(format string, args ...any) {
+	w.logEvent("failure: "+format, args...)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.wrong = append(w.wrong, fmt.Sprintf(format, args...))
+	w.failures = append(w.failures, fmt.Sprintf(format, args...))
 }
 
-func (w *plannedWork) run(i int) *process {
+func (w *plannedWork) currentProcess(i int) *process {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.edges.processes[i]
 }
 
-// tell sends a signal to whatever process a VM has now, if any runs.
-func (w *plannedWork) tell(i int, sig syscall.Signal) {
-	err := w.run(i).cmd.Process.Signal(sig)
+// signalVM sends a signal to the VM's current process, if it is running.
+func (w *plannedWork) signalVM(i int, sig syscall.Signal) {
+	err := w.currentProcess(i).cmd.Process.Signal(sig)
 	if err != nil && !errors.Is(err, os.ErrProcessDone) {
-		w.fault("%v to VM %d: %v", sig, i, err)
+		w.addFailure("cannot send %v to VM %d: %v", sig, i, err)
 	}
 }
 
-// some picks one VM, some or all.
-func (w *plannedWork) some(r *rand.Rand) []int {
+// pickVMs returns one VM, a random number of VMs, or all, in random order.
+func (w *plannedWork) pickVMs(r *rand.Rand) []int {
 	order := r.Perm(len(w.edges.vms))
 	switch r.IntN(3) {
 	case 0:
@@ -314,107 +315,110 @@
 	}
 }
 
-// signalOn tells VMs in bursts that their settings have changed, though they
-// may not have.
-func (w *plannedWork) signalOn(r *rand.Rand) {
-	for w.on(r, time.Second) {
-		vms := w.some(r)
-		n, pause := 1+r.IntN(15), between(r, 0, 30*time.Millisecond)
-		w.note("%d times SIGHUP to %v, pause %s", n, vms, pause)
+// sendReloadSignals sends bursts of SIGHUP to VMs, whether or not their settings have changed.
+func (w *plannedWork) sendReloadSignals(r *rand.Rand) {
+	for w.sleepAndContinue(r, time.Second) {
+		vms := w.pickVMs(r)
+		n, pause := 1+r.IntN(15), randomDuration(r, 0, 30*time.Millisecond)
+		w.logEvent("SIGHUP %d times to VMs %v, every %s", n, vms, pause)
 		for range n {
 			for _, i := range vms {
-				w.tell(i, syscall.SIGHUP)
+				w.signalVM(i, syscall.SIGHUP)
 			}
 			time.Sleep(pause)
 		}
 	}
 }
 
-// rewriteOn gives VMs other settings, or spoils the file for a moment.
-func (w *plannedWork) rewriteOn(r *rand.Rand) {
-	for w.on(r, 800*time.Millisecond) {
-		how, told := r.IntN(3), r.IntN(2) == 0
-		moment := between(r, time.Millisecond, 400*time.Millisecond)
-		cut := r.Float64()
-		for _, i := range w.some(r) {
-			grace := time.Duration(shortestGrace+r.IntN(5)) * time.Second
-			w.rewrite(i, w.otherSettings(r, i, grace), grace, how, cut, moment, told)
+// rewriteSettings gives VMs other settings, in some cases after the file was incomplete or
+// missing for a moment.
+func (w *plannedWork) rewriteSettings(r *rand.Rand) {
+	for w.sleepAndContinue(r, 800*time.Millisecond) {
+		breakage, signalled := r.IntN(3), r.IntN(2) == 0
+		brokenFor := randomDuration(r, time.Millisecond, 400*time.Millisecond)
+		keptShare := r.Float64()
+		for _, i := range w.pickVMs(r) {
+			grace := time.Duration(minGrace+r.IntN(5)) * time.Second
+			w.rewriteFile(i, w.randomSettings(r, i, grace), grace, breakage, keptShare, brokenFor, signalled)
 		}
 	}
 }
 
-// graceOf is the longest grace period by which a VM's process may go now.
-func (w *plannedWork) graceOf(i int) time.Duration {
+// longestGrace returns the longest grace period that a VM's process may apply now.
+func (w *plannedWork) longestGrace(i int) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	longest := time.Duration(0)
-	old := time.Now().Add(-reread)
-	for n, g := range w.graces[i] {
-		last := n == len(w.graces[i])-1
-		if last || w.graces[i][n+1].since.After(old) {
+	old := time.Now().Add(-settingsReadDelay)
+	for n, g := range w.graceHistory[i] {
+		last := n == len(w.graceHistory[i])-1
+		if last || w.graceHistory[i][n+1].since.After(old) {
 			longest = max(longest, g.grace)
 		}
 	}
 	return longest
 }
 
-func (w *plannedWork) rewrite(i int, text string, grace time.Duration, how int, cut float64, moment time.Duration, told bool) {
-	w.files[i].Lock()
-	defer w.files[i].Unlock()
+// rewriteFile writes settings into a VM's file. Before that, the file is incomplete (breakage 0)
+// or missing (breakage 1) for brokenFor. If signalled is set, the process gets SIGHUP for each
+// change.
+func (w *plannedWork) rewriteFile(i int, text string, grace time.Duration, breakage int, keptShare float64, brokenFor time.Duration, signalled bool) {
+	w.settingsMu[i].Lock()
+	defer w.settingsMu[i].Unlock()
 	path := w.edges.vms[i].Settings
 	var err error
-	switch how {
+	switch breakage {
 	case 0:
-		w.note("settings of %d half written for %s, told=%v", i, moment, told)
-		err = os.WriteFile(path, []byte(text[:int(cut*float64(len(text)))]), 0o600)
+		w.logEvent("settings of VM %d incomplete for %s, signalled=%v", i, brokenFor, signalled)
+		err = os.WriteFile(path, []byte(text[:int(keptShare*float64(len(text)))]), 0o600)
 	case 1:
-		w.note("settings of %d gone for %s, told=%v", i, moment, told)
+		w.logEvent("settings of VM %d missing for %s, signalled=%v", i, brokenFor, signalled)
 		err = os.Remove(path)
 	default:
-		w.note("settings of %d rewritten, told=%v", i, told)
-		moment = 0
+		w.logEvent("settings of VM %d rewritten, signalled=%v", i, signalled)
+		brokenFor = 0
 	}
-	if told && moment > 0 {
-		w.tell(i, syscall.SIGHUP)
+	if signalled && brokenFor > 0 {
+		w.signalVM(i, syscall.SIGHUP)
 	}
-	time.Sleep(moment)
+	time.Sleep(brokenFor)
 	err = errors.Join(err, os.WriteFile(path, []byte(text), 0o600))
 	w.mu.Lock()
-	w.graces[i] = append(w.graces[i], graceSince{grace, time.Now()})
+	w.graceHistory[i] = append(w.graceHistory[i], gracePeriodChange{grace, time.Now()})
 	w.mu.Unlock()
-	if told {
-		w.tell(i, syscall.SIGHUP)
+	if signalled {
+		w.signalVM(i, syscall.SIGHUP)
 	}
 	if err != nil {
-		w.fault("settings of %d: %v", i, err)
+		w.addFailure("cannot rewrite the settings of VM %d: %v", i, err)
 	}
 }
 
-// setting matches the values that the platform may change.
-var setting = regexp.MustCompile(`(?m)^(grace-period-s|ttl_max_s|retry-budget-ratio|budget-window-s|retry-budget-slack) = .*$`)
+// reloadableSetting matches the settings that the platform may change while a process runs.
+var reloadableSetting = regexp.MustCompile(`(?m)^(grace-period-s|ttl_max_s|retry-budget-ratio|budget-window-s|retry-budget-slack) = .*$`)
 
-// otherSettings draws other values for a VM.
-func (w *plannedWork) otherSettings(r *rand.Rand, i int, grace time.Duration) string {
+// randomSettings returns a VM's settings with random values for those that may change.
+func (w *plannedWork) randomSettings(r *rand.Rand, i int, grace time.Duration) string {
 	values := map[string]any{
 		"grace-period-s": grace.Seconds(), "ttl_max_s": 1 + r.IntN(5), "retry-budget-ratio": 0.1 + 0.1*float64(r.IntN(4)),
 		"budget-window-s": 5 + r.IntN(10), "retry-budget-slack": 20 + r.IntN(60),
 	}
-	return setting.ReplaceAllStringFunc(w.texts[i], func(line string) string {
-		name := setting.FindStringSubmatch(line)[1]
+	return reloadableSetting.ReplaceAllStringFunc(w.initialSettings[i], func(line string) string {
+		name := reloadableSetting.FindStringSubmatch(line)[1]
 		return fmt.Sprintf("%s = %v", name, values[name])
 	})
 }
 
-// publishOn puts other configurations in force. All of them allow what callers
-// send, and leave it the time that it needs.
-func (w *plannedWork) publishOn(r *rand.Rand) {
-	for w.on(r, 1500*time.Millisecond) {
+// publishConfigurations publishes one configuration after the other. All of them allow the
+// requests that callers send, and give them the time that they need.
+func (w *plannedWork) publishConfigurations(r *rand.Rand) {
+	for w.sleepAndContinue(r, 1500*time.Millisecond) {
 		idle := 500 + r.IntN(15_000)
 		timeout := 4000 + r.IntN(4000)
 		keys := []string{standin.TeamKey, fmt.Sprintf("another-key-of-the-team-%d", r.IntN(100))}
 		weight := r.IntN(101)
 		added := r.IntN(2) == 0
-		w.note("configuration: idle %d ms, timeout %d ms, weight %d, key added %v", idle, timeout, weight, added)
+		w.logEvent("configuration: idle timeout %d ms, timeout %d ms, weight %d, key added %v", idle, timeout, weight, added)
 		w.edges.site.Publish(func(config map[string]any) {
 			config["limits"].(map[string]any)["idle-timeout-ms"] = idle
 			config["services"] = append(config["services"].([]any), map[string]any{"name": spareService, "max-connections": 100})
@@ -428,6 +432,8 @@
 	}
 }
 
+// changeRoute sets a route's timeout and, for bookings, splits the traffic between the two
+// services.
 func changeRoute(route map[string]any, timeout, weight int) {
 	route["timeout-ms"] = timeout
 	if route["name"] != "book" {
@@ -440,102 +446,103 @@
 	}
 }
 
-// leaveInTurn has every lanes-th VM leave and come back, one after the other.
-func (w *plannedWork) leaveInTurn(r *rand.Rand, lane, lanes int) {
-	var mine []int
-	for i := lane; i < len(w.edges.vms); i += lanes {
-		mine = append(mine, i)
+// restartInTurn restarts the VMs of one group, every groups-th VM, one after the other.
+func (w *plannedWork) restartInTurn(r *rand.Rand, group, groups int) {
+	var groupVMs []int
+	for i := group; i < len(w.edges.vms); i += groups {
+		groupVMs = append(groupVMs, i)
 	}
-	for w.on(r, 700*time.Millisecond) {
-		w.leave(r, mine[r.IntN(len(mine))])
+	for w.sleepAndContinue(r, 700*time.Millisecond) {
+		w.restartVM(r, groupVMs[r.IntN(len(groupVMs))])
 	}
 }
 
-// leave has one VM leave and come back, told of settings before, during and
-// after, and asked to leave once more.
-func (w *plannedWork) leave(r *rand.Rand, i int) {
+// restartVM stops one VM and starts it again, with SIGHUP before, during and after the shutdown
+// and in some cases a second SIGTERM.
+func (w *plannedWork) restartVM(r *rand.Rand, i int) {
 	before, during := r.IntN(4), r.IntN(6)
-	pause := between(r, 0, 3*time.Millisecond)
-	spread := between(r, time.Millisecond, 4*time.Second)
-	again, againAfter := r.IntN(2) == 0, between(r, 0, 4*time.Second)
-	after, afterPause := r.IntN(6), between(r, 0, 40*time.Millisecond)
-	run := w.run(i)
-	w.note("%d leaves: SIGHUP %d times before and %d times within %s, SIGTERM again %v after %s", i, before, during, spread, again, againAfter)
+	pause := randomDuration(r, 0, 3*time.Millisecond)
+	spread := randomDuration(r, time.Millisecond, 4*time.Second)
+	again, againAfter := r.IntN(2) == 0, randomDuration(r, 0, 4*time.Second)
+	after, afterPause := r.IntN(6), randomDuration(r, 0, 40*time.Millisecond)
+	run := w.currentProcess(i)
+	w.logEvent("VM %d stops: SIGHUP %d times before and %d times within %s, SIGTERM again %v after %s", i, before, during, spread, again, againAfter)
 	for range before {
-		w.tell(i, syscall.SIGHUP)
+		w.signalVM(i, syscall.SIGHUP)
 		time.Sleep(pause)
 	}
 	w.mu.Lock()
-	w.asked[run] = true
+	w.terminated[run] = true
 	w.mu.Unlock()
-	asked, grace := time.Now(), w.graceOf(i)
-	w.tell(i, syscall.SIGTERM)
-	var more sync.WaitGroup
-	more.Go(func() {
+	stoppedAt, grace := time.Now(), w.longestGrace(i)
+	w.signalVM(i, syscall.SIGTERM)
+	var signals sync.WaitGroup
+	signals.Go(func() {
 		for range during {
 			time.Sleep(spread / time.Duration(during))
-			w.tell(i, syscall.SIGHUP)
+			w.signalVM(i, syscall.SIGHUP)
 		}
 	})
 	if again {
-		more.Go(func() {
+		signals.Go(func() {
 			time.Sleep(againAfter)
-			_ = run.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+			_ = run.cmd.Process.Signal(syscall.SIGTERM) // the process may have ended
 		})
 	}
-	w.ended(run, asked, grace)
-	w.comeBack(i, after, afterPause)
-	more.Wait()
+	w.waitStopped(run, stoppedAt, grace)
+	w.startUntilReady(i, after, afterPause)
+	signals.Wait()
 }
 
-// ended waits until a process has left, in time and well.
-func (w *plannedWork) ended(run *process, asked time.Time, grace time.Duration) {
+// waitStopped waits until a process has ended, and records a failure unless it does so within
+// its grace period and with exit code 0.
+func (w *plannedWork) waitStopped(run *process, stoppedAt time.Time, grace time.Duration) {
 	select {
 	case <-run.done:
-		w.note("%s has left after %s", run.name, time.Since(asked))
+		w.logEvent("%s has ended after %s", run.name, time.Since(stoppedAt))
 		if code := run.cmd.ProcessState.ExitCode(); code != 0 {
-			w.fault("%s was asked to leave and ended with %s", run.name, run.cmd.ProcessState)
+			w.addFailure("%s got SIGTERM and ended with %s", run.name, run.cmd.ProcessState)
 		}
-	case <-time.After(time.Until(asked.Add(grace))):
-		w.fault("%s still runs %s after SIGTERM", run.name, grace)
+	case <-time.After(time.Until(stoppedAt.Add(grace))):
+		w.addFailure("%s is still running %s after SIGTERM", run.name, grace)
 		_ = run.cmd.Process.Kill()
 		<-run.done
 	}
 }
 
-// comeBack starts a VM's process again and tells it soon that its settings have
-// changed. One that ends at the signal is started again, as the platform does.
-func (w *plannedWork) comeBack(i, told int, pause time.Duration) {
-	w.files[i].Lock()
-	defer w.files[i].Unlock()
+// startUntilReady starts a VM's process and soon sends it SIGHUP, reloads times. A process that
+// the signal ends is started again, as the platform does.
+func (w *plannedWork) startUntilReady(i, reloads int, pause time.Duration) {
+	w.settingsMu[i].Lock()
+	defer w.settingsMu[i].Unlock()
 	limit := time.Now().Add(waitTimeout)
-	for !w.startAgain(i, told, pause, limit) {
-		told = 0
+	for !w.tryStart(i, reloads, pause, limit) {
+		reloads = 0
 	}
 }
 
-// startAgain gives false for a process that a signal has ended before it could
-// catch any.
-func (w *plannedWork) startAgain(i, told int, pause time.Duration, limit time.Time) bool {
+// tryStart starts the process and waits until it is ready. It returns false if SIGHUP ended the
+// process before it could handle any signal.
+func (w *plannedWork) tryStart(i, reloads int, pause time.Duration, limit time.Time) bool {
 	w.mu.Lock()
 	w.edges.start(i)
 	run := w.edges.processes[i]
-	w.all = append(w.all, run)
+	w.started = append(w.started, run)
 	w.mu.Unlock()
-	w.note("%d starts again, SIGHUP %d times every %s", i, told, pause)
-	for range told {
+	w.logEvent("VM %d starts again, SIGHUP %d times every %s", i, reloads, pause)
+	for range reloads {
 		time.Sleep(pause)
-		w.tell(i, syscall.SIGHUP)
+		w.signalVM(i, syscall.SIGHUP)
 	}
 	for !w.edges.vms[i].IsReady() {
 		select {
 		case <-run.done:
-			w.note("%s ended with %s while it started", run.name, run.cmd.ProcessState)
-			return !endedTooYoung(run)
+			w.logEvent("%s ended with %s during its start", run.name, run.cmd.ProcessState)
+			return !endedBeforeSignalHandler(run)
 		default:
 		}
 		if time.Now().After(limit) {
-			w.fault("VM %d isn't ready", i)
+			w.addFailure("VM %d isn't ready in time", i)
 			return true
 		}
 		time.Sleep(pollInterval)
@@ -543,62 +550,62 @@
 	return true
 }
 
-// endedTooYoung tells that SIGHUP ended a process before its first line. Until the
-// Go runtime and the packages are up, some ms, nothing can catch the signal; the
-// process listens nowhere yet and has read no request, so that no caller notices.
-// That the signal is caught before the settings are read is checked by
-// TestPlatformSettingsChangeWhileTheyAreRead.
-func endedTooYoung(run *process) bool {
+// endedBeforeSignalHandler reports whether SIGHUP ended a process before its first log line. In
+// the few milliseconds until the Go runtime and the packages are initialised, nothing can handle
+// the signal; the process isn't listening yet and has read no request, so no caller is affected.
+// TestPlatformSettingsChangeWhileTheyAreRead checks that the signal is handled before the
+// settings are read.
+func endedBeforeSignalHandler(run *process) bool {
 	status, known := run.cmd.ProcessState.Sys().(syscall.WaitStatus)
 	return known && status.Signaled() && status.Signal() == syscall.SIGHUP && run.logs() == ""
 }
 
-// check is the reckoning.
-func (w *plannedWork) check(tally standin.Tally, misses []standin.FailedRequest) {
+// check reports all failures, of the processes and of the callers' requests.
+func (w *plannedWork) check(tally standin.Tally, failedRequests []standin.FailedRequest) {
 	t := w.t
 	t.Log(tally)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, run := range w.all {
+	for _, run := range w.started {
 		select {
 		case <-run.done:
-			if endedTooYoung(run) {
-				t.Logf("%s ended at SIGHUP before it could catch it", run.name)
-			} else if !w.asked[run] {
-				w.wrong = append(w.wrong, fmt.Sprintf("%s wasn't asked to leave and ended with %s", run.name, run.cmd.ProcessState))
+			if endedBeforeSignalHandler(run) {
+				t.Logf("SIGHUP ended %s before it could handle the signal", run.name)
+			} else if !w.terminated[run] {
+				w.failures = append(w.failures, fmt.Sprintf("%s got no SIGTERM and ended with %s", run.name, run.cmd.ProcessState))
 			}
 		default:
 		}
 	}
-	for _, wrong := range w.wrong {
+	for _, wrong := range w.failures {
 		t.Error(wrong)
 	}
-	for _, miss := range misses {
-		t.Log(miss)
+	for _, failed := range failedRequests {
+		t.Log(failed)
 	}
 	assert.Check(t, tally.Lost == 0, "%v", tally)
 	assert.Check(t, tally.Failed == 0, "%v", tally)
 	assert.Check(t, tally.WrongAnswers == 0 && tally.RanTwice == 0 && tally.FalseRefusals == 0, "%v", tally)
-	assert.Check(t, tally.Answered > tally.Requests*9/10, "too little was served to say anything: %v", tally)
+	assert.Check(t, tally.Answered > tally.Requests*9/10, "too few requests were answered for a meaningful result: %v", tally)
 	if !t.Failed() {
 		return
 	}
-	t.Logf("again with VANILLAGATE_SEED=%d", w.seed)
+	t.Logf("to reproduce, set VANILLAGATE_SEED=%d", w.seed)
 	for _, event := range w.events {
 		t.Log(event)
 	}
 }
 
-// keepLogs writes the logs of all processes of a failed run into the folder that
+// saveLogs writes the logs of all processes of a failed run into the directory that
 // VANILLAGATE_KEEP names.
-func (w *plannedWork) keepLogs() {
+func (w *plannedWork) saveLogs() {
 	folder := os.Getenv("VANILLAGATE_KEEP")
 	if folder == "" || !w.t.Failed() {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for n, run := range w.all {
+	for n, run := range w.started {
 		path := filepath.Join(folder, fmt.Sprintf("seed-%d-%02d-%s-%d.log", w.seed, n, run.name, run.cmd.Process.Pid))
 		if err := os.WriteFile(path, []byte(run.logs()), 0o600); err != nil {
 			w.t.Log(err)
--- a/test/platform_shutdown_test.go
+++ b/test/platform_shutdown_test.go
@@ -25,61 +25,63 @@
 )
 
 const (
-	// portOpen is how long after SIGTERM a process listens.
-	portOpen = 2500 * time.Millisecond
-	// A starved process stands still for stoppedFor, then runs for runsFor, again and again.
-	stoppedFor = 80 * time.Millisecond
-	runsFor    = 20 * time.Millisecond
-	// stillFor is how long a process stands still when its port should close.
-	stillFor = 2 * time.Second
-	// lateAfter is how long after its port has closed a starved process on a busy machine may
-	// still take requests of connections that it had.
-	lateAfter = 2 * time.Second
-	// tails is how many routes there are: that of /tail-n/ has streams of n seconds.
-	tails      = 7
+	// listenAfterStop is how long after SIGTERM a process keeps its request port open.
+	listenAfterStop = 2500 * time.Millisecond
+	// A starved process is stopped for starvedPause and then runs for starvedRun, in turn.
+	starvedPause = 80 * time.Millisecond
+	starvedRun   = 20 * time.Millisecond
+	// longPause is how long a process is stopped around the time when its port should close.
+	longPause = 2 * time.Second
+	// lateTolerance is how long after its port has closed a starved process on a busy machine
+	// may still accept requests on connections that it had.
+	lateTolerance = 2 * time.Second
+	// tailRoutes is the number of routes with streams: a stream of route /tail-n/ lasts n
+	// seconds and has tailEvents events.
+	tailRoutes = 7
 	tailEvents = 20
 )
 
-// shutdown is a VM whose process gets SIGTERM while callers have connections to it.
-type shutdown struct {
+// shutdownRun is a VM whose process gets SIGTERM while callers have connections to it.
+type shutdownRun struct {
 	*edgeSite
-	r *rand.Rand
-	// stopped is when SIGTERM was sent, set before begun is closed.
-	stopped time.Time
-	begun   chan struct{}
-	callers sync.WaitGroup
-	sent    atomic.Int64
+	rng *rand.Rand
+	// stopSentAt is when SIGTERM was sent. It is set before stopSent is closed.
+	stopSentAt time.Time
+	stopSent   chan struct{}
+	callers    sync.WaitGroup
+	lastID     atomic.Int64
 
-	publishing sync.Mutex // held while a configuration is written
+	publishMu sync.Mutex // held while a configuration is published
 
 	mu    sync.Mutex // guards calls
-	calls []call
+	calls []callResult
 }
 
-// call is a request as its caller sees it.
-type call struct {
+// callResult is the outcome of a request as its caller sees it.
+type callResult struct {
 	kind, id string
-	// sent is when its last byte was written.
-	sent   time.Time
-	status int // 0 for no answer
-	whole  bool
-	err    error
+	// sentAt is when the last byte of the request was written.
+	sentAt   time.Time
+	status   int // 0 means no answer
+	complete bool
+	err      error
 }
 
-// String is the call in one line.
-func (c call) String() string {
-	return fmt.Sprintf("%s sent %s, status=%d, whole=%v, error=%v", c.id, c.sent.Format(time.StampMicro), c.status, c.whole, c.err)
+// String formats the result on one line, for logs.
+func (c callResult) String() string {
+	return fmt.Sprintf("%s sent %s, status=%d, complete=%v, error=%v", c.id, c.sentAt.Format(time.StampMicro), c.status, c.complete, c.err)
 }
 
-// caller is a connection of a caller.
-type caller struct {
+// callerConn is a connection of a caller, with a reader for the answers.
+type callerConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-// playShutdown plays a shutdown with callers once for each seed, and checks what they saw.
-// trouble is what its process has meanwhile, nil for none.
-func playShutdown(t *testing.T, trouble, callers func(s *shutdown), check func(t *testing.T, s *shutdown)) {
+// runShutdown runs a shutdown once for each seed: it starts the callers, sends SIGTERM, waits
+// for the callers and the process, and calls check. disturb, unless nil, runs beside the
+// shutdown and disturbs the process.
+func runShutdown(t *testing.T, disturb, startCallers func(s *shutdownRun), check func(t *testing.T, s *shutdownRun)) {
 	t.Helper()
 	seeds := plannedSeeds(t)
 	if os.Getenv("VANILLAGATE_SEEDS") == "" {
@@ -88,45 +90,46 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			t.Parallel()
-			s := newShutdown(t, seed)
-			callers(s)
+			s := newShutdownRun(t, seed)
+			startCallers(s)
 			time.Sleep(time.Second)
 			s.processes[0].signal(t, syscall.SIGTERM)
-			s.stopped = time.Now()
-			close(s.begun)
-			if trouble != nil {
-				go trouble(s)
+			s.stopSentAt = time.Now()
+			close(s.stopSent)
+			if disturb != nil {
+				go disturb(s)
 			}
 			s.callers.Wait()
-			assert.Equal(t, s.processes[0].waitExit(t, firstGrace*time.Second), 0)
+			assert.Equal(t, s.processes[0].waitExit(t, initialGrace*time.Second), 0)
 			check(t, s)
 		})
 	}
 }
 
-// newShutdown starts a VM with routes to streams of different lengths.
-func newShutdown(t *testing.T, seed uint64) *shutdown {
+// newShutdownRun starts a VM with routes to streams of different lengths.
+func newShutdownRun(t *testing.T, seed uint64) *shutdownRun {
 	t.Helper()
-	s := &shutdown{edgeSite: newEdges(t, 1), r: rand.New(rand.NewPCG(seed, 1)), begun: make(chan struct{})}
-	s.startTails()
-	s.publishTails(15 * time.Second)
-	s.startAfter(0, func(cmd *exec.Cmd) { cmd.Env = append(cmd.Env, "GOMAXPROCS=1") })
+	s := &shutdownRun{edgeSite: newEdgeSite(t, 1), rng: rand.New(rand.NewPCG(seed, 1)), stopSent: make(chan struct{})}
+	s.startTailTargets()
+	s.publishTailRoutes(15 * time.Second)
+	s.startPrepared(0, func(cmd *exec.Cmd) { cmd.Env = append(cmd.Env, "GOMAXPROCS=1") })
 	s.waitReady(0)
 	waitFor(t, "the VM to serve", func() bool {
 		c := s.dial()
 		defer c.close()
-		return s.ask(c, "first", "/tail-1/x").whole
+		return s.sendRequest(c, "first", "/tail-1/x").complete
 	})
 	return s
 }
 
-// publishTails puts a configuration in force that has the streams, and an idle time.
-func (s *shutdown) publishTails(idle time.Duration) {
-	s.publishing.Lock()
-	defer s.publishing.Unlock()
+// publishTailRoutes publishes a configuration with the routes to the streams and an idle
+// timeout for connections.
+func (s *shutdownRun) publishTailRoutes(idle time.Duration) {
+	s.publishMu.Lock()
+	defer s.publishMu.Unlock()
 	s.site.Publish(func(config map[string]any) {
 		config["limits"].(map[string]any)["idle-timeout-ms"] = idle.Milliseconds()
-		for n := 1; n <= tails; n++ {
+		for n := 1; n <= tailRoutes; n++ {
 			name := fmt.Sprintf("tail-%d", n)
 			config["services"] = append(config["services"].([]any), map[string]any{"name": name, "max-connections": 300})
 			config["routes"] = append(config["routes"].([]any), map[string]any{
@@ -137,9 +140,9 @@
 	})
 }
 
-// startTails starts the targets of the streams.
-func (s *shutdown) startTails() {
-	for n := 1; n <= tails; n++ {
+// startTailTargets starts the targets of the streams.
+func (s *shutdownRun) startTailTargets() {
+	for n := 1; n <= tailRoutes; n++ {
 		target := &standin.Target{
 			ID: fmt.Sprintf("i-tail-%d", n), Service: fmt.Sprintf("tail-%d", n), Zone: "zone-a", Slots: 300, Events: tailEvents,
 			EventInterval: time.Duration(n) * time.Second / tailEvents,
@@ -150,116 +153,119 @@
 	}
 }
 
-// starve lets the process run for a small share of the time, until it ends.
-func (s *shutdown) starve() {
+// starve lets the process run only for a small share of the time, until it ends.
+func (s *shutdownRun) starve() {
 	p := s.processes[0]
 	for {
-		_ = p.cmd.Process.Signal(syscall.SIGSTOP) // fails once it has ended
-		time.Sleep(stoppedFor)
+		_ = p.cmd.Process.Signal(syscall.SIGSTOP) // fails once the process has ended
+		time.Sleep(starvedPause)
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
 		select {
 		case <-p.done:
 			return
-		case <-time.After(runsFor):
+		case <-time.After(starvedRun):
 		}
 	}
 }
 
-// standStill stops the process before its port closes, and lets it go on long after.
-func (s *shutdown) standStill() {
-	time.Sleep(portOpen - stillFor/2)
+// pauseAtPortClose stops the process shortly before its port should close and continues it
+// well after.
+func (s *shutdownRun) pauseAtPortClose() {
+	time.Sleep(listenAfterStop - longPause/2)
 	_ = s.processes[0].cmd.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(stillFor)
+	time.Sleep(longPause)
 	_ = s.processes[0].cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// at has a caller do something at a time after SIGTERM.
-func (s *shutdown) at(after time.Duration, do func()) {
+// goAfterStop starts a caller that calls do some time after SIGTERM.
+func (s *shutdownRun) goAfterStop(after time.Duration, do func()) {
 	s.callers.Go(func() {
-		s.wait(after)
+		s.sleepAfterStop(after)
 		do()
 	})
 }
 
-func (s *shutdown) wait(after time.Duration) {
-	<-s.begun
-	time.Sleep(time.Until(s.stopped.Add(after)))
+// sleepAfterStop waits until some time after SIGTERM.
+func (s *shutdownRun) sleepAfterStop(after time.Duration) {
+	<-s.stopSent
+	time.Sleep(time.Until(s.stopSentAt.Add(after)))
 }
 
-// keep has callers whose connections have carried a request use them again between two
-// times after SIGTERM.
-func (s *shutdown) keep(n int, path string, first, last time.Duration) {
+// reuseConnections starts n callers that each send a request before SIGTERM, and another one
+// on the same connection at a random time between earliest and latest after SIGTERM.
+func (s *shutdownRun) reuseConnections(n int, path string, earliest, latest time.Duration) {
 	for range n {
-		c, used := s.dial(), between(s.r, first, last)
+		c, used := s.dial(), randomDuration(s.rng, earliest, latest)
 		s.callers.Go(func() {
 			defer c.close()
-			s.ask(c, "warm", "/ask/x")
-			s.wait(used)
-			s.ask(c, "kept", path)
+			s.sendRequest(c, "warm", "/ask/x")
+			s.sleepAfterStop(used)
+			s.sendRequest(c, "kept", path)
 		})
 	}
 }
 
-// dialNew has callers connect between two times after SIGTERM and send a request at once.
-func (s *shutdown) dialNew(n int, path string, first, last time.Duration) {
+// dialAndSend starts n callers that each connect at a random time between earliest and latest
+// after SIGTERM and send a request at once.
+func (s *shutdownRun) dialAndSend(n int, path string, earliest, latest time.Duration) {
 	for range n {
-		s.at(between(s.r, first, last), func() {
+		s.goAfterStop(randomDuration(s.rng, earliest, latest), func() {
 			c := s.dial()
-			s.ask(c, "new", path)
+			s.sendRequest(c, "new", path)
 			c.close()
 		})
 	}
 }
 
-// dial gives nil where nobody listens.
-func (s *shutdown) dial() *caller {
+// dial connects to the VM; it returns nil if the connection is refused.
+func (s *shutdownRun) dial() *callerConn {
 	conn, err := net.Dial("tcp", s.vms[0].RequestAddress())
 	if err != nil {
 		return nil
 	}
-	return &caller{Conn: conn, r: bufio.NewReader(conn)}
+	return &callerConn{Conn: conn, r: bufio.NewReader(conn)}
 }
 
-func (c *caller) close() {
+func (c *callerConn) close() {
 	if c != nil {
 		_ = c.Close()
 	}
 }
 
-// closed tells that there is no connection any more, as its caller knows.
-func (c *caller) closed() bool { return c == nil || socket.Peek(c.Conn) != socket.Idle }
+// isClosed reports whether the caller can see that the connection is closed, or has none.
+func (c *callerConn) isClosed() bool { return c == nil || socket.Peek(c.Conn) != socket.Idle }
 
-// text is a request as it is sent.
-func (s *shutdown) text(kind, path string) (id, request string) {
-	id = fmt.Sprintf("%s-%d", kind, s.sent.Add(1))
+// newRequest returns a new request as it is written to the connection, and its ID.
+func (s *shutdownRun) newRequest(kind, path string) (id, request string) {
+	id = fmt.Sprintf("%s-%d", kind, s.lastID.Add(1))
 	return id, fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\nX-Attempt-Id: %s\r\nX-Api-Key: %s\r\n"+
 		"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", path, standin.Host, id, standin.TeamKey)
 }
 
-// ask sends a request and reads the answer, unless the connection is known to be closed.
-func (s *shutdown) ask(c *caller, kind, path string) call {
-	return s.askSlowly(c, kind, path, 0, 0)
+// sendRequest sends a request and reads the answer, unless the connection is known to be closed.
+func (s *shutdownRun) sendRequest(c *callerConn, kind, path string) callResult {
+	return s.sendSlowly(c, kind, path, 0, 0)
 }
 
-// askSlowly stops for a while before the last bytes of the request.
-func (s *shutdown) askSlowly(c *caller, kind, path string, last int, pause time.Duration) call {
-	if c.closed() {
-		return call{}
+// sendSlowly is sendRequest with a pause before the last heldBack bytes of the request.
+func (s *shutdownRun) sendSlowly(c *callerConn, kind, path string, heldBack int, pause time.Duration) callResult {
+	if c.isClosed() {
+		return callResult{}
 	}
-	id, request := s.text(kind, path)
-	_, err := io.WriteString(c, request[:len(request)-last])
-	if last > 0 && err == nil {
+	id, request := s.newRequest(kind, path)
+	_, err := io.WriteString(c, request[:len(request)-heldBack])
+	if heldBack > 0 && err == nil {
 		time.Sleep(pause)
-		_, err = io.WriteString(c, request[len(request)-last:])
+		_, err = io.WriteString(c, request[len(request)-heldBack:])
 	}
-	return s.read(c, call{kind: kind, id: id, err: err})
+	return s.readAndRecord(c, callResult{kind: kind, id: id, err: err})
 }
 
-// read reads the answer to a request that has been sent, and notes it.
-func (s *shutdown) read(c *caller, sent call) call {
-	sent.sent = time.Now()
+// readAndRecord reads the answer to a request that has been sent, and records the result.
+func (s *shutdownRun) readAndRecord(c *callerConn, sent callResult) callResult {
+	sent.sentAt = time.Now()
 	if sent.err == nil {
-		sent.status, sent.whole, sent.err = readAnswer(c.r)
+		sent.status, sent.complete, sent.err = readAnswer(c.r)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -276,8 +282,8 @@
 	return resp.StatusCode, resp.StatusCode == http.StatusOK && err == nil && len(body) > 0, err
 }
 
-// ran tells which requests reached a target.
-func (s *shutdown) ran() map[string]bool {
+// ranAtTarget returns the IDs of the requests that reached a target.
+func (s *shutdownRun) ranAtTarget() map[string]bool {
 	ran := map[string]bool{}
 	for _, target := range s.site.Desks {
 		for _, seen := range target.ReceivedRequests() {
@@ -287,74 +293,77 @@
 	return ran
 }
 
-// answered checks that all requests of some kinds got an answer.
-func (s *shutdown) answered(t *testing.T, kinds ...string) {
+// checkAnswered checks that all requests of the given kinds got an answer.
+func (s *shutdownRun) checkAnswered(t *testing.T, kinds ...string) {
 	t.Helper()
-	none := s.count(t, kinds...)
-	assert.Check(t, none == 0, "%d requests got no answer", none)
+	unanswered := s.countUnanswered(t, kinds...)
+	assert.Check(t, unanswered == 0, "%d requests got no answer", unanswered)
 }
 
-// count logs what became of requests of some kinds, and tells how many got no answer.
-func (s *shutdown) count(t *testing.T, kinds ...string) (none int) {
+// countUnanswered logs the results of the requests of the given kinds, and returns how many
+// got no answer.
+func (s *shutdownRun) countUnanswered(t *testing.T, kinds ...string) (unanswered int) {
 	t.Helper()
 	counts := map[string]int{}
-	ran := s.ran()
+	ran := s.ranAtTarget()
 	for _, c := range s.calls {
 		if !slices.Contains(kinds, c.kind) {
 			continue
 		}
-		counts[fmt.Sprintf("%s %d whole=%v", c.kind, c.status, c.whole)]++
+		counts[fmt.Sprintf("%s %d complete=%v", c.kind, c.status, c.complete)]++
 		if c.status == 0 {
-			none++
+			unanswered++
 			t.Logf("no answer: %v, ran=%v", c, ran[c.id])
 		}
 	}
 	t.Log(counts)
-	return none
+	return unanswered
 }
 
-// A request that comes long after the port has closed is run, and cut at the end.
-func TestPlatformStarvedShutdownRunsNothingThatComesLate(t *testing.T) {
+// Guards against a starved process that, long after it closed its port, still accepts requests
+// on connections that it had: they run, and are cut when the process ends.
+func TestPlatformStarvedShutdownRunsNoLateRequest(t *testing.T) {
 	t.Parallel()
-	playShutdown(t, (*shutdown).starve, func(s *shutdown) {
-		s.keep(200, "/tail-1/x", 0, 7*time.Second)
-		s.dialNew(50, "/tail-1/x", 0, 7*time.Second)
+	runShutdown(t, (*shutdownRun).starve, func(s *shutdownRun) {
+		s.reuseConnections(200, "/tail-1/x", 0, 7*time.Second)
+		s.dialAndSend(50, "/tail-1/x", 0, 7*time.Second)
 		for range 50 {
-			opened := between(s.r, 0, portOpen)
-			pause := between(s.r, 0, 7*time.Second-opened)
-			s.at(opened, func() {
+			opened := randomDuration(s.rng, 0, listenAfterStop)
+			pause := randomDuration(s.rng, 0, 7*time.Second-opened)
+			s.goAfterStop(opened, func() {
 				c := s.dial()
 				time.Sleep(pause)
-				s.ask(c, "ahead", "/tail-1/x")
+				s.sendRequest(c, "ahead", "/tail-1/x")
 				c.close()
 			})
 		}
-		s.askAfterStreams(100, 100*time.Millisecond)
+		s.sendAfterStreams(100, 100*time.Millisecond)
 		for range 5 {
-			idle := between(s.r, 500*time.Millisecond, 15*time.Second)
-			s.at(between(s.r, 0, portOpen), func() { s.publishTails(idle) })
+			idle := randomDuration(s.rng, 500*time.Millisecond, 15*time.Second)
+			s.goAfterStop(randomDuration(s.rng, 0, listenAfterStop), func() { s.publishTailRoutes(idle) })
 			for _, signal := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM} {
-				s.at(between(s.r, 0, 7*time.Second), func() { _ = s.processes[0].cmd.Process.Signal(signal) })
+				s.goAfterStop(randomDuration(s.rng, 0, 7*time.Second), func() { _ = s.processes[0].cmd.Process.Signal(signal) })
 			}
 		}
-	}, func(t *testing.T, s *shutdown) {
+	}, func(t *testing.T, s *shutdownRun) {
 		kinds := []string{"kept", "ahead", "new", "next"}
-		s.count(t, kinds...)
-		ran, late := s.ran(), s.closedPort(t)+lateAfter
+		s.countUnanswered(t, kinds...)
+		ran, late := s.ranAtTarget(), s.portClosedAfter(t)+lateTolerance
 		for _, c := range s.calls {
 			if !slices.Contains(kinds, c.kind) {
 				continue
 			}
-			assert.Check(t, c.sent.Before(s.stopped.Add(late)) || !ran[c.id], "late: %v", c)
+			assert.Check(t, c.sentAt.Before(s.stopSentAt.Add(late)) || !ran[c.id], "ran although sent too late: %v", c)
 		}
-		for _, after := range s.logged(t, "Request accepted during the shutdown.") {
+		for _, after := range s.logTimes(t, "Request accepted during the shutdown.") {
 			assert.Check(t, after < late, "accepted %s after SIGTERM", after)
 		}
 	})
 }
 
-// logged gives the times after SIGTERM of the process's lines that have some text.
-func (s *shutdown) logged(t *testing.T, text string) (times []time.Duration) {
+// logTimes returns, for each log line of the process with the given text, the time after
+// SIGTERM that the line states in after_stop.
+func (s *shutdownRun) logTimes(t *testing.T, text string) (times []time.Duration) {
 	t.Helper()
 	for _, line := range regexp.MustCompile(regexp.QuoteMeta(text)+`.*"after_stop":([0-9.]+)`).FindAllStringSubmatch(s.processes[0].logs(), -1) {
 		after, err := strconv.ParseFloat(line[1], 64)
@@ -364,63 +373,66 @@
 	return times
 }
 
-// closedPort is when the process has closed its port for requests.
-func (s *shutdown) closedPort(t *testing.T) time.Duration {
+// portClosedAfter returns how long after SIGTERM the process closed its port for requests.
+func (s *shutdownRun) portClosedAfter(t *testing.T) time.Duration {
 	t.Helper()
-	times := s.logged(t, `Port closed.","address":"`+s.vms[0].RequestAddress())
+	times := s.logTimes(t, `Port closed.","address":"`+s.vms[0].RequestAddress())
 	assert.Equal(t, len(times), 1)
 	return times[0]
 }
 
-// askAfterStreams has streams begin within the second before SIGTERM that end before the
-// process does, and another request on each one's connection at most so long after.
-func (s *shutdown) askAfterStreams(n int, longest time.Duration) {
+// sendAfterStreams starts n callers with a stream each that begins in the second before SIGTERM
+// and ends before the process does. Each sends another request on the same connection at most
+// longest after its stream has ended.
+func (s *shutdownRun) sendAfterStreams(n int, longest time.Duration) {
 	for range n {
-		c, early, pause := s.dial(), between(s.r, 0, time.Second), between(s.r, 0, longest)
-		path := fmt.Sprintf("/tail-%d/x", 1+s.r.IntN(tails-1))
+		c, early, pause := s.dial(), randomDuration(s.rng, 0, time.Second), randomDuration(s.rng, 0, longest)
+		path := fmt.Sprintf("/tail-%d/x", 1+s.rng.IntN(tailRoutes-1))
 		s.callers.Go(func() {
 			defer c.close()
 			time.Sleep(early)
-			s.ask(c, "old", path)
+			s.sendRequest(c, "old", path)
 			time.Sleep(pause)
-			s.ask(c, "next", "/tail-1/x")
+			s.sendRequest(c, "next", "/tail-1/x")
 		})
 	}
 }
 
-// The request right after a stream that began before SIGTERM is dropped: nothing told its
-// caller that the connection closes.
+// Guards against dropping the request that follows a stream on the same connection: the stream
+// began before SIGTERM, so its header couldn't tell the caller that the connection closes.
 func TestPlatformShutdownAnswersTheRequestAfterAStream(t *testing.T) {
 	t.Parallel()
-	playShutdown(t, nil, func(s *shutdown) {
-		s.askAfterStreams(100, 0)
+	runShutdown(t, nil, func(s *shutdownRun) {
+		s.sendAfterStreams(100, 0)
 		for range 20 {
 			c := s.dial()
-			path := fmt.Sprintf("/tail-%d/x", 1+s.r.IntN(tails-1))
+			path := fmt.Sprintf("/tail-%d/x", 1+s.rng.IntN(tailRoutes-1))
 			s.callers.Go(func() {
 				defer c.close()
-				id, first := s.text("old", path)
-				nextID, next := s.text("pipelined", "/tail-1/x")
+				id, first := s.newRequest("old", path)
+				nextID, next := s.newRequest("pipelined", "/tail-1/x")
 				_, err := io.WriteString(c, first+next)
-				s.read(c, call{kind: "old", id: id, err: err})
-				s.read(c, call{kind: "pipelined", id: nextID})
+				s.readAndRecord(c, callResult{kind: "old", id: id, err: err})
+				s.readAndRecord(c, callResult{kind: "pipelined", id: nextID})
 			})
 		}
-	}, func(t *testing.T, s *shutdown) { s.answered(t, "old", "next", "pipelined") })
+	}, func(t *testing.T, s *shutdownRun) { s.checkAnswered(t, "old", "next", "pipelined") })
 }
 
-// A request on a connection that nobody has accepted when the port closes is reset.
+// Guards against connections that are reset because they were still in the accept queue when
+// the port closed.
 func TestPlatformStarvedShutdownResetsNoConnectionInItsBacklog(t *testing.T) {
 	t.Parallel()
-	playShutdown(t, (*shutdown).starve, func(s *shutdown) {
-		s.dialNew(300, "/ask/x", portOpen-200*time.Millisecond, portOpen+200*time.Millisecond)
-	}, func(t *testing.T, s *shutdown) { s.answered(t, "new") })
+	runShutdown(t, (*shutdownRun).starve, func(s *shutdownRun) {
+		s.dialAndSend(300, "/ask/x", listenAfterStop-200*time.Millisecond, listenAfterStop+200*time.Millisecond)
+	}, func(t *testing.T, s *shutdownRun) { s.checkAnswered(t, "new") })
 }
 
-// A request that is sent slowly gets no answer.
+// Guards against leaving a request without an answer because the caller was still sending its
+// headers or body when the process shut down.
 func TestPlatformShutdownAnswersARequestThatIsStillBeingSent(t *testing.T) {
 	t.Parallel()
-	playShutdown(t, nil, func(s *shutdown) {
+	runShutdown(t, nil, func(s *shutdownRun) {
 		const inBody, inHeaders = 5, 60
 		for _, last := range []int{inBody, inHeaders} {
 			kind := "body"
@@ -428,35 +440,37 @@
 				kind = "headers"
 			}
 			for range 30 {
-				c, pause := s.dial(), between(s.r, 0, firstGrace*time.Second)
-				s.at(between(s.r, 0, portOpen), func() {
-					s.askSlowly(c, kind, "/ask/x", last, pause)
+				c, pause := s.dial(), randomDuration(s.rng, 0, initialGrace*time.Second)
+				s.goAfterStop(randomDuration(s.rng, 0, listenAfterStop), func() {
+					s.sendSlowly(c, kind, "/ask/x", last, pause)
 					c.close()
 				})
 			}
 		}
-	}, func(t *testing.T, s *shutdown) { s.answered(t, "body", "headers") })
+	}, func(t *testing.T, s *shutdownRun) { s.checkAnswered(t, "body", "headers") })
 }
 
-// The final answers of a starved process aren't out when it ends.
+// Guards against a starved process that ends before it has written the error answers to the
+// requests that it aborted.
 func TestPlatformStarvedShutdownAnswersAllThatItGivesUp(t *testing.T) {
 	t.Parallel()
-	playShutdown(t, (*shutdown).starve, func(s *shutdown) {
+	runShutdown(t, (*shutdownRun).starve, func(s *shutdownRun) {
 		s.site.Desks[len(s.site.Desks)-1].SetBehaviour(func(*http.Request) standin.Behaviour { return standin.Hangs })
-		s.dialNew(250, fmt.Sprintf("/tail-%d/x", tails), 0, 2*time.Second)
-	}, func(t *testing.T, s *shutdown) { s.answered(t, "new") })
+		s.dialAndSend(250, fmt.Sprintf("/tail-%d/x", tailRoutes), 0, 2*time.Second)
+	}, func(t *testing.T, s *shutdownRun) { s.checkAnswered(t, "new") })
 }
 
-// A process stands still when its port should close. What is sent meanwhile is reset, or run and cut.
+// The process is paused when its port should close. Guards against requests sent meanwhile
+// that are reset, or run and cut.
 func TestPlatformShutdownAfterAStandstillCutsNothing(t *testing.T) {
 	t.Parallel()
-	playShutdown(t, (*shutdown).standStill, func(s *shutdown) {
-		s.keep(30, "/tail-5/x", portOpen-stillFor/2, portOpen+stillFor/2)
-		s.dialNew(30, "/tail-5/x", portOpen-stillFor/2, portOpen+stillFor/2)
-	}, func(t *testing.T, s *shutdown) {
-		s.answered(t, "kept", "new")
+	runShutdown(t, (*shutdownRun).pauseAtPortClose, func(s *shutdownRun) {
+		s.reuseConnections(30, "/tail-5/x", listenAfterStop-longPause/2, listenAfterStop+longPause/2)
+		s.dialAndSend(30, "/tail-5/x", listenAfterStop-longPause/2, listenAfterStop+longPause/2)
+	}, func(t *testing.T, s *shutdownRun) {
+		s.checkAnswered(t, "kept", "new")
 		for _, c := range s.calls {
-			assert.Check(t, c.status != http.StatusOK || c.whole, "cut: %v", c)
+			assert.Check(t, c.status != http.StatusOK || c.complete, "cut: %v", c)
 		}
 	})
 }
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -14,7 +14,7 @@
 	"github.com/vanillagate/vanillagate/platform/standin"
 )
 
-// edgeSite is a stand-in of the users' platform with real entry processes.
+// edgeSite is a stand-in for the users' platform with real entry processes (vgedge).
 type edgeSite struct {
 	t         *testing.T
 	site      *standin.Site
@@ -22,8 +22,8 @@
 	processes []*process
 }
 
-// newEdges has a site's VMs, on which nothing runs yet.
-func newEdges(t *testing.T, n int) *edgeSite {
+// newEdgeSite creates a site with n VMs and starts no processes on them.
+func newEdgeSite(t *testing.T, n int) *edgeSite {
 	t.Helper()
 	site, err := standin.NewSite("127.0.0.1")
 	assert.NilError(t, err)
@@ -35,11 +35,12 @@
 	return &edgeSite{t: t, site: site, vms: vms, processes: make([]*process, n)}
 }
 
-func startEdges(t *testing.T, n int) *edgeSite {
+// startEdgeSite creates a site with a running process on each of its n VMs.
+func startEdgeSite(t *testing.T, n int) *edgeSite {
 	t.Helper()
-	e := newEdges(t, n)
+	e := newEdgeSite(t, n)
 	e.startAll()
-	time.Sleep(3500 * time.Millisecond) // until all know each other and the budget its members
+	time.Sleep(3500 * time.Millisecond) // until all processes know each other and the retry budget knows its members
 	return e
 }
 
@@ -56,11 +57,11 @@
 
 func (e *edgeSite) start(i int) {
 	e.t.Helper()
-	e.startAfter(i, func(*exec.Cmd) {})
+	e.startPrepared(i, func(*exec.Cmd) {})
 }
 
-// startAfter starts a process after prepare has changed how.
-func (e *edgeSite) startAfter(i int, prepare func(*exec.Cmd)) {
+// startPrepared starts the process of a VM with a command that prepare may change.
+func (e *edgeSite) startPrepared(i int, prepare func(*exec.Cmd)) {
 	e.t.Helper()
 	e.processes[i] = launchCommand(e.t, e.vms[i].Name, func(cmd *exec.Cmd) {
 		cmd.Env = append(cmd.Environ(), "VANILLAGATE_SETTINGS="+e.vms[i].Settings)
@@ -74,7 +75,7 @@
 	for time.Now().Before(limit) {
 		select {
 		case <-e.processes[i].done:
-			e.t.Fatalf("%s has ended", e.vms[i].Name)
+			e.t.Fatalf("%s has ended before it was ready", e.vms[i].Name)
 		default:
 		}
 		if e.vms[i].IsReady() {
@@ -82,11 +83,12 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	e.t.Fatalf("%s isn't ready", e.vms[i].Name)
+	e.t.Fatalf("%s isn't ready in time", e.vms[i].Name)
 }
 
-// load runs callers beside something that happens.
-func (e *edgeSite) load(perSecond float64, d time.Duration, meanwhile func()) standin.Tally {
+// runCallers sends requests for some time while meanwhile runs, and checks that no answer is wrong,
+// no request ran twice and none was wrongly reported as not run.
+func (e *edgeSite) runCallers(perSecond float64, d time.Duration, meanwhile func()) standin.Tally {
 	e.t.Helper()
 	callers := &standin.Callers{Site: e.site, VMs: e.vms, PerSecond: perSecond}
 	done := make(chan standin.Tally, 1)
@@ -102,24 +104,25 @@
 	return tally
 }
 
-func launchWith(t *testing.T, name, binary string, environment []string, args ...string) *process {
+// launchWithEnv is launch with additional environment variables.
+func launchWithEnv(t *testing.T, name, binary string, environment []string, args ...string) *process {
 	t.Helper()
 	return launchCommand(t, name, func(cmd *exec.Cmd) { cmd.Env = append(cmd.Environ(), environment...) }, binary, args...)
 }
 
-func TestPlatformCalmLoad(t *testing.T) {
+func TestPlatformSteadyLoad(t *testing.T) {
 	t.Parallel()
-	e := startEdges(t, 3)
-	tally := e.load(60, 5*time.Second, nil)
+	e := startEdgeSite(t, 3)
+	tally := e.runCallers(60, 5*time.Second, nil)
 	assert.Assert(t, tally.Attainment() > 0.98, "%v", tally)
 }
 
-// The platform tells each process that its settings have changed, some as soon as
-// they run. A process that ends at this signal breaks off what it serves.
+// The platform sends SIGHUP to each process when its settings have changed. Guards against a
+// process that ends at this signal and so aborts the requests that it serves.
 func TestPlatformSettingsChangeUnderLoad(t *testing.T) {
 	t.Parallel()
-	e := startEdges(t, 3)
-	tally := e.load(60, 4*time.Second, func() {
+	e := startEdgeSite(t, 3)
+	tally := e.runCallers(60, 4*time.Second, func() {
 		for range 5 {
 			time.Sleep(500 * time.Millisecond)
 			for _, run := range e.processes {
@@ -131,19 +134,18 @@
 	for _, run := range e.processes {
 		select {
 		case <-run.done:
-			t.Errorf("%s ended", run.name)
+			t.Errorf("%s ended at SIGHUP", run.name)
 		default:
 		}
 	}
 }
 
-// Processes are killed one after the other and start again. What they had is
-// lost, but nothing runs twice, and callers that come back are served by the
-// others.
+// Processes are killed one after the other and start again. Their requests in flight are lost, but
+// nothing runs twice, and callers that retry are served by the other processes.
 func TestPlatformProcessesAreKilled(t *testing.T) {
 	t.Parallel()
-	e := startEdges(t, 4)
-	tally := e.load(60, 8*time.Second, func() {
+	e := startEdgeSite(t, 4)
+	tally := e.runCallers(60, 8*time.Second, func() {
 		for i := range 3 {
 			time.Sleep(1500 * time.Millisecond)
 			e.processes[i].kill(t)
@@ -154,12 +156,12 @@
 	assert.Assert(t, tally.Attainment() > 0.8, "%v", tally)
 }
 
-// A process stands still for three seconds and goes on with what it had. Its
-// requests may be too late then; nothing of them runs twice.
-func TestPlatformProcessStandsStill(t *testing.T) {
+// A process is paused for three seconds and then continues with the requests that it had. They may
+// be too late by then, but none of them runs twice.
+func TestPlatformProcessIsPaused(t *testing.T) {
 	t.Parallel()
-	e := startEdges(t, 4)
-	tally := e.load(60, 8*time.Second, func() {
+	e := startEdgeSite(t, 4)
+	tally := e.runCallers(60, 8*time.Second, func() {
 		time.Sleep(1500 * time.Millisecond)
 		e.processes[1].signal(t, syscall.SIGSTOP)
 		time.Sleep(3 * time.Second)
@@ -168,11 +170,11 @@
 	assert.Assert(t, tally.Attainment() > 0.7, "%v", tally)
 }
 
-// Operators stop one VM after the other and start it again. No caller notices.
+// Operators stop one VM after the other and start it again. No caller is affected.
 func TestPlatformRollingStop(t *testing.T) {
 	t.Parallel()
-	e := startEdges(t, 4)
-	tally := e.load(60, 14*time.Second, func() {
+	e := startEdgeSite(t, 4)
+	tally := e.runCallers(60, 14*time.Second, func() {
 		for i := range 3 {
 			time.Sleep(500 * time.Millisecond)
 			e.processes[i].signal(t, syscall.SIGTERM)
@@ -186,11 +188,11 @@
 	assert.Assert(t, tally.Attainment() > 0.97, "%v", tally)
 }
 
-// All processes are killed at the same moment, right after a configuration was
-// accepted, and start again. They serve within seconds, by the new one.
+// All processes are killed at the same moment, right after a configuration was accepted, and start
+// again. They serve within seconds, with the new configuration.
 func TestPlatformAllProcessesAreKilled(t *testing.T) {
 	t.Parallel()
-	e := startEdges(t, 3)
+	e := startEdgeSite(t, 3)
 	e.site.Publish(func(config map[string]any) { config["tenants"] = []any{} })
 	for _, p := range e.processes {
 		p.kill(t)
@@ -201,16 +203,16 @@
 	for i := range e.processes {
 		e.waitReady(i)
 	}
-	tally := e.load(40, 4*time.Second, nil)
+	tally := e.runCallers(40, 4*time.Second, nil)
 	assert.Assert(t, tally.Attainment() > 0.95, "%v", tally)
 }
 
-// The store is away while targets fail and a process is replaced.
-func TestPlatformStoreAwayBesideOtherTrouble(t *testing.T) {
+// The store doesn't respond while a target loses answers and a process is replaced.
+func TestPlatformStoreOutageWithOtherFaults(t *testing.T) {
 	t.Parallel()
-	e := startEdges(t, 4)
+	e := startEdgeSite(t, 4)
 	var n atomic.Int64
-	tally := e.load(60, 9*time.Second, func() {
+	tally := e.runCallers(60, 9*time.Second, func() {
 		time.Sleep(time.Second)
 		e.site.Store.SetFault(func(string) standin.Fault { return standin.NoResponse })
 		e.site.Desks[0].SetBehaviour(func(*http.Request) standin.Behaviour {
@@ -228,12 +230,12 @@
 	assert.Assert(t, tally.Attainment() > 0.8, "%v", tally)
 }
 
-func TestPlatformSettingsThatCannotBeUsed(t *testing.T) {
+func TestPlatformUnusableSettings(t *testing.T) {
 	t.Parallel()
-	p := launchWith(t, "no settings", "vgedge", []string{"VANILLAGATE_SETTINGS="}, "--peer-keys="+peerKeys)
+	p := launchWithEnv(t, "no settings", "vgedge", []string{"VANILLAGATE_SETTINGS="}, "--peer-keys="+peerKeys)
 	assert.Equal(t, p.waitExit(t, waitTimeout), 2)
-	p = launchWith(t, "no file", "vgedge", []string{"VANILLAGATE_SETTINGS=/nowhere/settings.toml"}, "--peer-keys="+peerKeys)
+	p = launchWithEnv(t, "no file", "vgedge", []string{"VANILLAGATE_SETTINGS=/nowhere/settings.toml"}, "--peer-keys="+peerKeys)
 	assert.Equal(t, p.waitExit(t, waitTimeout), 2)
-	p = launchWith(t, "short key", "vgedge", []string{"VANILLAGATE_SETTINGS=/nowhere/settings.toml"}, "--peer-keys=short")
+	p = launchWithEnv(t, "short key", "vgedge", []string{"VANILLAGATE_SETTINGS=/nowhere/settings.toml"}, "--peer-keys=short")
 	assert.Equal(t, p.waitExit(t, waitTimeout), 2)
 }
--- a/test/recovery_test.go
+++ b/test/recovery_test.go
@@ -11,7 +11,7 @@
 	"github.com/vanillagate/vanillagate/internal/standin/table"
 )
 
-// tableStats tells what the table service did so far.
+// tableStats returns the counters of the table service.
 func (c *cluster) tableStats() table.Stats {
 	c.t.Helper()
 	resp, err := client.Get("http://" + c.controlAddress + "/table/stats")
@@ -22,16 +22,16 @@
 	return stats
 }
 
-// waitServing waits until an entry VM waitServing a request and gives the time since.
+// waitServing waits until an entry VM serves a request, and returns the time elapsed since the given time.
 func (c *cluster) waitServing(address string, since time.Time) time.Duration {
 	c.t.Helper()
-	waitFor(c.t, address+" to serve", func() bool { return replyError(sendNow(address, pipelineRequest("Q", 4)), wholeText("Q", 4)) == "" })
+	waitFor(c.t, address+" to serve a request", func() bool { return replyError(sendNow(address, pipelineRequest("Q", 4)), wholeText("Q", 4)) == "" })
 	return time.Since(since)
 }
 
-// A VM that failed is replaced. Callers reach the new one as soon as peers see
-// it, so it has to serve within seconds, whatever is down at that moment: the
-// table service, the object store with the snapshot, or the VM list.
+// A failed entry VM is replaced. Callers reach the new one as soon as its peers list it, so it has to serve
+// within seconds, whatever is down at that moment: the table service, the object store with the snapshot, or
+// the VM list.
 func TestNewVMServesSoon(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, clusterOptions{})
@@ -52,7 +52,7 @@
 		}
 		victim.kill(t)
 		began := time.Now()
-		next := c.restartKnowing(victim)
+		next := c.restartWithPeers(victim)
 		took := c.waitServing(next.address, began)
 		t.Logf("%s: serves after %d ms", outage.name, took.Milliseconds())
 		assert.Assert(t, took < 5*time.Second, "%s: took %s", outage.name, took)
@@ -63,9 +63,9 @@
 	}
 }
 
-// restartKnowing replaces a VM by one that is given its peers' addresses in
-// its settings too, as operators do where the VM list may be down at a start.
-func (c *cluster) restartKnowing(e *entryVM) *entryVM {
+// restartWithPeers replaces a VM by one that also gets its peers' addresses as a flag, as operators do where
+// the VM list may be down at a start.
+func (c *cluster) restartWithPeers(e *entryVM) *entryVM {
 	c.t.Helper()
 	peers := ""
 	for _, other := range c.entries {
@@ -77,9 +77,8 @@
 	return c.restart(e)
 }
 
-// After a power cut all entry VMs start at the same moment. Were each to read
-// all changes again and again until it is ready, the table service would
-// refuse reads just when everybody needs them.
+// All entry VMs start at the same moment, as after a power failure. Guards against VMs that read all changes
+// again and again until they are ready: the table service would throttle reads just when every VM needs them.
 func TestAllVMsStartAtOnce(t *testing.T) {
 	t.Parallel()
 	const vms = 8
@@ -104,7 +103,7 @@
 	t.Logf("%d VMs serve after %d ms, %d reads of the table in %.1f s, %d throttled", vms, longest.Milliseconds(), reads, seconds, after.ThrottledReads-before.ThrottledReads)
 	assert.Assert(t, longest < 5*time.Second)
 	assert.Equal(t, after.ThrottledReads, before.ThrottledReads)
-	// Each reads once to start, and then at its period of 500 ms, with a half
-	// of it at the least.
+	// Each VM reads once at its start and then every 500 ms, with jitter that leaves at
+	// least 250 ms between two reads.
 	assert.Assert(t, float64(reads) <= vms*(2+seconds/0.25), "%d reads in %.1f s", reads, seconds)
 }
--- a/test/steward_test.go
+++ b/test/steward_test.go
@@ -23,10 +23,10 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// leaseTerm is how long a lease lasts in these tests.
+// leaseTerm is the lease term of the stewards in these tests.
 const leaseTerm = 2 * time.Second
 
-// steward is one vgsteward process and the relay before its table service.
+// steward is a vgsteward process and the relay between it and the table service.
 type steward struct {
 	*process
 	table *relay.Relay
@@ -43,8 +43,8 @@
 	)}
 }
 
-// wants has another version of the model wanted for the engines.
-func (c *cluster) wants(version string) config.Revision {
+// setWantedVersion changes the model version that the engines should serve.
+func (c *cluster) setWantedVersion(version string) config.Revision {
 	c.t.Helper()
 	address := c.entries[0].address
 	state := stateAt(address)
@@ -53,12 +53,12 @@
 	return c.putItem(address, "pools/llm", pool, state.LastChanges[config.ItemKey(config.KindPool, "llm")].Revision)
 }
 
-// versions are what the engines say that they serve.
-func (c *cluster) versions() map[string]string {
+// servedVersions returns the model version that each engine reports to serve.
+func (c *cluster) servedVersions() map[string]string {
 	served := map[string]string{}
-	asker := order.NewClient()
+	orderClient := order.NewClient()
 	for _, address := range c.targets("llm") {
-		report, err := asker.Report(c.t.Context(), address)
+		report, err := orderClient.Report(c.t.Context(), address)
 		if err == nil && len(report.Data) > 0 {
 			served[address] = report.Data[0].Version
 		}
@@ -68,7 +68,7 @@
 
 func (c *cluster) allServe(version string) bool {
 	n := 0
-	for _, v := range c.versions() {
+	for _, v := range c.servedVersions() {
 		if v == version {
 			n++
 		}
@@ -76,9 +76,9 @@
 	return n == len(c.targets("llm"))
 }
 
-// lease gives the holder of the engines' lease and its token, as the operators
-// see them.
-func (c *cluster) lease() (holder string, token uint64) {
+// engineLease returns the holder and the token of the lease on the engine pool, as an entry VM
+// reports them to operators.
+func (c *cluster) engineLease() (holder string, token uint64) {
 	got := callAdminAPI(c.entries[0].address, http.MethodGet, "status", nil, nil)
 	var st status.Status
 	if got.err != nil || json.Unmarshal(got.body, &st) != nil {
@@ -92,10 +92,10 @@
 	return "", 0
 }
 
-// holder finds which of the stewards holds the lease by what each logged of
-// its own incarnation.
-func (c *cluster) holder(all ...*steward) *steward {
-	held, _ := c.lease()
+// leaseHolder returns the steward that holds the lease, or nil. It compares the holder with the
+// incarnation that each steward has logged.
+func (c *cluster) leaseHolder(all ...*steward) *steward {
+	held, _ := c.engineLease()
 	for _, s := range all {
 		if held != "" && strings.Contains(s.logs(), `"incarnation":"`+held) {
 			return s
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func slowLoads(checks bool) func(*fleet.File) {
+func slowModelLoads(checks bool) func(*fleet.File) {
 	return func(f *fleet.File) {
 		for i := range f.Pools {
 			if f.Pools[i].Pool == "llm" {
@@ -115,66 +115,63 @@
 	}
 }
 
-// A steward that holds the lease of the engines is paused, as a VM is that is
-// moved, right when another version is wanted. Its lease lapses and another
-// takes over. When it goes on it has reports and a lease in its memory that
-// are long out of date. At engines that check fencing tokens and at those that
-// ignore them, the wanted version must be served in the end, and no user may
-// get an answer of a version that isn't in force.
-func TestPausedStewardFindsOutBeforeItOrders(t *testing.T) {
+// The steward that holds the lease on the engines is paused, as during a VM migration, just when another
+// model version is configured. Its lease expires and the other steward takes over. When it continues, the
+// reports and the lease in its memory are outdated. Whether or not the engines check fencing tokens, the
+// configured version must be served in the end, and no caller may get an answer of another version.
+func TestPausedStewardGivesNoOrdersWithoutItsLease(t *testing.T) {
 	t.Parallel()
 	for _, checks := range []bool{true, false} {
 		t.Run("engines check "+strconv.FormatBool(checks), func(t *testing.T) {
 			t.Parallel()
-			c := startCluster(t, clusterOptions{entries: 1, editFleet: slowLoads(checks)})
+			c := startCluster(t, clusterOptions{entries: 1, editFleet: slowModelLoads(checks)})
 			one, two := c.startSteward("steward one"), c.startSteward("steward two")
-			c.wants("2")
+			c.setWantedVersion("2")
 			waitFor(t, "the engines to serve version 2", func() bool { return c.allServe("2") })
 			var paused *steward
-			waitFor(t, "a holder", func() bool { paused = c.holder(one, two); return paused != nil })
+			waitFor(t, "a steward to hold the lease", func() bool { paused = c.leaseHolder(one, two); return paused != nil })
 			other := one
 			if paused == one {
 				other = two
 			}
-			_, before := c.lease()
+			_, before := c.engineLease()
 			paused.signal(t, syscall.SIGSTOP)
 			stopped := time.Now()
-			c.wants("3")
+			c.setWantedVersion("3")
 			waitFor(t, "the other steward to have version 3 served", func() bool { return c.allServe("3") })
 			took := time.Since(stopped)
-			assert.Assert(t, c.holder(one, two) == other)
-			_, after := c.lease()
+			assert.Assert(t, c.leaseHolder(one, two) == other)
+			_, after := c.engineLease()
 			assert.Assert(t, after > before, "token %d after %d", after, before)
-			given := ordersIn(paused.logs())
+			given := countOrders(paused.logs())
 			paused.signal(t, syscall.SIGCONT)
 			l := startLoad(c, 2, nil)
-			c.wants("4")
+			c.setWantedVersion("4")
 			waitFor(t, "version 4 to be served", func() bool { return c.allServe("4") })
-			l.stop() // its requests were refused while the engines loaded
-			assert.Equal(t, ordersIn(paused.logs()), given, "the paused steward gave orders:\n%s", lastLines(paused.logs(), 10))
+			l.stop() // not checked: requests were refused while the engines loaded the model
+			assert.Equal(t, countOrders(paused.logs()), given, "the paused steward gave orders:\n%s", lastLines(paused.logs(), 10))
 			assert.Equal(t, sendNow(c.entries[0].address, pipelineRequest("Q", 8)).output(t), wholeText("Q", 8))
-			t.Logf("version 3 served %d ms after the holder stopped (term %s), token %d to %d", took.Milliseconds(), leaseTerm, before, after)
+			t.Logf("version 3 served %d ms after the holder was paused (lease term %s), token %d to %d", took.Milliseconds(), leaseTerm, before, after)
 		})
 	}
 }
 
-// ordersIn counts the orders that a steward says it gave.
-func ordersIn(logs string) int { return strings.Count(logs, "order given") }
+// countOrders counts the log lines with which a steward reports an order that it gave.
+func countOrders(logs string) int { return strings.Count(logs, "order given") }
 
-// An order of an earlier holder was on its way for long and arrives when
-// another holds the lease. Engines that check fencing refuse it. Those that
-// don't load the old version; until the holder has put that right no user may
-// get an answer from there.
-func TestEnginesThatIgnoreFencingEndAsWanted(t *testing.T) {
+// A delayed order of an earlier lease holder arrives when another steward holds the lease. Engines that
+// check fencing tokens refuse it; those that don't load the old version. Until the lease holder has
+// corrected that, no caller may get an answer of such an engine.
+func TestEnginesThatIgnoreFencingReachTheWantedVersion(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, clusterOptions{entries: 1, editFleet: slowLoads(false)})
+	c := startCluster(t, clusterOptions{entries: 1, editFleet: slowModelLoads(false)})
 	c.startSteward("steward one")
 	c.startSteward("steward two")
-	c.wants("2")
+	c.setWantedVersion("2")
 	waitFor(t, "the engines to serve version 2", func() bool { return c.allServe("2") })
 	victim := c.targets("llm")[0]
 	late := order.Order{SetModel: &targetapi.SetModelRequest{Model: "m1", Version: "1", Role: "both"}}
-	var wrong failureList
+	var failures failureList
 	var sending sync.WaitGroup
 	done := make(chan struct{})
 	sending.Go(func() {
@@ -186,7 +183,7 @@
 			}
 			ref := "V" + strconv.Itoa(i)
 			if fault := replyError(sendNow(c.entries[0].address, pipelineRequest(ref, 8)), wholeText(ref, 8)); fault != "" {
-				wrong.add(fault)
+				failures.add(fault)
 			}
 		}
 	})
@@ -195,38 +192,37 @@
 	assert.Equal(t, result, order.Done)
 	arrived := time.Now()
 	waitFor(t, "version 2 to be served again", func() bool { return c.allServe("2") })
-	t.Logf("wanted version served again %d ms after the old order", time.Since(arrived).Milliseconds())
+	t.Logf("configured version served again %d ms after the outdated order", time.Since(arrived).Milliseconds())
 	close(done)
 	sending.Wait()
-	wrong.checkEmpty(t)
+	failures.checkEmpty(t)
 }
 
-// The steward that holds the lease is stopped as planned while an engine loads
-// a model on its order. It gives no further order, hands the lease back, and
-// ends with exit code 0; the other goes on at once, without waiting for the
-// lease to lapse, and what was begun is not begun anew.
+// The steward that holds the lease gets SIGTERM while an engine loads a model on its order. It must give no
+// further orders, release the lease and end with exit code 0. The other steward must continue at once,
+// without waiting for the lease to expire, and must not repeat orders that were given.
 func TestPlannedStopOfStewardHoldingALease(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, clusterOptions{entries: 1, editFleet: slowLoads(true)})
+	c := startCluster(t, clusterOptions{entries: 1, editFleet: slowModelLoads(true)})
 	one, two := c.startSteward("steward one"), c.startSteward("steward two")
-	c.wants("2")
+	c.setWantedVersion("2")
 	waitFor(t, "the engines to serve version 2", func() bool { return c.allServe("2") })
-	var leaving *steward
-	waitFor(t, "a holder", func() bool { leaving = c.holder(one, two); return leaving != nil })
-	_, before := c.lease()
-	c.wants("3")
-	waitFor(t, "the first engines to be loaded and the next to load", func() bool { return slices.Contains(slices.Collect(maps.Values(c.versions())), "3") })
+	var stopping *steward
+	waitFor(t, "a steward to hold the lease", func() bool { stopping = c.leaseHolder(one, two); return stopping != nil })
+	_, before := c.engineLease()
+	c.setWantedVersion("3")
+	waitFor(t, "some engine to serve version 3", func() bool { return slices.Contains(slices.Collect(maps.Values(c.servedVersions())), "3") })
 	assert.Assert(t, !c.allServe("3"))
 	stopped := time.Now()
-	leaving.signal(t, syscall.SIGTERM)
-	assert.Equal(t, leaving.waitExit(t, waitTimeout), 0)
+	stopping.signal(t, syscall.SIGTERM)
+	assert.Equal(t, stopping.waitExit(t, waitTimeout), 0)
 	gone := time.Since(stopped)
 	waitFor(t, "version 3 to be served", func() bool { return c.allServe("3") })
 	took := time.Since(stopped)
-	waitFor(t, "the other to hold the lease", func() bool { _, token := c.lease(); return token > before })
-	t.Logf("gone after %d ms, the other had version 3 served everywhere after %d ms (term %s)", gone.Milliseconds(), took.Milliseconds(), leaseTerm)
+	waitFor(t, "the other steward to hold the lease", func() bool { _, token := c.engineLease(); return token > before })
+	t.Logf("ended after %d ms, version 3 served by all engines after %d ms (lease term %s)", gone.Milliseconds(), took.Milliseconds(), leaseTerm)
 	assert.Assert(t, took < leaseTerm)
-	assert.Assert(t, strings.Contains(leaving.logs(), "leases released"))
-	assert.Equal(t, ordersIn(one.logs())+ordersIn(two.logs()), 2*len(c.targets("llm")))
+	assert.Assert(t, strings.Contains(stopping.logs(), "leases released"))
+	assert.Equal(t, countOrders(one.logs())+countOrders(two.logs()), 2*len(c.targets("llm")))
 	assert.Equal(t, sendNow(c.entries[0].address, pipelineRequest("Q", 8)).output(t), wholeText("Q", 8))
 }
