--- a/internal/load/arrival/arrival.go
+++ b/internal/load/arrival/arrival.go
@@ -12,8 +12,8 @@
 type Pattern interface {
 	// Rate is in requests per second, at a time since the start.
 	Rate(at time.Duration) float64
-	// Highest is a bound that Rate never exceeds.
-	Highest() float64
+	// MaxRate is a bound that Rate never exceeds.
+	MaxRate() float64
 }
 
 // Steady is the same rate all the time.
@@ -22,55 +22,55 @@
 // Rate implements Pattern.
 func (s Steady) Rate(time.Duration) float64 { return s.PerSecond }
 
-// Highest implements Pattern.
-func (s Steady) Highest() float64 { return s.PerSecond }
+// MaxRate implements Pattern.
+func (s Steady) MaxRate() float64 { return s.PerSecond }
 
 // Bursts is a base rate that rises to a peak for Length in every Every, from
 // First on.
 type Bursts struct {
-	Base, Peak           float64
-	First, Every, Length time.Duration
+	Base, Peak                   float64
+	FirstStart, Period, Duration time.Duration
 }
 
 // Rate implements Pattern.
 func (b Bursts) Rate(at time.Duration) float64 {
-	if at < b.First {
+	if at < b.FirstStart {
 		return b.Base
 	}
-	since := at - b.First
-	if b.Every > 0 {
-		since %= b.Every
+	since := at - b.FirstStart
+	if b.Period > 0 {
+		since %= b.Period
 	}
-	if since < b.Length {
+	if since < b.Duration {
 		return b.Peak
 	}
 	return b.Base
 }
 
-// Highest implements Pattern.
-func (b Bursts) Highest() float64 { return max(b.Base, b.Peak) }
+// MaxRate implements Pattern.
+func (b Bursts) MaxRate() float64 { return max(b.Base, b.Peak) }
 
 // Daily swings around a mean as a day does; a Day may last seconds.
 type Daily struct {
 	Mean float64
-	// Swing is 0 (steady) to 1 (silent at night).
-	Swing float64
-	Day   time.Duration
+	// Amplitude is 0 (steady) to 1 (silent at night).
+	Amplitude float64
+	Period    time.Duration
 }
 
 // Rate implements Pattern. The day starts at its quietest.
 func (d Daily) Rate(at time.Duration) float64 {
-	phase := 2 * math.Pi * at.Seconds() / d.Day.Seconds()
-	return d.Mean * (1 - d.Swing*math.Cos(phase))
+	phase := 2 * math.Pi * at.Seconds() / d.Period.Seconds()
+	return d.Mean * (1 - d.Amplitude*math.Cos(phase))
 }
 
-// Highest implements Pattern.
-func (d Daily) Highest() float64 { return d.Mean * (1 + d.Swing) }
+// MaxRate implements Pattern.
+func (d Daily) MaxRate() float64 { return d.Mean * (1 + d.Amplitude) }
 
-// Times draws a Poisson process with the pattern's rate over a length of time.
+// SampleTimes draws a Poisson process with the pattern's rate over a length of time.
 // The same seed gives the same times.
-func Times(p Pattern, length time.Duration, seed uint64) []time.Duration {
-	highest := p.Highest()
+func SampleTimes(p Pattern, length time.Duration, seed uint64) []time.Duration {
+	highest := p.MaxRate()
 	if highest <= 0 {
 		return nil
 	}
--- a/internal/load/arrival/arrival_test.go
+++ b/internal/load/arrival/arrival_test.go
@@ -11,11 +11,11 @@
 
 func TestSameSeedSameTimes(t *testing.T) {
 	p := Steady{PerSecond: 100}
-	first := Times(p, 10*time.Second, 7)
-	assert.DeepEqual(t, first, Times(p, 10*time.Second, 7))
-	assert.Assert(t, !slices.Equal(first, Times(p, 10*time.Second, 8)))
+	first := SampleTimes(p, 10*time.Second, 7)
+	assert.DeepEqual(t, first, SampleTimes(p, 10*time.Second, 7))
+	assert.Assert(t, !slices.Equal(first, SampleTimes(p, 10*time.Second, 8)))
 	assert.Assert(t, slices.IsSorted(first))
-	assert.Equal(t, len(Times(Steady{}, time.Second, 1)), 0)
+	assert.Equal(t, len(SampleTimes(Steady{}, time.Second, 1)), 0)
 }
 
 // countBetween counts the times in a window.
@@ -37,16 +37,16 @@
 		want     float64
 	}{
 		{"steady", Steady{PerSecond: 200}, 0, 20 * time.Second, 4000},
-		{"before the first burst", Bursts{Base: 100, Peak: 1000, First: 5 * time.Second, Every: 10 * time.Second, Length: time.Second}, 0, 5 * time.Second, 500},
-		{"in a burst", Bursts{Base: 100, Peak: 1000, First: 5 * time.Second, Every: 10 * time.Second, Length: time.Second}, 15 * time.Second, 16 * time.Second, 1000},
-		{"after a burst", Bursts{Base: 100, Peak: 1000, First: 5 * time.Second, Every: 10 * time.Second, Length: time.Second}, 6 * time.Second, 15 * time.Second, 900},
-		{"one burst only", Bursts{Base: 100, Peak: 1000, First: 5 * time.Second, Length: time.Second}, 6 * time.Second, 20 * time.Second, 1400},
-		{"whole day", Daily{Mean: 100, Swing: 0.9, Day: 20 * time.Second}, 0, 20 * time.Second, 2000},
-		{"night", Daily{Mean: 1000, Swing: 1, Day: 20 * time.Second}, 0, time.Second, 16.4},
-		{"noon", Daily{Mean: 100, Swing: 1, Day: 20 * time.Second}, 9500 * time.Millisecond, 10500 * time.Millisecond, 199},
+		{"before the first burst", Bursts{Base: 100, Peak: 1000, FirstStart: 5 * time.Second, Period: 10 * time.Second, Duration: time.Second}, 0, 5 * time.Second, 500},
+		{"in a burst", Bursts{Base: 100, Peak: 1000, FirstStart: 5 * time.Second, Period: 10 * time.Second, Duration: time.Second}, 15 * time.Second, 16 * time.Second, 1000},
+		{"after a burst", Bursts{Base: 100, Peak: 1000, FirstStart: 5 * time.Second, Period: 10 * time.Second, Duration: time.Second}, 6 * time.Second, 15 * time.Second, 900},
+		{"one burst only", Bursts{Base: 100, Peak: 1000, FirstStart: 5 * time.Second, Duration: time.Second}, 6 * time.Second, 20 * time.Second, 1400},
+		{"whole day", Daily{Mean: 100, Amplitude: 0.9, Period: 20 * time.Second}, 0, 20 * time.Second, 2000},
+		{"night", Daily{Mean: 1000, Amplitude: 1, Period: 20 * time.Second}, 0, time.Second, 16.4},
+		{"noon", Daily{Mean: 100, Amplitude: 1, Period: 20 * time.Second}, 9500 * time.Millisecond, 10500 * time.Millisecond, 199},
 	}
 	for _, c := range cases {
-		got := countBetween(Times(c.pattern, 20*time.Second, 3), c.from, c.to)
+		got := countBetween(SampleTimes(c.pattern, 20*time.Second, 3), c.from, c.to)
 		assert.Assert(t, math.Abs(got-c.want) < 4*math.Sqrt(c.want)+1, "%s: %v, want about %v", c.name, got, c.want)
 	}
 }
@@ -54,12 +54,12 @@
 func TestRateStaysBelowHighest(t *testing.T) {
 	patterns := []Pattern{
 		Steady{PerSecond: 3},
-		Bursts{Base: 10, Peak: 2, Every: time.Second, Length: time.Second / 2},
-		Daily{Mean: 5, Swing: 0.5, Day: time.Second},
+		Bursts{Base: 10, Peak: 2, Period: time.Second, Duration: time.Second / 2},
+		Daily{Mean: 5, Amplitude: 0.5, Period: time.Second},
 	}
 	for _, p := range patterns {
 		for at := time.Duration(0); at < 3*time.Second; at += 10 * time.Millisecond {
-			assert.Assert(t, p.Rate(at) <= p.Highest() && p.Rate(at) >= 0)
+			assert.Assert(t, p.Rate(at) <= p.MaxRate() && p.Rate(at) >= 0)
 		}
 	}
 }
--- a/internal/load/bench/layout.go
+++ b/internal/load/bench/layout.go
@@ -33,11 +33,11 @@
 // the stand-ins' fleet file, one line for each entry VM (place, address, peer
 // address, zone, region), and settings as environment variables.
 func WriteLayout(dir string, s *experiment.Scenario, seed uint64) error {
-	port, err := shape.FreePorts(s.Shape.Ports())
+	port, err := shape.FindFreePorts(s.Shape.PortCount())
 	if err != nil {
 		return err
 	}
-	fleet := s.Shape.Fleet(port, seed)
+	fleet := s.Shape.BuildFleet(port, seed)
 	if err := report.WriteJSON(filepath.Join(dir, fleetFile), fleet); err != nil {
 		return err
 	}
--- a/internal/load/bench/step.go
+++ b/internal/load/bench/step.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return Result{}, nil, err
 	}
-	counts, err := stands.Settled(control.SettleLimit)
+	counts, err := stands.CountsWhenIdle(control.DefaultIdleWait)
 	if err != nil {
 		return Result{}, nil, err
 	}
--- a/internal/load/caller/call.go
+++ b/internal/load/caller/call.go
@@ -72,9 +72,9 @@
 // Result is what a caller knows when its request has ended.
 type Result struct {
 	Call Call
-	// At is Call.Scheduled since the start of the run.
-	At      time.Duration
-	Outcome Outcome
+	// ScheduledOffset is Call.Scheduled since the start of the run.
+	ScheduledOffset time.Duration
+	Outcome         Outcome
 	// Finding tells what was wrong with an answer that is not whole. It is
 	// empty when there was no answer.
 	Finding check.Finding
@@ -82,16 +82,16 @@
 	Execution problem.Execution
 	// RequestIDs are the identities that the system gave to the tries.
 	RequestIDs []string
-	// RefusedID is the identity of the try that the error speaks of.
-	RefusedID string
-	Status    int
-	Tries     int
+	// RefusedRequestID is the identity of the try that the error speaks of.
+	RefusedRequestID string
+	Status           int
+	Tries            int
 	// Latency counts from Call.Scheduled.
 	Latency time.Duration
 	// FirstToken counts from Call.Scheduled; zero without a stream.
 	FirstToken time.Duration
-	// Late is how long after Call.Scheduled the first try was sent.
-	Late time.Duration
+	// SendDelay is how long after Call.Scheduled the first try was sent.
+	SendDelay time.Duration
 	// Detail tells what went wrong, in words.
 	Detail string
 }
--- a/internal/load/caller/caller.go
+++ b/internal/load/caller/caller.go
@@ -46,7 +46,7 @@
 // NewPinned is a caller that uses one address only and asks nobody.
 func NewPinned(address string) *Caller {
 	c := New(nil)
-	c.dir.keep(EntriesAnswer{Entries: []Entry{{Address: address}}, KeepMS: math.MaxInt32}, time.Now())
+	c.dir.keep(EntriesAnswer{Entries: []Entry{{Address: address}}, TTLMS: math.MaxInt32}, time.Now())
 	return c
 }
 
@@ -58,7 +58,7 @@
 
 // Do sends a request until it has a final answer or its time is over.
 func (c *Caller) Do(ctx context.Context, call Call) Result {
-	result := Result{Call: call, Outcome: Lost, Late: time.Since(call.Scheduled)}
+	result := Result{Call: call, Outcome: Lost, SendDelay: time.Since(call.Scheduled)}
 	tried := map[string]int{}
 	for ctx.Err() == nil && time.Now().Before(call.Deadline()) {
 		address, err := c.dir.choose(tried, time.Now())
@@ -100,7 +100,7 @@
 	now := time.Now()
 	r.Latency = now.Sub(r.Call.Scheduled)
 	r.Status = got.status
-	r.Outcome, r.Finding, r.Execution, r.Detail, r.RefusedID = Lost, "", "", "", ""
+	r.Outcome, r.Finding, r.Execution, r.Detail, r.RefusedRequestID = Lost, "", "", "", ""
 	if got.requestID != "" {
 		r.RequestIDs = append(r.RequestIDs, got.requestID)
 	}
@@ -110,7 +110,7 @@
 	switch {
 	case got.problem != nil:
 		r.Outcome, r.Execution = Refused, got.problem.Execution
-		r.RefusedID = cmp.Or(got.problem.RequestID, got.requestID)
+		r.RefusedRequestID = cmp.Or(got.problem.RequestID, got.requestID)
 		r.Detail = address + ": " + got.problem.Error()
 	case got.err != nil:
 		r.Detail = address + ": " + got.err.Error()
@@ -121,7 +121,7 @@
 
 func (r *Result) judge(got answer) {
 	r.Finding = findingOf(r.Call, got)
-	if r.Finding == check.Whole {
+	if r.Finding == check.Complete {
 		r.Outcome = Answered
 		return
 	}
@@ -130,16 +130,16 @@
 
 func findingOf(call Call, got answer) check.Finding {
 	if call.Kind == KindService {
-		return check.Service(call.Ref, got.output)
+		return check.ServiceAnswer(call.Ref, got.output)
 	}
-	finding := check.Words(call.Ref, call.MaxTokens, got.output)
-	if finding == check.Whole && !got.ended {
+	finding := check.PipelineOutput(call.Ref, call.MaxTokens, got.output)
+	if finding == check.Complete && !got.ended {
 		return check.Partial
 	}
 	return finding
 }
 
-func pipelineInput(call Call) string { return call.Input + " " + check.RefMark(call.Ref) }
+func pipelineInput(call Call) string { return call.Input + " " + check.RefMarker(call.Ref) }
 
 func serviceBody(call Call) string {
 	return string(mustJSON(serviceRequest{Note: pipelineInput(call)}))
--- a/internal/load/caller/caller_test.go
+++ b/internal/load/caller/caller_test.go
@@ -100,7 +100,7 @@
 	call.Scheduled = time.Now()
 	got = c.Do(context.Background(), call)
 	assert.Equal(t, got.Outcome, Lost)
-	assert.Assert(t, got.Finding != check.Whole)
+	assert.Assert(t, got.Finding != check.Complete)
 }
 
 // The whole system is unreachable. The caller gives up at its own deadline and
--- a/internal/load/caller/directory.go
+++ b/internal/load/caller/directory.go
@@ -20,8 +20,8 @@
 // EntriesAnswer answers GET /v1/entries, nearest availability zone first.
 type EntriesAnswer struct {
 	Entries []Entry `json:"entries"`
-	// KeepMS is how long the answer may be used, in milliseconds.
-	KeepMS int64 `json:"keep_ms"`
+	// TTLMS is how long the answer may be used, in milliseconds.
+	TTLMS int64 `json:"keep_ms"`
 }
 
 const (
@@ -150,7 +150,7 @@
 }
 
 func (d *directory) keep(answer EntriesAnswer, now time.Time) {
-	keep := max(time.Duration(answer.KeepMS)*time.Millisecond, shortestKeep)
+	keep := max(time.Duration(answer.TTLMS)*time.Millisecond, shortestKeep)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.known = answer.Entries
--- a/internal/load/caller/fake_test.go
+++ b/internal/load/caller/fake_test.go
@@ -59,7 +59,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if string(ctx.Path()) == entriesPath {
-		_ = json.NewEncoder(ctx).Encode(EntriesAnswer{Entries: f.entries, KeepMS: 60_000})
+		_ = json.NewEncoder(ctx).Encode(EntriesAnswer{Entries: f.entries, TTLMS: 60_000})
 		return
 	}
 	f.keys = append(f.keys, string(ctx.Request.Header.Peek(targetapi.HeaderIdempotencyKey)))
--- a/internal/load/check/totals.go
+++ b/internal/load/check/totals.go
@@ -7,13 +7,13 @@
 	"github.com/vanillagate/vanillagate/internal/problem"
 )
 
-// Ended is what the checks need of a request that has ended.
-type Ended struct {
+// CompletedRequest is what the checks need of a request that has ended.
+type CompletedRequest struct {
 	IdempotencyKey string
 	NonIdempotent  bool
-	// RefusedID is the identity that the system gave to the try that it refused
+	// RefusedRequestID is the identity that the system gave to the try that it refused
 	// last.
-	RefusedID string
+	RefusedRequestID string
 	// Answered says that the caller got a whole answer to its own request.
 	Answered bool
 	// Refused says that it got a clear error.
@@ -38,15 +38,15 @@
 	Refused int `json:"refused"`
 	// Lost counts requests that got neither a whole answer nor a clear error.
 	Lost int `json:"lost"`
-	// Doubled counts non-idempotent requests that targets ran more than once.
-	Doubled int `json:"doubled"`
-	// Crossed counts answers that hold something of another request.
-	Crossed int `json:"crossed"`
+	// RanTwice counts non-idempotent requests that targets ran more than once.
+	RanTwice int `json:"doubled"`
+	// WrongAnswers counts answers that hold something of another request.
+	WrongAnswers int `json:"crossed"`
 	// FalseNotRun counts requests that were told "not run" and ran: by the key
 	// of non-idempotent ones, by the refused try of others.
 	FalseNotRun int `json:"false_not_run"`
 	// Poison counts requests that nobody could answer; they are in none of the
-	// counts above but Doubled, Crossed and FalseNotRun.
+	// counts above but RanTwice, WrongAnswers and FalseNotRun.
 	Poison int `json:"poison,omitempty"`
 	// Executions counts what the targets ran.
 	Executions int `json:"executions"`
@@ -61,8 +61,8 @@
 	return float64(t.InTime) / float64(t.Requests)
 }
 
-// Judge compares what the callers were told with what the targets ran.
-func Judge(ended []Ended, executions []control.Execution) Totals {
+// ComputeTotals compares what the callers were told with what the targets ran.
+func ComputeTotals(ended []CompletedRequest, executions []control.Execution) Totals {
 	ran := newWitness(executions)
 	totals := Totals{Executions: len(executions)}
 	for _, e := range ended {
@@ -71,13 +71,13 @@
 	return totals
 }
 
-func (t *Totals) add(e Ended, ran witness) {
+func (t *Totals) add(e CompletedRequest, ran witness) {
 	doubled := e.NonIdempotent && ran.byKey[e.IdempotencyKey] > 1
 	if doubled {
-		t.Doubled++
+		t.RanTwice++
 	}
-	if e.Finding == Crossed {
-		t.Crossed++
+	if e.Finding == ForeignContent {
+		t.WrongAnswers++
 	}
 	if e.Refused && e.Execution == problem.NotRun && ran.ran(e) {
 		t.FalseNotRun++
@@ -122,9 +122,9 @@
 // non-idempotent request speaks of its key: its caller must be able to take
 // "not run" for the whole truth. The refusal of an idempotent one speaks of the
 // try, since its caller may have tried it at a VM that died.
-func (w witness) ran(e Ended) bool {
+func (w witness) ran(e CompletedRequest) bool {
 	if e.NonIdempotent && w.byKey[e.IdempotencyKey] > 0 {
 		return true
 	}
-	return e.RefusedID != "" && w.byRequest[e.RefusedID] > 0
+	return e.RefusedRequestID != "" && w.byRequest[e.RefusedRequestID] > 0
 }
--- a/internal/load/check/totals_test.go
+++ b/internal/load/check/totals_test.go
@@ -16,19 +16,19 @@
 		{IdempotencyKey: "once", RequestID: "r3/service/1"},
 		{RequestID: "r4/encode/1"},
 	}
-	ended := []Ended{
-		{IdempotencyKey: "twice", NonIdempotent: true, Answered: true, InTime: true, Finding: Whole},
-		{IdempotencyKey: "once", NonIdempotent: true, Answered: true, InTime: true, Finding: Whole},
-		{IdempotencyKey: "late", Answered: true, Finding: Whole},
+	ended := []CompletedRequest{
+		{IdempotencyKey: "twice", NonIdempotent: true, Answered: true, InTime: true, Finding: Complete},
+		{IdempotencyKey: "once", NonIdempotent: true, Answered: true, InTime: true, Finding: Complete},
+		{IdempotencyKey: "late", Answered: true, Finding: Complete},
 		{IdempotencyKey: "none"},
-		{IdempotencyKey: "other", Finding: Crossed},
-		{IdempotencyKey: "true", Refused: true, Execution: problem.NotRun, RefusedID: "r9"},
-		{IdempotencyKey: "false", Refused: true, Execution: problem.NotRun, RefusedID: "r4"},
-		{IdempotencyKey: "unsure", Refused: true, Execution: problem.Unknown, RefusedID: "r4"},
+		{IdempotencyKey: "other", Finding: ForeignContent},
+		{IdempotencyKey: "true", Refused: true, Execution: problem.NotRun, RefusedRequestID: "r9"},
+		{IdempotencyKey: "false", Refused: true, Execution: problem.NotRun, RefusedRequestID: "r4"},
+		{IdempotencyKey: "unsure", Refused: true, Execution: problem.Unknown, RefusedRequestID: "r4"},
 	}
-	got := Judge(ended, executions)
+	got := ComputeTotals(ended, executions)
 	assert.Equal(t, got, Totals{
-		Requests: 8, Answered: 3, InTime: 1, Refused: 3, Lost: 2, Doubled: 1, Crossed: 1, FalseNotRun: 1, Executions: 4,
+		Requests: 8, Answered: 3, InTime: 1, Refused: 3, Lost: 2, RanTwice: 1, WrongAnswers: 1, FalseNotRun: 1, Executions: 4,
 	})
 	assert.Equal(t, got.Attainment(), 0.125)
 	assert.Equal(t, Totals{}.Attainment(), 0.0)
@@ -40,15 +40,15 @@
 // an idempotent request needs.
 func TestNotRunAfterAnEarlierTry(t *testing.T) {
 	executions := []control.Execution{{IdempotencyKey: "k", RequestID: "r1/s/1"}, {RequestID: "r2/s/1"}}
-	refused := Ended{IdempotencyKey: "k", RefusedID: "r3", Refused: true, Execution: problem.NotRun}
-	assert.Equal(t, Judge([]Ended{refused}, executions).FalseNotRun, 0)
+	refused := CompletedRequest{IdempotencyKey: "k", RefusedRequestID: "r3", Refused: true, Execution: problem.NotRun}
+	assert.Equal(t, ComputeTotals([]CompletedRequest{refused}, executions).FalseNotRun, 0)
 	refused.NonIdempotent = true
-	assert.Equal(t, Judge([]Ended{refused}, executions).FalseNotRun, 1)
+	assert.Equal(t, ComputeTotals([]CompletedRequest{refused}, executions).FalseNotRun, 1)
 }
 
 func TestIdempotentKeyMayRunTwice(t *testing.T) {
 	executions := []control.Execution{{IdempotencyKey: "k", RequestID: "a/s/1"}, {IdempotencyKey: "k", RequestID: "a/s/2"}}
-	got := Judge([]Ended{{IdempotencyKey: "k", Answered: true, InTime: true, Finding: Whole}}, executions)
-	assert.Equal(t, got.Doubled, 0)
+	got := ComputeTotals([]CompletedRequest{{IdempotencyKey: "k", Answered: true, InTime: true, Finding: Complete}}, executions)
+	assert.Equal(t, got.RanTwice, 0)
 	assert.Equal(t, got.InTime, 1)
 }
--- a/internal/load/check/words.go
+++ b/internal/load/check/words.go
@@ -12,31 +12,31 @@
 // Finding is what is wrong with an answer.
 type Finding string
 
-// The findings. Whole is the only good one.
+// The findings. Complete is the only good one.
 const (
-	Whole   Finding = "whole"
-	Partial Finding = "partial" // words are missing at the end or in the middle
-	Doubled Finding = "doubled" // a word stands twice
-	Crossed Finding = "crossed" // something belongs to another request
+	Complete       Finding = "whole"
+	Partial        Finding = "partial" // words are missing at the end or in the middle
+	Duplicated     Finding = "doubled" // a word stands twice
+	ForeignContent Finding = "crossed" // something belongs to another request
 )
 
 var refPattern = regexp.MustCompile(`\[ref:([A-Za-z0-9_-]+)\]`)
 
-// RefMark is the text by which a request names itself in an input.
-func RefMark(ref string) string { return "[ref:" + ref + "]" }
+// RefMarker is the text by which a request names itself in an input.
+func RefMarker(ref string) string { return "[ref:" + ref + "]" }
 
-// Words judges the output of a generation: the words "ref:0" to
+// PipelineOutput judges the output of a generation: the words "ref:0" to
 // "ref:count-1", in order, once each.
-func Words(ref string, count int, output string) Finding {
+func PipelineOutput(ref string, count int, output string) Finding {
 	words := strings.Fields(output)
 	next := 0
 	for _, word := range words {
 		number, own := ownNumber(ref, word)
 		if !own {
-			return Crossed
+			return ForeignContent
 		}
 		if number < next {
-			return Doubled
+			return Duplicated
 		}
 		if number > next || next >= count {
 			return Partial
@@ -46,7 +46,7 @@
 	if next < count {
 		return Partial
 	}
-	return Whole
+	return Complete
 }
 
 // ownNumber is the number of a word "ref:number". A word that was cut within
@@ -60,17 +60,17 @@
 	return number, err == nil && number >= 0
 }
 
-// Service judges the answer of a plain service, which repeats the mark of the
+// ServiceAnswer judges the answer of a plain service, which repeats the mark of the
 // request that it served.
-func Service(ref, body string) Finding {
+func ServiceAnswer(ref, body string) Finding {
 	marks := refPattern.FindAllStringSubmatch(body, -1)
 	for _, mark := range marks {
 		if mark[1] != ref {
-			return Crossed
+			return ForeignContent
 		}
 	}
 	if len(marks) == 0 {
 		return Partial
 	}
-	return Whole
+	return Complete
 }
--- a/internal/load/cli/cli_test.go
+++ b/internal/load/cli/cli_test.go
@@ -35,7 +35,7 @@
 		switch r.URL.Path {
 		case "/v1/entries":
 			own := strings.TrimPrefix(server.URL, "http://")
-			_ = json.NewEncoder(w).Encode(caller.EntriesAnswer{Entries: []caller.Entry{{Address: own}}, KeepMS: 60_000})
+			_ = json.NewEncoder(w).Encode(caller.EntriesAnswer{Entries: []caller.Entry{{Address: own}}, TTLMS: 60_000})
 		case "/counts":
 			_ = json.NewEncoder(w).Encode(ran)
 		default:
@@ -66,7 +66,7 @@
 	assert.NilError(t, err)
 	var s report.Summary
 	assert.NilError(t, json.Unmarshal(raw, &s))
-	assert.Assert(t, s.Requests > 0 && s.Answered == s.Requests && s.Doubled == 0, s.LastLine())
+	assert.Assert(t, s.Requests > 0 && s.Answered == s.Requests && s.RanTwice == 0, s.LastLine())
 	_, err = os.Stat(rows)
 	assert.NilError(t, err)
 }
--- a/internal/load/cli/overhead.go
+++ b/internal/load/cli/overhead.go
@@ -53,13 +53,13 @@
 	if err != nil {
 		return err
 	}
-	pid, err := fault.PID(cmd.String(flagDir), 0)
+	pid, err := fault.ReadPID(cmd.String(flagDir), 0)
 	if err != nil {
 		return err
 	}
 	entry := caller.NewPinned(fleet.Entries[0].Address)
 	defer entry.Close()
-	first := func(pool string) string { return fleet.Targets(pool)[0] }
+	first := func(pool string) string { return fleet.TargetAddresses(pool)[0] }
 	meter := &overhead.Meter{
 		Direct: overhead.NewDirect(overhead.Targets{
 			Encoder: first("encoders"), Retriever: first("retrievers"), Reranker: first("rerankers"), Engine: first("llm"),
--- a/internal/load/cli/run.go
+++ b/internal/load/cli/run.go
@@ -139,8 +139,8 @@
 			Service:          cmd.String(flagService),
 			Confirm:          service,
 			ConfirmPath:      cmd.String(flagConfirmPath),
-			LeastTokens:      cmd.Int(flagMaxTokens),
-			MostTokens:       cmd.Int(flagMaxTokens),
+			MinTokens:        cmd.Int(flagMaxTokens),
+			MaxTokens:        cmd.Int(flagMaxTokens),
 			Prefixes:         defaultPrefixes,
 			InputWords:       defaultInputWords,
 			TimeoutMS:        timeout,
@@ -175,7 +175,7 @@
 }
 
 // sendAll sends a plan as one caller near each first address would.
-func sendAll(ctx context.Context, entries []string, plan []runner.Planned) []caller.Result {
+func sendAll(ctx context.Context, entries []string, plan []runner.PlannedCall) []caller.Result {
 	callers := callersOf(entries)
 	defer closeAll(callers)
 	var progress runner.Progress
@@ -203,7 +203,7 @@
 func countsOf(controls []string) ([]control.Execution, error) {
 	var all []control.Execution
 	for _, address := range controls {
-		counts, err := control.New(address).Settled(control.SettleLimit)
+		counts, err := control.New(address).CountsWhenIdle(control.DefaultIdleWait)
 		if err != nil {
 			return nil, err
 		}
@@ -213,7 +213,7 @@
 }
 
 func verdict(s report.Summary, required float64) error {
-	if s.Lost > 0 || s.Doubled > 0 || s.Crossed > 0 || s.FalseNotRun > 0 {
+	if s.Lost > 0 || s.RanTwice > 0 || s.WrongAnswers > 0 || s.FalseNotRun > 0 {
 		return errVerdict
 	}
 	if s.Attainment < required {
--- a/internal/load/control/control.go
+++ b/internal/load/control/control.go
@@ -14,14 +14,14 @@
 
 const (
 	timeout = 10 * time.Second
-	// SettleLimit is a usual limit for Settled.
-	SettleLimit  = 2 * time.Second
-	settlePeriod = 50 * time.Millisecond
-	countsPath   = "/counts"
-	resetPath    = "/counts/reset"
-	summaryPath  = "/summary"
-	faultsPath   = "/faults"
-	vmStatePath  = "/vms/state"
+	// DefaultIdleWait is a usual limit for CountsWhenIdle.
+	DefaultIdleWait = 2 * time.Second
+	settlePeriod    = 50 * time.Millisecond
+	countsPath      = "/counts"
+	resetPath       = "/counts/reset"
+	summaryPath     = "/summary"
+	faultsPath      = "/faults"
+	vmStatePath     = "/vms/state"
 )
 
 // Execution is one call that a target ran.
@@ -45,14 +45,14 @@
 	Executions []Execution `json:"executions"`
 }
 
-// FaultOrder replaces the fault of a scope; an empty Fault clears it.
-type FaultOrder struct {
+// FaultRequest replaces the fault of a scope; an empty Fault clears it.
+type FaultRequest struct {
 	Scope string          `json:"scope"`
 	Fault json.RawMessage `json:"fault"`
 }
 
-// VMState orders a row of the VM list into a state.
-type VMState struct {
+// VMStateRequest orders a row of the VM list into a state.
+type VMStateRequest struct {
 	Address string `json:"address"`
 	State   string `json:"state"`
 }
@@ -75,9 +75,9 @@
 	return counts, err
 }
 
-// Settled reads the counts once every call has ended, or when limit has passed:
+// CountsWhenIdle reads the counts once every call has ended, or when limit has passed:
 // a call that still runs as the last answer arrives may be a second execution.
-func (c *Client) Settled(limit time.Duration) (Counts, error) {
+func (c *Client) CountsWhenIdle(limit time.Duration) (Counts, error) {
 	for until := time.Now().Add(limit); ; time.Sleep(settlePeriod) {
 		counts, err := c.Counts()
 		if err != nil || !counts.running() || time.Now().After(until) {
@@ -93,11 +93,13 @@
 // Reset forgets the executions so far.
 func (c *Client) Reset() error { return c.do(http.MethodPost, resetPath, nil, nil) }
 
-// Fault switches a fault.
-func (c *Client) Fault(order FaultOrder) error { return c.do(http.MethodPut, faultsPath, order, nil) }
+// SetFault switches a fault.
+func (c *Client) SetFault(order FaultRequest) error {
+	return c.do(http.MethodPut, faultsPath, order, nil)
+}
 
-// VMState changes a row of the VM list.
-func (c *Client) VMState(state VMState) error {
+// SetVMState changes a row of the VM list.
+func (c *Client) SetVMState(state VMStateRequest) error {
 	return c.do(http.MethodPost, vmStatePath, state, nil)
 }
 
--- a/internal/load/control/control_test.go
+++ b/internal/load/control/control_test.go
@@ -27,7 +27,7 @@
 	c := New(stands.Control)
 
 	assert.Equal(t, call(t, target), http.StatusOK)
-	counts, err := c.Settled(SettleLimit)
+	counts, err := c.CountsWhenIdle(DefaultIdleWait)
 	assert.NilError(t, err)
 	assert.Equal(t, len(counts.Executions), 1)
 	got := counts.Executions[0]
@@ -36,17 +36,17 @@
 	assert.Equal(t, got.Pool, "booking")
 	assert.Assert(t, got.Finished && got.EngineUS > 0)
 
-	assert.NilError(t, c.Fault(FaultOrder{Scope: "pool:booking", Fault: json.RawMessage(`{"refuse":true}`)}))
+	assert.NilError(t, c.SetFault(FaultRequest{Scope: "pool:booking", Fault: json.RawMessage(`{"refuse":true}`)}))
 	assert.Equal(t, call(t, target), http.StatusServiceUnavailable)
-	assert.NilError(t, c.Fault(FaultOrder{Scope: "pool:booking", Fault: json.RawMessage(`{}`)}))
+	assert.NilError(t, c.SetFault(FaultRequest{Scope: "pool:booking", Fault: json.RawMessage(`{}`)}))
 	assert.NilError(t, c.Reset())
 	counts, err = c.Counts()
 	assert.NilError(t, err)
 	assert.Equal(t, len(counts.Executions), 0)
 
-	assert.NilError(t, c.VMState(VMState{Address: target, State: "leaving"}))
-	assert.ErrorContains(t, c.VMState(VMState{Address: "127.0.0.1:1", State: "leaving"}), "404")
-	assert.ErrorContains(t, c.Fault(FaultOrder{Scope: "pool:none", Fault: json.RawMessage(`{}`)}), "no such scope")
+	assert.NilError(t, c.SetVMState(VMStateRequest{Address: target, State: "leaving"}))
+	assert.ErrorContains(t, c.SetVMState(VMStateRequest{Address: "127.0.0.1:1", State: "leaving"}), "404")
+	assert.ErrorContains(t, c.SetFault(FaultRequest{Scope: "pool:none", Fault: json.RawMessage(`{}`)}), "no such scope")
 }
 
 func call(t *testing.T, target string) int {
--- a/internal/load/experiment/plan.go
+++ b/internal/load/experiment/plan.go
@@ -26,22 +26,22 @@
 // Plan draws the calls of all streams in order of time. The same seed gives
 // the same calls; run makes refs and idempotency keys differ between runs, so
 // that no run is answered from what an earlier one left behind.
-func Plan(streams []Stream, length time.Duration, seed uint64, run string) []runner.Planned {
-	var plan []runner.Planned
+func Plan(streams []Stream, length time.Duration, seed uint64, run string) []runner.PlannedCall {
+	var plan []runner.PlannedCall
 	for i, s := range streams {
 		own := seed*1000003 + uint64(i)
 		random := rand.New(rand.NewPCG(own, callStream))
-		for n, at := range arrival.Times(s.Pattern, length, own) {
+		for n, at := range arrival.SampleTimes(s.Pattern, length, own) {
 			ref := fmt.Sprintf("%s-%d-%d", run, i, n)
-			plan = append(plan, runner.Planned{At: at, Call: s.draw(random, ref)})
+			plan = append(plan, runner.PlannedCall{At: at, Call: s.draw(random, ref)})
 		}
 	}
 	sortByTime(plan)
 	return plan
 }
 
-func sortByTime(plan []runner.Planned) {
-	slices.SortStableFunc(plan, func(a, b runner.Planned) int { return cmp.Compare(a.At, b.At) })
+func sortByTime(plan []runner.PlannedCall) {
+	slices.SortStableFunc(plan, func(a, b runner.PlannedCall) int { return cmp.Compare(a.At, b.At) })
 }
 
 // callStream keeps these draws apart from others of the same seed.
@@ -57,7 +57,7 @@
 		Pipeline:       m.Pipeline,
 		Service:        m.Service,
 		Input:          inputOf(m, random, s.Customer, ref),
-		MaxTokens:      m.LeastTokens + random.IntN(m.MostTokens-m.LeastTokens+1),
+		MaxTokens:      m.MinTokens + random.IntN(m.MaxTokens-m.MinTokens+1),
 		Timeout:        time.Duration(m.TimeoutMS) * time.Millisecond,
 	}
 	switch pickWeighted(random, m.JSON, m.Stream, m.Read, m.Confirm) {
--- a/internal/load/experiment/scenario.go
+++ b/internal/load/experiment/scenario.go
@@ -325,7 +325,7 @@
 		if b.Customer == customer {
 			return arrival.Bursts{
 				Base: rate, Peak: rate * b.Factor,
-				First: part(length, b.At), Length: part(length, b.Until-b.At),
+				FirstStart: part(length, b.At), Duration: part(length, b.Until-b.At),
 			}
 		}
 	}
@@ -340,18 +340,18 @@
 		if days == 0 {
 			days = 1
 		}
-		return arrival.Daily{Mean: rate, Swing: a.Swing, Day: part(length, 1/days)}
+		return arrival.Daily{Mean: rate, Amplitude: a.Swing, Period: part(length, 1/days)}
 	case ArrivalBursts:
 		every := part(length, 1/float64(a.Count))
 		base := rate * (1 - a.Factor*a.Length) / (1 - a.Length)
-		return arrival.Bursts{Base: base, Peak: rate * a.Factor, Every: every, Length: part(every, a.Length)}
+		return arrival.Bursts{Base: base, Peak: rate * a.Factor, Period: every, Duration: part(every, a.Length)}
 	case ArrivalSteady:
 	}
 	return arrival.Steady{PerSecond: rate}
 }
 
 // Plan draws all calls of a run, those that crash their targets included.
-func (s *Scenario) Plan(length time.Duration, seed uint64, run string) []runner.Planned {
+func (s *Scenario) Plan(length time.Duration, seed uint64, run string) []runner.PlannedCall {
 	plan := Plan(s.Streams(length), length, seed, run)
 	if s.Crashing != nil {
 		plan = append(plan, s.crashing(length, run)...)
@@ -363,9 +363,9 @@
 // crashing lists the calls that crash their targets. Each comes again and
 // again with the same content under new idempotency keys, as from a caller
 // that takes the failure for a passing one.
-func (s *Scenario) crashing(length time.Duration, run string) []runner.Planned {
+func (s *Scenario) crashing(length time.Duration, run string) []runner.PlannedCall {
 	c := s.Crashing
-	var plan []runner.Planned
+	var plan []runner.PlannedCall
 	for n := range c.Count {
 		ref := fmt.Sprintf("%s-crash-%d", run, n)
 		first := part(length, c.At+(1-c.At)*float64(n)/float64(c.Count))
@@ -374,7 +374,7 @@
 			call.IdempotencyKey = fmt.Sprintf("key-%s-%d", ref, again)
 			at := first + time.Duration(again*c.EveryMS)*time.Millisecond
 			if at < length {
-				plan = append(plan, runner.Planned{At: at, Call: call})
+				plan = append(plan, runner.PlannedCall{At: at, Call: call})
 			}
 		}
 	}
@@ -390,7 +390,7 @@
 		Ref:       ref,
 		Pipeline:  m.Pipeline,
 		Input:     "a request that no engine survives " + s.Crashing.Marker,
-		MaxTokens: m.MostTokens,
+		MaxTokens: m.MaxTokens,
 		Timeout:   time.Duration(m.TimeoutMS) * time.Millisecond,
 		Poison:    true,
 	}
--- a/internal/load/fault/fault_test.go
+++ b/internal/load/fault/fault_test.go
@@ -26,12 +26,12 @@
 			{Pool: config.Pool{Name: "enc", Kind: config.TargetEncoder}, Count: 2},
 		},
 	}
-	return s.Fleet(20000, 1)
+	return s.BuildFleet(20000, 1)
 }
 
 func TestScopes(t *testing.T) {
 	fleet := smallFleet()
-	llm, enc := fleet.Targets("llm"), fleet.Targets("enc")
+	llm, enc := fleet.TargetAddresses("llm"), fleet.TargetAddresses("enc")
 	cases := []struct {
 		name string
 		f    experiment.TargetFault
--- a/internal/load/fault/inject.go
+++ b/internal/load/fault/inject.go
@@ -49,8 +49,8 @@
 }
 
 func (i *Injector) inject(ctx context.Context, event Event) error {
-	if event.Order != nil {
-		return i.Control.Fault(*event.Order)
+	if event.Request != nil {
+		return i.Control.SetFault(*event.Request)
 	}
 	pid, err := i.pid(ctx, event.Entry)
 	if err != nil {
@@ -66,8 +66,8 @@
 
 // pid waits while an entry VM is being replaced: its file is gone then.
 func (i *Injector) pid(ctx context.Context, entry int) (int, error) {
-	pid, err := PID(i.PIDDir, entry)
-	for until := time.Now().Add(replacedWithin); err != nil; pid, err = PID(i.PIDDir, entry) {
+	pid, err := ReadPID(i.PIDDir, entry)
+	for until := time.Now().Add(replacedWithin); err != nil; pid, err = ReadPID(i.PIDDir, entry) {
 		if !time.Now().Before(until) || !wait.Until(ctx, time.Now().Add(lookAgain)) {
 			return 0, err
 		}
@@ -75,8 +75,8 @@
 	return pid, nil
 }
 
-// PID is the process id of an entry VM.
-func PID(dir string, entry int) (int, error) {
+// ReadPID is the process id of an entry VM.
+func ReadPID(dir string, entry int) (int, error) {
 	raw, err := os.ReadFile(PIDFile(dir, entry))
 	if err != nil {
 		return 0, err
--- a/internal/load/fault/plan.go
+++ b/internal/load/fault/plan.go
@@ -22,8 +22,8 @@
 type Event struct {
 	// At is since the start of the load.
 	At time.Duration
-	// Order goes to the control listener.
-	Order *control.FaultOrder
+	// Request goes to the control listener.
+	Request *control.FaultRequest
 	// Signal goes to the entry VM at place Entry.
 	Signal syscall.Signal
 	Entry  int
@@ -31,8 +31,8 @@
 
 // String tells what happens, in words for a log.
 func (e Event) String() string {
-	if e.Order != nil {
-		return fmt.Sprintf("at %s: %s %s", e.At, e.Order.Scope, oneLine(e.Order.Fault))
+	if e.Request != nil {
+		return fmt.Sprintf("at %s: %s %s", e.At, e.Request.Scope, oneLine(e.Request.Fault))
 	}
 	return fmt.Sprintf("at %s: entry VM %d gets signal %q", e.At, e.Entry, e.Signal)
 }
@@ -92,9 +92,9 @@
 func orders(scopes []string, fault json.RawMessage, at, until time.Duration, mended bool) []Event {
 	var events []Event
 	for _, scope := range scopes {
-		events = append(events, Event{At: at, Order: &control.FaultOrder{Scope: scope, Fault: fault}})
+		events = append(events, Event{At: at, Request: &control.FaultRequest{Scope: scope, Fault: fault}})
 		if mended {
-			events = append(events, Event{At: until, Order: &control.FaultOrder{Scope: scope, Fault: healthy}})
+			events = append(events, Event{At: until, Request: &control.FaultRequest{Scope: scope, Fault: healthy}})
 		}
 	}
 	return events
@@ -144,7 +144,7 @@
 	var events []Event
 	for _, p := range s.Shape.Pools {
 		if p.Engine != nil {
-			events = append(events, Event{Order: &control.FaultOrder{Scope: "pool:" + p.Name, Fault: fault}})
+			events = append(events, Event{Request: &control.FaultRequest{Scope: "pool:" + p.Name, Fault: fault}})
 		}
 	}
 	return events
--- a/internal/load/report/summary.go
+++ b/internal/load/report/summary.go
@@ -90,7 +90,7 @@
 
 // Summarize judges a run by its results and by what the targets counted.
 func Summarize(results []caller.Result, executions []control.Execution) Summary {
-	s := Summary{Totals: check.Judge(endings(results), executions)}
+	s := Summary{Totals: check.ComputeTotals(endings(results), executions)}
 	s.Attainment = s.Totals.Attainment()
 	s.All = Percentiles(latencies(results))
 	s.FirstToken = Percentiles(firstTokens(results))
@@ -135,7 +135,7 @@
 	}
 	summaries := make([]CustomerSummary, 0, len(order))
 	for _, customer := range order {
-		totals := check.Judge(endings(parts[customer]), executions)
+		totals := check.ComputeTotals(endings(parts[customer]), executions)
 		totals.Executions = countOf(customer, executions)
 		summaries = append(summaries, CustomerSummary{
 			Customer:   customer,
@@ -157,19 +157,19 @@
 	return count
 }
 
-func endings(results []caller.Result) []check.Ended {
-	ended := make([]check.Ended, 0, len(results))
+func endings(results []caller.Result) []check.CompletedRequest {
+	ended := make([]check.CompletedRequest, 0, len(results))
 	for _, r := range results {
-		ended = append(ended, check.Ended{
-			IdempotencyKey: r.Call.IdempotencyKey,
-			NonIdempotent:  r.Call.NonIdempotent,
-			RefusedID:      r.RefusedID,
-			Answered:       r.Outcome == caller.Answered,
-			Refused:        r.Outcome == caller.Refused,
-			InTime:         r.InTime(),
-			Poison:         r.Call.Poison,
-			Finding:        r.Finding,
-			Execution:      r.Execution,
+		ended = append(ended, check.CompletedRequest{
+			IdempotencyKey:   r.Call.IdempotencyKey,
+			NonIdempotent:    r.Call.NonIdempotent,
+			RefusedRequestID: r.RefusedRequestID,
+			Answered:         r.Outcome == caller.Answered,
+			Refused:          r.Outcome == caller.Refused,
+			InTime:           r.InTime(),
+			Poison:           r.Call.Poison,
+			Finding:          r.Finding,
+			Execution:        r.Execution,
 		})
 	}
 	return ended
@@ -198,7 +198,7 @@
 func lateness(results []caller.Result) []time.Duration {
 	var all []time.Duration
 	for _, r := range results {
-		all = append(all, r.Late)
+		all = append(all, r.SendDelay)
 	}
 	return all
 }
@@ -220,5 +220,5 @@
 // LastLine is the line that every run ends with.
 func (s Summary) LastLine() string {
 	return fmt.Sprintf("attainment=%.4f requests=%d answered=%d lost=%d doubled=%d crossed=%d",
-		s.Attainment, s.Requests, s.Answered, s.Lost, s.Doubled, s.Crossed)
+		s.Attainment, s.Requests, s.Answered, s.Lost, s.RanTwice, s.WrongAnswers)
 }
--- a/internal/load/report/timeline.go
+++ b/internal/load/report/timeline.go
@@ -23,7 +23,7 @@
 	if len(results) == 0 || length <= 0 {
 		return nil
 	}
-	start := results[0].Call.Scheduled.Add(-results[0].At)
+	start := results[0].Call.Scheduled.Add(-results[0].ScheduledOffset)
 	points := make([]Point, timelineParts)
 	spent := make([][]time.Duration, timelineParts)
 	for i := range points {
--- a/internal/load/runner/runner.go
+++ b/internal/load/runner/runner.go
@@ -11,21 +11,21 @@
 	"github.com/vanillagate/vanillagate/internal/wait"
 )
 
-// Planned is a call and when to send it, since the start.
-type Planned struct {
+// PlannedCall is a call and when to send it, since the start.
+type PlannedCall struct {
 	At   time.Duration
 	Call caller.Call
 }
 
 // Progress counts while a run goes on.
 type Progress struct {
-	Sent, Ended, InTime atomic.Int64
+	Sent, Completed, InTime atomic.Int64
 }
 
 // Run sends every planned call, in order of At after start, and returns the results in the
 // same order once all have ended. The calls go to the callers in turn. When
 // ctx ends, calls not yet sent are left out.
-func Run(ctx context.Context, callers []*caller.Caller, plan []Planned, start time.Time, progress *Progress) []caller.Result {
+func Run(ctx context.Context, callers []*caller.Caller, plan []PlannedCall, start time.Time, progress *Progress) []caller.Result {
 	results := make([]caller.Result, len(plan))
 	var running sync.WaitGroup
 	sent := 0
@@ -39,7 +39,7 @@
 		progress.Sent.Add(1)
 		running.Go(func() {
 			results[i] = callers[i%len(callers)].Do(ctx, call)
-			results[i].At = planned.At
+			results[i].ScheduledOffset = planned.At
 			progress.count(results[i])
 		})
 	}
@@ -48,7 +48,7 @@
 }
 
 func (p *Progress) count(result caller.Result) {
-	p.Ended.Add(1)
+	p.Completed.Add(1)
 	if result.InTime() {
 		p.InTime.Add(1)
 	}
--- a/internal/load/runner/runner_test.go
+++ b/internal/load/runner/runner_test.go
@@ -24,7 +24,7 @@
 	server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/v1/entries" {
 			own := strings.TrimPrefix(server.URL, "http://")
-			_ = json.NewEncoder(w).Encode(caller.EntriesAnswer{Entries: []caller.Entry{{Address: own}}, KeepMS: 60_000})
+			_ = json.NewEncoder(w).Encode(caller.EntriesAnswer{Entries: []caller.Entry{{Address: own}}, TTLMS: 60_000})
 			return
 		}
 		atOnce.Store(max(atOnce.Load(), running.Add(1)))
@@ -36,10 +36,10 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func planOf(count int, every time.Duration) []Planned {
-	var plan []Planned
+func planOf(count int, every time.Duration) []PlannedCall {
+	var plan []PlannedCall
 	for i := range count {
-		plan = append(plan, Planned{At: time.Duration(i) * every, Call: caller.Call{
+		plan = append(plan, PlannedCall{At: time.Duration(i) * every, Call: caller.Call{
 			Kind: caller.KindService, Service: "s", Method: http.MethodGet, Path: "/[ref:r]", Ref: "r", Timeout: 5 * time.Second,
 		}})
 	}
@@ -59,7 +59,7 @@
 		assert.Equal(t, r.Outcome, caller.Answered, r.Detail)
 	}
 	assert.Assert(t, atOnce.Load() >= 10, "at once: %d", atOnce.Load())
-	assert.Equal(t, progress.Ended.Load(), int64(20))
+	assert.Equal(t, progress.Completed.Load(), int64(20))
 }
 
 // The load tool itself stood still. What its requests waited for is part of
@@ -71,7 +71,7 @@
 	late := time.Now().Add(-time.Second)
 	results := Run(context.Background(), []*caller.Caller{entry}, planOf(1, 0), late, &Progress{})
 	assert.Assert(t, results[0].Latency >= time.Second)
-	assert.Assert(t, results[0].Late >= time.Second)
+	assert.Assert(t, results[0].SendDelay >= time.Second)
 }
 
 func TestCancelledRunLeavesTheRestOut(t *testing.T) {
--- a/internal/load/setup/setup.go
+++ b/internal/load/setup/setup.go
@@ -142,8 +142,8 @@
 	})
 }
 
-// WaitAnswers waits until an address answers GET on a path with 200.
-func WaitAnswers(ctx context.Context, address, path string) error {
+// WaitOK waits until an address answers GET on a path with 200.
+func WaitOK(ctx context.Context, address, path string) error {
 	o := NewOperator(address, "")
 	return poll(ctx, func() (bool, error) {
 		status, err := o.do(http.MethodGet, path, "", nil, nil)
@@ -153,12 +153,12 @@
 
 // WaitReady waits until an entry VM says that it is ready for callers.
 func WaitReady(ctx context.Context, address string) error {
-	return WaitAnswers(ctx, address, readyPath)
+	return WaitOK(ctx, address, readyPath)
 }
 
 // WaitHealthy waits until an entry VM answers at all.
 func WaitHealthy(ctx context.Context, address string) error {
-	return WaitAnswers(ctx, address, healthPath)
+	return WaitOK(ctx, address, healthPath)
 }
 
 // do makes one call. The status is 0 when there was no answer.
--- a/internal/load/shape/fleet.go
+++ b/internal/load/shape/fleet.go
@@ -52,8 +52,8 @@
 // listener take.
 const platformPorts = 4
 
-// Ports is how many successive ports a fleet of this shape needs.
-func (s *Shape) Ports() int {
+// PortCount is how many successive ports a fleet of this shape needs.
+func (s *Shape) PortCount() int {
 	count := platformPorts + 2*s.Entries
 	for _, p := range s.Pools {
 		count += p.Count
@@ -61,8 +61,8 @@
 	return count
 }
 
-// Fleet lays the shape out on successive ports of the loopback address.
-func (s *Shape) Fleet(firstPort int, seed uint64) Fleet {
+// BuildFleet lays the shape out on successive ports of the loopback address.
+func (s *Shape) BuildFleet(firstPort int, seed uint64) Fleet {
 	next := firstPort
 	take := func(count int) string {
 		address := net.JoinHostPort(loopback, strconv.Itoa(next))
@@ -88,8 +88,8 @@
 	return f
 }
 
-// Targets lists the addresses of a pool's targets by place.
-func (f Fleet) Targets(pool string) []string {
+// TargetAddresses lists the addresses of a pool's targets by place.
+func (f Fleet) TargetAddresses(pool string) []string {
 	var all []string
 	for _, p := range f.Pools {
 		if p.Pool != pool {
@@ -118,7 +118,7 @@
 // Zone is that of the target at a place.
 func (p FleetPool) Zone(place int) string { return p.Zones[place%len(p.Zones)] }
 
-// Bounds of the ports that FreePorts looks at. They lie below the range from
+// Bounds of the ports that FindFreePorts looks at. They lie below the range from
 // which Linux takes the near ends of outgoing connections: a port of that range
 // may be taken while an entry VM is being replaced, which then can't listen.
 const (
@@ -127,9 +127,9 @@
 	portTries   = 200
 )
 
-// FreePorts finds successive ports on which nothing listens, and gives the
+// FindFreePorts finds successive ports on which nothing listens, and gives the
 // first.
-func FreePorts(count int) (int, error) {
+func FindFreePorts(count int) (int, error) {
 	for range portTries {
 		first := lowestPort + rand.IntN(highestPort-lowestPort-count)
 		if allFree(first, count) {
--- a/internal/load/shape/shape.go
+++ b/internal/load/shape/shape.go
@@ -69,8 +69,8 @@
 	Confirm     float64 `json:"confirm"`
 	ConfirmPath string  `json:"confirm_path"`
 	// The tokens of an answer are drawn between these, both included.
-	LeastTokens int `json:"least_tokens"`
-	MostTokens  int `json:"most_tokens"`
+	MinTokens int `json:"least_tokens"`
+	MaxTokens int `json:"most_tokens"`
 	// Prefixes is how many long starts the inputs of one customer share; zero
 	// means that no two inputs start alike.
 	Prefixes int `json:"prefixes"`
@@ -143,7 +143,7 @@
 	if m.Read+m.Confirm > 0 && (m.Service == "" || m.ServiceTimeoutMS <= 0) {
 		wrong = append(wrong, errors.New("mix: service calls need service and service_timeout_ms"))
 	}
-	if m.LeastTokens < 1 || m.MostTokens < m.LeastTokens {
+	if m.MinTokens < 1 || m.MaxTokens < m.MinTokens {
 		wrong = append(wrong, errors.New("mix: least_tokens must be 1 or more and most_tokens no less"))
 	}
 	return errors.Join(wrong...)
--- a/internal/load/shape/shape_test.go
+++ b/internal/load/shape/shape_test.go
@@ -25,7 +25,7 @@
 func TestFleetGivesEachItsOwnAddress(t *testing.T) {
 	s, err := Read(filepath.Join(checkedIn, "granite.json"))
 	assert.NilError(t, err)
-	fleet := s.Fleet(20000, 7)
+	fleet := s.BuildFleet(20000, 7)
 	seen := map[string]bool{}
 	for _, address := range []string{fleet.Table, fleet.Objects, fleet.VMList, fleet.Control} {
 		seen[address] = true
@@ -34,16 +34,16 @@
 		seen[e.Address], seen[e.PeerAddress] = true, true
 	}
 	for _, p := range fleet.Pools {
-		for _, address := range fleet.Targets(p.Pool) {
+		for _, address := range fleet.TargetAddresses(p.Pool) {
 			seen[address] = true
 		}
 	}
-	assert.Equal(t, len(seen), s.Ports())
+	assert.Equal(t, len(seen), s.PortCount())
 	assert.Equal(t, fleet.Entries[1].Zone, "boston-b")
 }
 
 func TestFreePorts(t *testing.T) {
-	first, err := FreePorts(50)
+	first, err := FindFreePorts(50)
 	assert.NilError(t, err)
 	assert.Assert(t, first >= lowestPort && first+50 <= highestPort)
 	assert.Assert(t, allFree(first, 50))
