--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -25,16 +25,16 @@
 	inStep       bool // gets a word when the present step ends
 	produced     int
 	costUS       float64
-	end          End
+	end          Status
 }
 
-// End says how a sequence ended.
-type End int
+// Status says how a sequence ended.
+type Status int
 
 // The ways to end.
 const (
-	// Open means that the sequence waits or runs.
-	Open End = iota
+	// InProgress means that the sequence waits or runs.
+	InProgress Status = iota
 	// Complete means that all its words were generated.
 	Complete
 	// Cancelled means that the caller gave it up.
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -52,9 +52,9 @@
 	Costs   Costs
 	Serving Serving
 	Seed    uint64
-	// Straggle is the factor by which work is stretched now; it is asked for
+	// StraggleFactor is the factor by which work is stretched now; it is asked for
 	// before each step.
-	Straggle func() float64
+	StraggleFactor func() float64
 	// Weights is shared by the engines of a deployment.
 	Weights *WeightStore
 }
@@ -74,7 +74,7 @@
 	e := &Engine{
 		costs:    costs,
 		first:    c.Serving,
-		straggle: c.Straggle,
+		straggle: c.StraggleFactor,
 		weights:  c.Weights,
 		orders:   make(chan struct{}, 1),
 		wake:     make(chan struct{}, 1),
@@ -128,7 +128,7 @@
 func (e *Engine) Cancel(s *Sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if s.end != Open {
+	if s.end != InProgress {
 		return
 	}
 	s.end = Cancelled
@@ -160,7 +160,7 @@
 // Progress is how far a sequence has come.
 type Progress struct {
 	Produced int
-	End      End
+	Status      Status
 	CostUS   int64
 	Usage    targetapi.Usage
 }
@@ -171,7 +171,7 @@
 	defer e.mu.Unlock()
 	return Progress{
 		Produced: s.produced,
-		End:      s.end,
+		Status:      s.end,
 		CostUS:   int64(s.costUS),
 		Usage: targetapi.Usage{
 			PromptTokens:     s.promptTokens,
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -16,7 +16,7 @@
 	e := New(Config{
 		Costs:    c,
 		Serving:  Serving{Model: "m", Version: "1"},
-		Straggle: func() float64 { return 1 },
+		StraggleFactor: func() float64 { return 1 },
 		Weights:  NewWeightStore(1),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -35,7 +35,7 @@
 		case <-limit:
 			t.Fatal("sequence did not end")
 		}
-		if p := e.Progress(s); p.End != Open {
+		if p := e.Progress(s); p.Status != InProgress {
 			return p
 		}
 	}
@@ -52,13 +52,13 @@
 	assert.NilError(t, err)
 	e.Cancel(long)
 	p := finish(t, e, next)
-	assert.Equal(t, p.End, Complete)
+	assert.Equal(t, p.Status, Complete)
 	assert.Equal(t, next.Text(0, p.Produced), "n:0 n:1 n:2")
-	assert.Equal(t, e.Progress(long).End, Cancelled)
+	assert.Equal(t, e.Progress(long).Status, Cancelled)
 }
 
 func TestFullQueueTakesNothingIn(t *testing.T) {
-	e := New(Config{Costs: Costs{MaxQueue: 1}, Straggle: func() float64 { return 1 }}) // nobody runs it
+	e := New(Config{Costs: Costs{MaxQueue: 1}, StraggleFactor: func() float64 { return 1 }}) // nobody runs it
 	_, err := e.Submit(targetapi.CompletionRequest{Prompt: "a"})
 	assert.NilError(t, err)
 	_, err = e.Submit(targetapi.CompletionRequest{Prompt: "b"})
@@ -78,7 +78,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, s.Version(), "2")
 	e.Crash()
-	assert.Equal(t, finish(t, e, s).End, Aborted)
+	assert.Equal(t, finish(t, e, s).Status, Aborted)
 	assert.DeepEqual(t, e.Serving(), Serving{Model: "m", Version: "1"})
 }
 
--- a/internal/standin/engine/text.go
+++ b/internal/standin/engine/text.go
@@ -13,8 +13,8 @@
 	answerStart = "Answer:"
 )
 
-// Ref is the last "[ref:R]" of a text; false if it has none.
-func Ref(text string) (string, bool) {
+// LastRef is the last "[ref:R]" of a text; false if it has none.
+func LastRef(text string) (string, bool) {
 	all := refPattern.FindAllStringSubmatch(text, -1)
 	if len(all) == 0 {
 		return "", false
@@ -38,7 +38,7 @@
 	if at := strings.LastIndex(prompt, answerStart); at >= 0 {
 		question, answer = prompt[:at], prompt[at+len(answerStart):]
 	}
-	ref, found := Ref(prompt)
+	ref, found := LastRef(prompt)
 	if !found {
 		ref = hashRef(question)
 	}
--- a/internal/standin/engine/work.go
+++ b/internal/standin/engine/work.go
@@ -14,24 +14,24 @@
 // orderFence is the one name under which an engine's orders are fenced.
 const orderFence = ""
 
-// Work lets an Engine be a target.
-type Work struct {
+// Handler lets an Engine be a target.
+type Handler struct {
 	Engine *Engine
 	Fence  *target.Fence
 }
 
 // Crash aborts everything, as a crash of the process would.
-func (w Work) Crash() { w.Engine.Crash() }
+func (w Handler) Crash() { w.Engine.Crash() }
 
 // Handle answers one call.
-func (w Work) Handle(c *target.Call) {
+func (w Handler) Handle(c *target.Call) {
 	switch c.Request.Method + " " + c.Request.URL.Path {
 	case "POST " + targetapi.PathCompletions:
 		w.complete(c)
 	case "GET " + targetapi.PathLoad:
-		c.Plain(w.Engine.Load())
+		c.PlainJSON(w.Engine.Load())
 	case "GET " + targetapi.PathModels:
-		c.Plain(w.models())
+		c.PlainJSON(w.models())
 	case "GET " + targetapi.PathCacheEvents:
 		w.events(c)
 	case "POST " + targetapi.PathSetModel:
@@ -45,7 +45,7 @@
 	}
 }
 
-func (w Work) complete(c *target.Call) {
+func (w Handler) complete(c *target.Call) {
 	var r targetapi.CompletionRequest
 	if !c.Decode(&r) {
 		return
@@ -61,13 +61,13 @@
 	s, err := w.Engine.Submit(r)
 	switch {
 	case errors.Is(err, ErrQueueFull):
-		c.Busy(http.StatusTooManyRequests, "queue", "Queue is full")
+		c.RefuseWithRetry(http.StatusTooManyRequests, "queue", "Queue is full")
 		return
 	case errors.Is(err, ErrLoading):
-		c.Busy(http.StatusServiceUnavailable, "loading", "Another model is being loaded")
+		c.RefuseWithRetry(http.StatusServiceUnavailable, "loading", "Another model is being loaded")
 		return
 	}
-	a := &attempt{engine: w.Engine, call: c, sequence: s, model: r.Model, running: c.Start()}
+	a := &attempt{engine: w.Engine, call: c, sequence: s, model: r.Model, running: c.RecordStart()}
 	if r.Stream {
 		a.stream()
 		return
@@ -98,8 +98,8 @@
 // note records how the attempt stands.
 func (a *attempt) note(p Progress) {
 	a.running.Finish(count.Result{
-		Finished:         p.End == Complete,
-		Cancelled:        p.End == Cancelled && a.call.HungUp(),
+		Finished:         p.Status == Complete,
+		Cancelled:        p.Status == Cancelled && a.call.CallerLeft(),
 		EngineUS:         p.CostUS,
 		PromptTokens:     p.Usage.PromptTokens,
 		CompletionTokens: p.Usage.CompletionTokens,
@@ -113,12 +113,12 @@
 
 func (a *attempt) whole() {
 	p := a.next()
-	for p.End == Open {
+	for p.Status == InProgress {
 		p = a.next()
 	}
 	a.note(p)
-	if p.End != Complete {
-		a.call.Drop()
+	if p.Status != Complete {
+		a.call.CloseConnection()
 	}
 	a.call.JSON(a.answer(p), a.event(a.sequence.Text(0, p.Produced), &p.Usage))
 }
@@ -148,15 +148,15 @@
 			a.engine.Cancel(a.sequence)
 			p = a.engine.Progress(a.sequence)
 		}
-		if p.End == Open {
+		if p.Status == InProgress {
 			continue
 		}
 		a.note(p)
-		if p.End == Complete && err == nil {
+		if p.Status == Complete && err == nil {
 			a.finish(out, p)
 		}
-		if p.End != Complete {
-			a.call.Drop()
+		if p.Status != Complete {
+			a.call.CloseConnection()
 		}
 		return
 	}
@@ -186,7 +186,7 @@
 	_ = out.Finish(p.CostUS) // a caller that is gone now sees to itself
 }
 
-func (w Work) models() targetapi.ModelList {
+func (w Handler) models() targetapi.ModelList {
 	s := w.Engine.Serving()
 	list := targetapi.ModelList{Data: []targetapi.ModelCard{{ID: s.Model, Version: s.Version, Role: s.Role}}}
 	for _, a := range s.Adapters {
@@ -195,17 +195,17 @@
 	return list
 }
 
-func (w Work) events(c *target.Call) {
+func (w Handler) events(c *target.Call) {
 	text := c.Request.URL.Query().Get("after")
 	after, err := strconv.ParseUint(text, 10, 64)
 	if text != "" && err != nil {
 		c.Refuse(http.StatusBadRequest, "after", "after is no sequence number", text)
 		return
 	}
-	c.Plain(w.Engine.Events(after))
+	c.PlainJSON(w.Engine.Events(after))
 }
 
-func (w Work) setModel(c *target.Call) {
+func (w Handler) setModel(c *target.Call) {
 	var order targetapi.SetModelRequest
 	if !c.Decode(&order) {
 		return
@@ -213,7 +213,7 @@
 	w.order(c, func(ctx context.Context) error { return w.Engine.SetModel(ctx, order) })
 }
 
-func (w Work) loadAdapter(c *target.Call) {
+func (w Handler) loadAdapter(c *target.Call) {
 	var order targetapi.AdapterRequest
 	if !c.Decode(&order) {
 		return
@@ -221,7 +221,7 @@
 	w.order(c, func(ctx context.Context) error { return w.Engine.LoadAdapter(ctx, order.LoraName) })
 }
 
-func (w Work) unloadAdapter(c *target.Call) {
+func (w Handler) unloadAdapter(c *target.Call) {
 	var order targetapi.AdapterRequest
 	if !c.Decode(&order) {
 		return
@@ -238,15 +238,15 @@
 
 // order carries one order out and answers with what is served then. It goes on
 // when the caller hangs up: a load that was begun is not taken back.
-func (w Work) order(c *target.Call, carryOut func(context.Context) error) {
+func (w Handler) order(c *target.Call, carryOut func(context.Context) error) {
 	if err := w.Engine.beginOrder(c.Context()); err != nil {
-		c.Drop()
+		c.CloseConnection()
 	}
 	defer w.Engine.endOrder()
-	if !w.Fence.Pass(c, orderFence) {
+	if !w.Fence.Check(c, orderFence) {
 		return
 	}
-	running := c.Start()
+	running := c.RecordStart()
 	err := carryOut(c.Lifetime())
 	running.Finish(count.Result{Finished: err == nil})
 	switch {
@@ -255,6 +255,6 @@
 	case errors.Is(err, errNoAdapter):
 		c.Refuse(http.StatusNotFound, "adapter", "Adapter is not loaded", "")
 	default: // the target went down
-		c.Drop()
+		c.CloseConnection()
 	}
 }
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -58,8 +58,8 @@
 	return time.Duration(f.RestartMS) * time.Millisecond
 }
 
-// Straggle is by how much work is stretched, never below 1/1000.
-func (f Fault) Straggle() float64 {
+// EffectiveStraggleFactor is by how much work is stretched, never below 1/1000.
+func (f Fault) EffectiveStraggleFactor() float64 {
 	if f.StraggleFactor == 0 {
 		return 1
 	}
@@ -72,7 +72,7 @@
 	f.Refuse = f.Refuse || g.Refuse
 	f.DelayMS += g.DelayMS
 	f.LoseAnswerShare = max(f.LoseAnswerShare, g.LoseAnswerShare)
-	f.StraggleFactor = f.Straggle() * g.Straggle()
+	f.StraggleFactor = f.EffectiveStraggleFactor() * g.EffectiveStraggleFactor()
 	f.DropStreamAfterTokens = firstOf(f.DropStreamAfterTokens, g.DropStreamAfterTokens)
 	f.WrongIdentityShare = max(f.WrongIdentityShare, g.WrongIdentityShare)
 	f.CrashMarker = firstOf(f.CrashMarker, g.CrashMarker)
@@ -134,8 +134,8 @@
 	s.watchers = append(s.watchers, f)
 }
 
-// Of joins the faults of the scopes.
-func (s *Set) Of(scopes ...string) Fault {
+// Combined joins the faults of the scopes.
+func (s *Set) Combined(scopes ...string) Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var joined Fault
@@ -158,8 +158,8 @@
 	return all
 }
 
-// Hits throws the dice: true for the given share of calls.
-func (s *Set) Hits(share float64) bool {
+// Sample throws the dice: true for the given share of calls.
+func (s *Set) Sample(share float64) bool {
 	if share <= 0 {
 		return false
 	}
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -88,7 +88,7 @@
 	return nil
 }
 
-func (f *Fleet) listen(address string, handler http.Handler) (*gate.Gate, error) {
+func (f *Fleet) listen(address string, handler http.Handler) (*gate.RestartableServer, error) {
 	g, err := gate.Open(address, handler)
 	if err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 	if err != nil {
 		return "", err
 	}
-	f.faults.Watch(func() { g.SetDown(f.faults.Of(scope).Down) })
+	f.faults.Watch(func() { g.SetDown(f.faults.Combined(scope).Down) })
 	return g.Address(), nil
 }
 
@@ -155,7 +155,7 @@
 		if len(parts.Pools) > 0 && !slices.Contains(parts.Pools, p.Pool) {
 			continue
 		}
-		shared := service.NewShared(p.ChecksFencing)
+		shared := service.NewSharedState(p.ChecksFencing)
 		for place := range p.Count {
 			if len(parts.Addresses) > 0 && !slices.Contains(parts.Addresses, p.address(place)) {
 				continue
@@ -168,15 +168,15 @@
 	return nil
 }
 
-func (f *Fleet) openTarget(ctx context.Context, p Pool, place int, seed uint64, shared *service.Shared) error {
+func (f *Fleet) openTarget(ctx context.Context, p Pool, place int, seed uint64, shared *service.SharedState) error {
 	var address string // set before any call can come, below
 	ready := make(chan struct{})
 	straggle := func() float64 {
 		<-ready
-		return target.Straggle(f.faults, p.Pool, address)
+		return target.StraggleFactor(f.faults, p.Pool, address)
 	}
 	work := f.work(ctx, p, seed, straggle, shared)
-	t, err := target.Open(target.Config{Address: p.address(place), Pool: p.Pool, Faults: f.faults, Ledger: f.ledger}, work)
+	t, err := target.Open(target.Config{Address: p.address(place), Pool: p.Pool, Faults: f.faults, ExecutionLog: f.ledger}, work)
 	if err != nil {
 		close(ready)
 		return err
@@ -191,17 +191,17 @@
 
 // work builds what the pool's targets are. An engine's loop runs until ctx
 // ends.
-func (f *Fleet) work(ctx context.Context, p Pool, seed uint64, straggle func() float64, shared *service.Shared) target.Work {
+func (f *Fleet) work(ctx context.Context, p Pool, seed uint64, straggle func() float64, shared *service.SharedState) target.Handler {
 	if p.Kind == config.TargetEngine {
 		e := engine.New(engine.Config{
 			Costs:    p.Engine,
 			Serving:  engine.Serving{Model: p.Model, Version: p.Version, Role: p.Role},
 			Seed:     seed,
-			Straggle: straggle,
+			StraggleFactor: straggle,
 			Weights:  f.weights,
 		})
 		f.engines.Go(func() { e.Run(ctx) })
-		return engine.Work{Engine: e, Fence: target.NewFence(p.ChecksFencing)}
+		return engine.Handler{Engine: e, Fence: target.NewFence(p.ChecksFencing)}
 	}
 	server := stagepool.NewServer(p.Service, seed, straggle)
 	switch p.Kind {
@@ -212,7 +212,7 @@
 	case config.TargetReranker:
 		return stagepool.Reranker{Server: server}
 	default: // Check let only services remain
-		return service.Work{Name: p.Pool, Server: server, Shared: shared}
+		return service.Handler{Name: p.Pool, Server: server, Shared: shared}
 	}
 }
 
--- a/internal/standin/gate/gate.go
+++ b/internal/standin/gate/gate.go
@@ -40,8 +40,8 @@
 	return lifetime
 }
 
-// Gate serves a handler on one address. Use Open.
-type Gate struct {
+// RestartableServer serves a handler on one address. Use Open.
+type RestartableServer struct {
 	address string
 	handler http.Handler
 
@@ -54,21 +54,21 @@
 }
 
 // Open listens at the address and serves the handler.
-func Open(address string, handler http.Handler) (*Gate, error) {
+func Open(address string, handler http.Handler) (*RestartableServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	g := &Gate{address: listener.Addr().String(), handler: handler}
+	g := &RestartableServer{address: listener.Addr().String(), handler: handler}
 	g.serve(listener)
 	return g, nil
 }
 
 // Address is where the gate listens while it is open.
-func (g *Gate) Address() string { return g.address }
+func (g *RestartableServer) Address() string { return g.address }
 
 // serve is called with g.mu held, or before the gate is shared.
-func (g *Gate) serve(listener net.Listener) {
+func (g *RestartableServer) serve(listener net.Listener) {
 	lifetime, end := context.WithCancelCause(context.Background())
 	base := context.WithValue(lifetime, lifetimeKey{}, lifetime)
 	server := &http.Server{
@@ -81,7 +81,7 @@
 }
 
 // SetDown closes the gate, or opens it again.
-func (g *Gate) SetDown(down bool) {
+func (g *RestartableServer) SetDown(down bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.down = down
@@ -90,7 +90,7 @@
 
 // Crash drops all connections at once and stays closed for the given time. It
 // is false and does nothing when the gate is closed already.
-func (g *Gate) Crash(restart time.Duration) bool {
+func (g *RestartableServer) Crash(restart time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.server == nil {
@@ -102,7 +102,7 @@
 	return true
 }
 
-func (g *Gate) restart() {
+func (g *RestartableServer) restart() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.crashed--
@@ -110,14 +110,14 @@
 }
 
 // IsOpen says whether the gate accepts connections.
-func (g *Gate) IsOpen() bool {
+func (g *RestartableServer) IsOpen() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.server != nil
 }
 
 // settle brings the listener in line with what is wanted; g.mu is held.
-func (g *Gate) settle() {
+func (g *RestartableServer) settle() {
 	wanted := !g.down && g.crashed == 0 && !g.stopped
 	if !wanted && g.server != nil {
 		g.end(ErrClosed)     // before the connections, so that the cause stands
@@ -130,7 +130,7 @@
 }
 
 // reopen is called with g.mu held.
-func (g *Gate) reopen() {
+func (g *RestartableServer) reopen() {
 	listener, err := net.Listen("tcp", g.address)
 	if err != nil {
 		time.AfterFunc(reopenPause, g.retry)
@@ -139,14 +139,14 @@
 	g.serve(listener)
 }
 
-func (g *Gate) retry() {
+func (g *RestartableServer) retry() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.settle()
 }
 
 // Stop lets running calls finish for a while and closes for good.
-func (g *Gate) Stop() error {
+func (g *RestartableServer) Stop() error {
 	g.mu.Lock()
 	g.stopped = true
 	server, end := g.server, g.end
--- a/internal/standin/objects/objects.go
+++ b/internal/standin/objects/objects.go
@@ -86,14 +86,14 @@
 
 // ServeHTTP answers one call.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f := s.faults.Of(fault.ScopeObjects)
+	f := s.faults.Combined(fault.ScopeObjects)
 	if f.Refuse {
 		writeError(w, r, errSlowDown)
 		return
 	}
 	outage.Wait(f, s.latency)
 	found, problem := s.call(r)
-	if s.faults.Hits(f.LoseAnswerShare) {
+	if s.faults.Sample(f.LoseAnswerShare) {
 		outage.Abort()
 	}
 	if problem != nil {
--- a/internal/standin/outage/outage.go
+++ b/internal/standin/outage/outage.go
@@ -11,7 +11,7 @@
 // Wait spends what a call takes and what the fault adds to it. It goes on when
 // the caller hangs up: a slow store still takes the write.
 func Wait(f fault.Fault, latency time.Duration) {
-	stretched := time.Duration(float64(latency) * f.Straggle())
+	stretched := time.Duration(float64(latency) * f.EffectiveStraggleFactor())
 	time.Sleep(stretched + f.Delay())
 }
 
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -30,40 +30,40 @@
 	Execution int `json:"execution"`
 }
 
-// Shared is what the targets of one service have in common: the data that
+// SharedState is what the targets of one service have in common: the data that
 // they work on. Use NewShared.
-type Shared struct {
+type SharedState struct {
 	fence *target.Fence
 
 	mu         sync.Mutex // guards executions; a leaf
 	executions map[string]int
 }
 
-// NewShared builds the data of a service.
-func NewShared(checksFencing bool) *Shared {
-	return &Shared{fence: target.NewFence(checksFencing), executions: map[string]int{}}
+// NewSharedState builds the data of a service.
+func NewSharedState(checksFencing bool) *SharedState {
+	return &SharedState{fence: target.NewFence(checksFencing), executions: map[string]int{}}
 }
 
-func (s *Shared) execute(key string) int {
+func (s *SharedState) execute(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.executions[key]++
 	return s.executions[key]
 }
 
-// Work is one target of a service.
-type Work struct {
+// Handler is one target of a service.
+type Handler struct {
 	Name   string
 	Server *stagepool.Server
-	Shared *Shared
+	Shared *SharedState
 }
 
 // Crash does nothing: the service's data is kept elsewhere.
-func (Work) Crash() {}
+func (Handler) Crash() {}
 
 // Handle runs one call of any method and path.
-func (w Work) Handle(c *target.Call) {
-	if w.Server.Common(c) {
+func (w Handler) Handle(c *target.Call) {
+	if w.Server.HandleCommon(c) {
 		return
 	}
 	key := c.Request.Header.Get(targetapi.HeaderIdempotencyKey)
@@ -71,7 +71,7 @@
 	// The fence is asked when the call begins, not when it arrives: while it
 	// waits for its place one with a newer token may run.
 	begin := func() bool {
-		if !w.Shared.fence.Pass(c, key) {
+		if !w.Shared.fence.Check(c, key) {
 			return false
 		}
 		execution = w.Shared.execute(key)
@@ -80,7 +80,7 @@
 	answer := func() any {
 		return Answer{Service: w.Name, Path: c.Request.URL.Path, Echo: echo(c.Body), Execution: execution}
 	}
-	w.Server.Run(c, stagepool.Job{Items: len(c.Body) / bytesPerItem, Begin: begin, ToTheEnd: true, Answer: answer})
+	w.Server.Run(c, stagepool.Job{Items: len(c.Body) / bytesPerItem, BeforeRun: begin, IgnoreDisconnect: true, Answer: answer})
 }
 
 func echo(body []byte) json.RawMessage {
--- a/internal/standin/stagepool/run.go
+++ b/internal/standin/stagepool/run.go
@@ -14,12 +14,12 @@
 type Job struct {
 	// Items adds to what the call costs.
 	Items int
-	// Begin, when set, decides whether a call that has its place runs. Where
+	// BeforeRun, when set, decides whether a call that has its place runs. Where
 	// it says false it has answered.
-	Begin func() bool
-	// ToTheEnd has a call that runs go on when its caller hangs up, as a
+	BeforeRun func() bool
+	// IgnoreDisconnect has a call that runs go on when its caller hangs up, as a
 	// booking does.
-	ToTheEnd bool
+	IgnoreDisconnect bool
 	// Answer makes the body of the answer.
 	Answer func() any
 }
@@ -28,48 +28,48 @@
 // execution, spends its time and answers. A call that is given up while it
 // waits has not run.
 func (s *Server) Run(c *target.Call, j Job) {
-	err := s.Enter(c.Context())
+	err := s.Acquire(c.Context())
 	if errors.Is(err, ErrQueueFull) {
-		c.Busy(http.StatusTooManyRequests, "queue", "Queue is full")
+		c.RefuseWithRetry(http.StatusTooManyRequests, "queue", "Queue is full")
 		return
 	}
 	if err != nil {
-		c.Drop()
+		c.CloseConnection()
 	}
-	defer s.Leave()
-	if j.Begin != nil && !j.Begin() {
+	defer s.Release()
+	if j.BeforeRun != nil && !j.BeforeRun() {
 		return
 	}
 	s.execute(c, j)
 }
 
 func (s *Server) execute(c *target.Call, j Job) {
-	running := c.Start()
-	spent, err := s.Spend(j.context(c), j.Items)
+	running := c.RecordStart()
+	spent, err := s.SimulateWork(j.context(c), j.Items)
 	running.Finish(count.Result{
 		Finished:     err == nil,
-		Cancelled:    err != nil && c.HungUp(),
+		Cancelled:    err != nil && c.CallerLeft(),
 		EngineUS:     spent.Microseconds(),
 		PromptTokens: j.Items,
 	})
 	if err != nil {
-		c.Drop()
+		c.CloseConnection()
 	}
 	c.JSON(target.Answer{Load: s.Load(), EngineUS: spent.Microseconds()}, j.Answer())
 }
 
 func (j Job) context(c *target.Call) context.Context {
-	if j.ToTheEnd {
+	if j.IgnoreDisconnect {
 		return c.Lifetime()
 	}
 	return c.Context()
 }
 
-// Common answers the calls that all targets know, and is false for others.
-func (s *Server) Common(c *target.Call) bool {
+// HandleCommon answers the calls that all targets know, and is false for others.
+func (s *Server) HandleCommon(c *target.Call) bool {
 	if c.Request.Method != http.MethodGet || c.Request.URL.Path != targetapi.PathLoad {
 		return false
 	}
-	c.Plain(s.Load())
+	c.PlainJSON(s.Load())
 	return true
 }
--- a/internal/standin/stagepool/server.go
+++ b/internal/standin/stagepool/server.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Enter waits for a place. The caller must Leave when it got one.
-func (s *Server) Enter(ctx context.Context) error {
+// Acquire waits for a place. The caller must Leave when it got one.
+func (s *Server) Acquire(ctx context.Context) error {
 	if !s.queue() {
 		return ErrQueueFull
 	}
@@ -95,15 +95,15 @@
 	}
 }
 
-// Leave gives the place back.
-func (s *Server) Leave() {
+// Release gives the place back.
+func (s *Server) Release() {
 	<-s.places
 	s.move(-1, 0)
 }
 
-// Spend takes the time that a call of so many items costs, and says what was
+// SimulateWork takes the time that a call of so many items costs, and says what was
 // spent. It ends early with the context.
-func (s *Server) Spend(ctx context.Context, items int) (time.Duration, error) {
+func (s *Server) SimulateWork(ctx context.Context, items int) (time.Duration, error) {
 	cost := s.cost(items)
 	began := time.Now()
 	timer := time.NewTimer(cost)
--- a/internal/standin/stagepool/server_test.go
+++ b/internal/standin/stagepool/server_test.go
@@ -14,9 +14,9 @@
 func TestPlacesAreBoundedAndSoIsTheQueue(t *testing.T) {
 	s := NewServer(Costs{Concurrency: 1, MaxQueue: 1, LoadLagMS: -1}, 1, one)
 	ctx, cancel := context.WithCancel(context.Background())
-	assert.NilError(t, s.Enter(ctx))
+	assert.NilError(t, s.Acquire(ctx))
 	waited := make(chan error, 1)
-	go func() { waited <- s.Enter(ctx) }()
+	go func() { waited <- s.Acquire(ctx) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if s.Load().Named.Waiting == 1 {
 			return poll.Success()
@@ -24,12 +24,12 @@
 		return poll.Continue("nobody waits yet")
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(time.Millisecond))
 	assert.Equal(t, s.Load().Utilization, 2.0)
-	assert.ErrorIs(t, s.Enter(ctx), ErrQueueFull)
+	assert.ErrorIs(t, s.Acquire(ctx), ErrQueueFull)
 	cancel()
 	assert.ErrorIs(t, <-waited, context.Canceled)
 	assert.Equal(t, s.Load().Named.Waiting, 0.0)
-	s.Leave()
-	assert.NilError(t, s.Enter(context.Background()))
+	s.Release()
+	assert.NilError(t, s.Acquire(context.Background()))
 }
 
 func TestCostsAreSeededAndStretched(t *testing.T) {
--- a/internal/standin/stagepool/stages.go
+++ b/internal/standin/stagepool/stages.go
@@ -29,7 +29,7 @@
 
 // Handle answers one call.
 func (e Encoder) Handle(c *target.Call) {
-	if e.Server.Common(c) || !isCall(c, targetapi.PathEmbeddings) {
+	if e.Server.HandleCommon(c) || !isCall(c, targetapi.PathEmbeddings) {
 		return
 	}
 	var r targetapi.EmbeddingRequest
@@ -65,7 +65,7 @@
 
 // Handle answers one call.
 func (e Retriever) Handle(c *target.Call) {
-	if e.Server.Common(c) || !isCall(c, targetapi.PathSearch) {
+	if e.Server.HandleCommon(c) || !isCall(c, targetapi.PathSearch) {
 		return
 	}
 	var r targetapi.SearchRequest
@@ -81,7 +81,7 @@
 // Search makes up documents about the query's reference.
 func Search(r targetapi.SearchRequest) []targetapi.SearchResult {
 	bounds.OrDefault(&r.MaxResults, defaultResults)
-	ref, found := engine.Ref(r.Query)
+	ref, found := engine.LastRef(r.Query)
 	if !found {
 		ref = noRef
 	}
@@ -104,7 +104,7 @@
 
 // Handle answers one call.
 func (e Reranker) Handle(c *target.Call) {
-	if e.Server.Common(c) || !isCall(c, targetapi.PathRerank) {
+	if e.Server.HandleCommon(c) || !isCall(c, targetapi.PathRerank) {
 		return
 	}
 	var r targetapi.RerankRequest
--- a/internal/standin/table/http.go
+++ b/internal/standin/table/http.go
@@ -25,7 +25,7 @@
 
 // ServeHTTP answers one call.
 func (h Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f := h.Faults.Of(fault.ScopeTable)
+	f := h.Faults.Combined(fault.ScopeTable)
 	if f.Refuse {
 		unavailable := fail(codeUnavailable, "The service is unavailable")
 		unavailable.status = http.StatusServiceUnavailable
@@ -34,7 +34,7 @@
 	}
 	outage.Wait(f, h.Latency)
 	status, answer := h.call(r)
-	if h.Faults.Hits(f.LoseAnswerShare) {
+	if h.Faults.Sample(f.LoseAnswerShare) {
 		h.Table.lostAnswer()
 		outage.Abort()
 	}
--- a/internal/standin/target/call.go
+++ b/internal/standin/target/call.go
@@ -38,18 +38,18 @@
 // Lifetime ends when the target goes down, whatever the caller does.
 func (c *Call) Lifetime() context.Context { return gate.Lifetime(c.Request.Context()) }
 
-// HungUp says that the caller gave the call up, and the target did not go
+// CallerLeft says that the caller gave the call up, and the target did not go
 // down under it.
-func (c *Call) HungUp() bool {
+func (c *Call) CallerLeft() bool {
 	ctx := c.Request.Context()
 	return ctx.Err() != nil && !errors.Is(context.Cause(ctx), gate.ErrClosed)
 }
 
-// Drop closes the connection without an answer.
-func (c *Call) Drop() { abort() }
+// CloseConnection closes the connection without an answer.
+func (c *Call) CloseConnection() { abort() }
 
-// Start counts an execution: from here on the call has run.
-func (c *Call) Start() *count.Running {
+// RecordStart counts an execution: from here on the call has run.
+func (c *Call) RecordStart() *count.Running {
 	h := c.Request.Header
 	return c.target.ledger.Start(count.Execution{
 		Target:         c.target.Address(),
@@ -79,8 +79,8 @@
 	c.refuse(problem.New(status, slug, title, detail, problem.NotRun))
 }
 
-// Busy answers a call that did not run and may come again soon.
-func (c *Call) Busy(status int, slug, title string) {
+// RefuseWithRetry answers a call that did not run and may come again soon.
+func (c *Call) RefuseWithRetry(status int, slug, title string) {
 	c.refuse(problem.New(status, slug, title, "", problem.NotRun).WithRetryAfter(time.Second))
 }
 
@@ -112,8 +112,8 @@
 	_, _ = c.writer.Write(raw) // a caller that is gone sees to itself
 }
 
-// Plain answers a GET of the target's state without any identity.
-func (c *Call) Plain(body any) {
+// PlainJSON answers a GET of the target's state without any identity.
+func (c *Call) PlainJSON(body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		panic(err) // our own types can always be encoded
--- a/internal/standin/target/fencing.go
+++ b/internal/standin/target/fencing.go
@@ -23,9 +23,9 @@
 	return &Fence{checks: checks, highest: map[string]uint64{}}
 }
 
-// Pass is true unless the call carries an older token than was seen for the
+// Check is true unless the call carries an older token than was seen for the
 // name; then it has been answered with 409. A call without a token passes.
-func (f *Fence) Pass(c *Call, name string) bool {
+func (f *Fence) Check(c *Call, name string) bool {
 	text := c.Request.Header.Get(targetapi.HeaderFencingToken)
 	if !f.checks || text == "" {
 		return true
--- a/internal/standin/target/stream.go
+++ b/internal/standin/target/stream.go
@@ -28,8 +28,8 @@
 	flusher http.Flusher // nil where the answer is lost anyway
 }
 
-// ErrGone means that the caller hung up.
-var ErrGone = errors.New("target: caller is gone")
+// ErrCallerLeft means that the caller hung up.
+var ErrCallerLeft = errors.New("target: caller is gone")
 
 // Send writes one event at once.
 func (s *Stream) Send(event any) error {
@@ -43,7 +43,7 @@
 func (s *Stream) data(raw []byte) error {
 	framed := append(append([]byte("data: "), raw...), '\n', '\n')
 	if _, err := s.writer.Write(framed); err != nil {
-		return ErrGone
+		return ErrCallerLeft
 	}
 	if s.flusher != nil {
 		s.flusher.Flush()
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -19,8 +19,8 @@
 // maxBody bounds a request's body in bytes.
 const maxBody = 16 << 20
 
-// Work is what a target does with its calls.
-type Work interface {
+// Handler is what a target does with its calls.
+type Handler interface {
 	// Handle runs one call and answers it through the call.
 	Handle(c *Call)
 	// Crash forgets what a crash of the process would lose.
@@ -30,10 +30,10 @@
 // Target is one emulated target. Use Open.
 type Target struct {
 	pool   string
-	work   Work
+	work   Handler
 	faults *fault.Set
 	ledger *count.ExecutionLog
-	gate   *gate.Gate
+	gate   *gate.RestartableServer
 
 	mu           sync.Mutex // guards all below; a leaf
 	lastIdentity string
@@ -44,12 +44,12 @@
 	Address string
 	Pool    string
 	Faults  *fault.Set
-	Ledger  *count.ExecutionLog
+	ExecutionLog  *count.ExecutionLog
 }
 
 // Open serves the work on the target's address.
-func Open(c Config, work Work) (*Target, error) {
-	t := &Target{pool: c.Pool, work: work, faults: c.Faults, ledger: c.Ledger}
+func Open(c Config, work Handler) (*Target, error) {
+	t := &Target{pool: c.Pool, work: work, faults: c.Faults, ledger: c.ExecutionLog}
 	g, err := gate.Open(c.Address, http.HandlerFunc(t.serve))
 	if err != nil {
 		return nil, err
@@ -76,12 +76,12 @@
 }
 
 func (t *Target) fault() fault.Fault {
-	return t.faults.Of(fault.PoolScope(t.pool), fault.TargetScope(t.Address()))
+	return t.faults.Combined(fault.PoolScope(t.pool), fault.TargetScope(t.Address()))
 }
 
-// Straggle is the factor by which the target's work is stretched now.
-func Straggle(faults *fault.Set, pool, address string) float64 {
-	return faults.Of(fault.PoolScope(pool), fault.TargetScope(address)).Straggle()
+// StraggleFactor is the factor by which the target's work is stretched now.
+func StraggleFactor(faults *fault.Set, pool, address string) float64 {
+	return faults.Combined(fault.PoolScope(pool), fault.TargetScope(address)).EffectiveStraggleFactor()
 }
 
 func (t *Target) serve(w http.ResponseWriter, r *http.Request) {
@@ -108,7 +108,7 @@
 	if f.CrashMarker != "" && strings.Contains(string(body), f.CrashMarker) {
 		t.crash(c)
 	}
-	if t.faults.Hits(f.LoseAnswerShare) {
+	if t.faults.Sample(f.LoseAnswerShare) {
 		c.writer = &lostAnswer{header: http.Header{}}
 		defer abort()
 	}
@@ -117,7 +117,7 @@
 
 // crash counts the execution that brings the target down, and goes down.
 func (t *Target) crash(c *Call) {
-	c.Start()
+	c.RecordStart()
 	if t.gate.Crash(c.fault.Restart()) {
 		t.ledger.RecordCrash(t.pool)
 		t.work.Crash()
@@ -151,7 +151,7 @@
 	other := t.lastIdentity
 	t.lastIdentity = own
 	t.mu.Unlock()
-	if !t.faults.Hits(f.WrongIdentityShare) {
+	if !t.faults.Sample(f.WrongIdentityShare) {
 		return own
 	}
 	if other == "" || other == own {
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -85,13 +85,13 @@
 
 // ServeHTTP answers with what is seen now.
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f := l.faults.Of(fault.ScopeVMList)
+	f := l.faults.Combined(fault.ScopeVMList)
 	if f.Refuse {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	outage.Wait(f, 0)
-	if l.faults.Hits(f.LoseAnswerShare) {
+	if l.faults.Sample(f.LoseAnswerShare) {
 		outage.Abort()
 	}
 	raw, err := json.Marshal(l.rows.Delayed(time.Now()))
