--- a/internal/standin/outage/outage.go
+++ b/internal/standin/outage/outage.go
@@ -13,7 +13,7 @@
 // doesn't return early when the caller disconnects: a slow store still applies
 // the write.
 func Wait(f fault.Fault, latency time.Duration) {
-	scaled := time.Duration(float64(latency) * f.Straggle())
+	scaled := time.Duration(float64(latency) * f.EffectiveStraggleFactor())
 	time.Sleep(scaled + f.Delay())
 }
 
