--- a/internal/standin/fleet/control.go
+++ b/internal/standin/fleet/control.go
@@ -13,15 +13,15 @@
 	"github.com/vanillagate/vanillagate/internal/standin/vmlist"
 )
 
-// FaultOrder is the body of PUT /faults: it replaces the scope's fault.
-type FaultOrder struct {
+// FaultRequest is the body of PUT /faults: it replaces the scope's fault.
+type FaultRequest struct {
 	// Scope is "table", "objects", "vm_list", "pool:NAME" or "target:IP:PORT".
 	Scope string      `json:"scope"`
 	Fault fault.Fault `json:"fault"`
 }
 
-// StateOrder is the body of POST /vms/state.
-type StateOrder struct {
+// StateRequest is the body of POST /vms/state.
+type StateRequest struct {
 	Address string `json:"address"`
 	// State is live, leaving or gone.
 	State string `json:"state"`
@@ -66,7 +66,7 @@
 }
 
 func (f *Fleet) putFault(w http.ResponseWriter, r *http.Request) {
-	var order FaultOrder
+	var order FaultRequest
 	if !decode(w, r, &order) {
 		return
 	}
@@ -103,7 +103,7 @@
 }
 
 func (f *Fleet) getVMs(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, f.vms.Truth())
+	writeJSON(w, f.vms.Latest())
 }
 
 func (f *Fleet) putVMs(w http.ResponseWriter, r *http.Request) {
@@ -116,7 +116,7 @@
 }
 
 func (f *Fleet) postState(w http.ResponseWriter, r *http.Request) {
-	var order StateOrder
+	var order StateRequest
 	if !decode(w, r, &order) {
 		return
 	}
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -91,7 +91,7 @@
 
 func (f *Fleet) setFault(t *testing.T, scope string, ft fault.Fault) {
 	t.Helper()
-	status, _ := call[struct{}](t, "PUT", "http://"+f.Control+"/faults", FaultOrder{Scope: scope, Fault: ft}, nil)
+	status, _ := call[struct{}](t, "PUT", "http://"+f.Control+"/faults", FaultRequest{Scope: scope, Fault: ft}, nil)
 	assert.Equal(t, status, http.StatusNoContent)
 }
 
@@ -337,7 +337,7 @@
 	assert.Equal(t, state(served), vmlist.StateLive)
 	began := time.Now()
 	for _, next := range []string{vmlist.StateLeaving, vmlist.StateGone} {
-		status, _ := call[struct{}](t, "POST", truth+"/state", StateOrder{Address: target, State: next}, nil)
+		status, _ := call[struct{}](t, "POST", truth+"/state", StateRequest{Address: target, State: next}, nil)
 		assert.Equal(t, status, http.StatusNoContent)
 		assert.Equal(t, state(truth), next)
 	}
@@ -352,10 +352,10 @@
 		body         any
 		want         int
 	}{
-		{"PUT", "/faults", FaultOrder{Scope: "pool:lmm"}, http.StatusNotFound},
+		{"PUT", "/faults", FaultRequest{Scope: "pool:lmm"}, http.StatusNotFound},
 		{"PUT", "/faults", map[string]string{"scoop": "table"}, http.StatusBadRequest},
-		{"POST", "/vms/state", StateOrder{Address: "127.0.0.1:1", State: "live"}, http.StatusNotFound},
-		{"POST", "/vms/state", StateOrder{Address: f.Targets["llm"][0], State: "dead"}, http.StatusBadRequest},
+		{"POST", "/vms/state", StateRequest{Address: "127.0.0.1:1", State: "live"}, http.StatusNotFound},
+		{"POST", "/vms/state", StateRequest{Address: f.Targets["llm"][0], State: "dead"}, http.StatusBadRequest},
 	} {
 		status, _ := call[json.RawMessage](t, c.method, "http://"+f.Control+c.path, c.body, nil)
 		assert.Equal(t, status, c.want, "%s %s", c.method, c.path)
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -54,8 +54,8 @@
 	return &List{faults: faults, rows: history.New(lag, 0, rows)}
 }
 
-// Truth is the list without its lag.
-func (l *List) Truth() []Row { return l.rows.Latest() }
+// Latest is the list without its lag.
+func (l *List) Latest() []Row { return l.rows.Latest() }
 
 // Replace sets the truth.
 func (l *List) Replace(rows []Row) {
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -38,7 +38,7 @@
 // setVMState changes what the platform will say of a VM once its lag is over.
 func (c *cluster) setVMState(address, state string) {
 	c.t.Helper()
-	raw, err := json.Marshal(fleet.StateOrder{Address: address, State: state})
+	raw, err := json.Marshal(fleet.StateRequest{Address: address, State: state})
 	assert.NilError(c.t, err)
 	resp, err := client.Post("http://"+c.controlAddress+"/vms/state", "application/json", bytes.NewReader(raw))
 	assert.NilError(c.t, err)
