--- a/internal/load/bench/bench_test.go
+++ b/internal/load/bench/bench_test.go
@@ -22,7 +22,7 @@
 func TestSteps(t *testing.T) {
 	got, err := Steps(scenarios(), Selection{Policies: []string{"present", "random"}})
 	assert.NilError(t, err)
-	assert.DeepEqual(t, got, []ID{
+	assert.DeepEqual(t, got, []StepID{
 		{"a", "present", 1},
 		{"b", "present", 5},
 		{"a", "random", 1},
@@ -35,7 +35,7 @@
 	assert.Equal(t, len(got), len(Policies))
 	got, err = Steps(scenarios(), Selection{Scenarios: []string{"b"}, Seeds: []uint64{8, 9}, Policies: []string{"random"}})
 	assert.NilError(t, err)
-	assert.DeepEqual(t, got, []ID{{"b", "random", 8}, {"b", "random", 9}})
+	assert.DeepEqual(t, got, []StepID{{"b", "random", 8}, {"b", "random", 9}})
 	_, err = Steps(scenarios(), Selection{Scenarios: []string{"c"}})
 	assert.ErrorContains(t, err, `no scenario "c"`)
 	_, err = Steps(scenarios(), Selection{Policies: []string{"best"}})
@@ -43,9 +43,9 @@
 }
 
 func TestSpread(t *testing.T) {
-	assert.Equal(t, SpreadOf(nil), Spread{})
-	assert.Equal(t, SpreadOf([]float64{3, 1, 2}), Spread{Median: 2, Low: 1, High: 3})
-	assert.Equal(t, SpreadOf([]float64{4, 1, 2, 3}), Spread{Median: 2.5, Low: 1, High: 4})
+	assert.Equal(t, NewSpread(nil), Spread{})
+	assert.Equal(t, NewSpread([]float64{3, 1, 2}), Spread{Median: 2, Low: 1, High: 3})
+	assert.Equal(t, NewSpread([]float64{4, 1, 2, 3}), Spread{Median: 2.5, Low: 1, High: 4})
 }
 
 func result(policy string, seed uint64, attainment, cost float64) Result {
--- a/internal/load/bench/merge.go
+++ b/internal/load/bench/merge.go
@@ -16,8 +16,8 @@
 	Median, Low, High float64
 }
 
-// SpreadOf reads a Spread; of no values it is zero.
-func SpreadOf(values []float64) Spread {
+// NewSpread reads a Spread; of no values it is zero.
+func NewSpread(values []float64) Spread {
 	if len(values) == 0 {
 		return Spread{}
 	}
@@ -37,11 +37,11 @@
 	Attainment       Spread
 	P50, P95         Spread
 	Cost             Spread
-	// Late is how late vgload itself sent, at the 99th percentile; high values
+	// SendDelay is how late vgload itself sent, at the 99th percentile; high values
 	// mean that the machine was too busy to trust the row.
-	Late Spread
-	// Cached is the share of prompt tokens that prefix caches held.
-	Cached Spread
+	SendDelay Spread
+	// CachedShare is the share of prompt tokens that prefix caches held.
+	CachedShare Spread
 	// AttainmentRatio and CostRatio are the present policy's figure divided by
 	// this policy's, seed by seed. They are zero where the present policy has
 	// no run of the same seed.
@@ -103,11 +103,11 @@
 func rowOf(key rowKey, runs, present []Result) Row {
 	row := Row{Scenario: key.scenario, Policy: key.policy, Runs: runs}
 	row.Attainment = spreadOver(runs, func(r Result) float64 { return r.Summary.Attainment })
-	row.P50 = spreadOver(runs, func(r Result) float64 { return r.Summary.All.P50 })
-	row.P95 = spreadOver(runs, func(r Result) float64 { return r.Summary.All.P95 })
+	row.P50 = spreadOver(runs, func(r Result) float64 { return r.Summary.Latency.P50 })
+	row.P95 = spreadOver(runs, func(r Result) float64 { return r.Summary.Latency.P95 })
 	row.Cost = spreadOver(runs, func(r Result) float64 { return r.Summary.Cost })
-	row.Late = spreadOver(runs, func(r Result) float64 { return r.Summary.Late.P99 })
-	row.Cached = spreadOver(runs, func(r Result) float64 { return r.Summary.CachedShare })
+	row.SendDelay = spreadOver(runs, func(r Result) float64 { return r.Summary.SendDelay.P99 })
+	row.CachedShare = spreadOver(runs, func(r Result) float64 { return r.Summary.CachedShare })
 	row.ByCustomer = byCustomer(runs)
 	row.AttainmentRatio = ratios(present, runs, func(r Result) float64 { return r.Summary.Attainment })
 	row.CostRatio = ratios(present, runs, func(r Result) float64 { return r.Summary.Cost })
@@ -125,7 +125,7 @@
 	for _, r := range runs {
 		values = append(values, figure(r))
 	}
-	return SpreadOf(values)
+	return NewSpread(values)
 }
 
 // ratios divides figures of runs with the same seed. Runs whose figure is zero
@@ -138,7 +138,7 @@
 			values = append(values, figure(above[at])/figure(b))
 		}
 	}
-	return SpreadOf(values)
+	return NewSpread(values)
 }
 
 func byCustomer(runs []Result) map[string]Spread {
@@ -150,7 +150,7 @@
 	}
 	spreads := map[string]Spread{}
 	for name, list := range values {
-		spreads[name] = SpreadOf(list)
+		spreads[name] = NewSpread(list)
 	}
 	return spreads
 }
@@ -172,5 +172,5 @@
 		" lost=%d doubled=%d crossed=%d false_not_run=%d cached_share=%.3f sent_late_p99_ms=%.1f",
 		r.Policy, r.Scenario, r.Attainment.Median, r.P50.Median, r.P95.Median, r.Cost.Median,
 		r.Attainment.Low, r.Attainment.High, len(r.Runs), r.AttainmentRatio.Median, r.CostRatio.Median,
-		r.Lost, r.Doubled, r.Crossed, r.FalseNotRun, r.Cached.Median, r.Late.High)
+		r.Lost, r.Doubled, r.Crossed, r.FalseNotRun, r.CachedShare.Median, r.SendDelay.High)
 }
--- a/internal/load/bench/step.go
+++ b/internal/load/bench/step.go
@@ -188,7 +188,7 @@
 
 // warmUp opens connections and fills estimates, then forgets what was counted.
 func (s Step) warmUp(ctx context.Context, callers []*caller.Caller, stands *control.Client) error {
-	plan := experiment.Plan(s.Scenario.Streams(warmupLength), warmupLength, s.Seed+warmupSeed, s.name()+"w")
+	plan := experiment.Plan(s.Scenario.CustomerLoads(warmupLength), warmupLength, s.Seed+warmupSeed, s.name()+"w")
 	runner.Run(ctx, callers, plan, time.Now(), &runner.Progress{})
 	return stands.Reset()
 }
--- a/internal/load/bench/steps.go
+++ b/internal/load/bench/steps.go
@@ -16,12 +16,12 @@
 	PresentPolicy, "random", "round-robin", "least-in-flight", "no-admission", "retry-without-budget",
 }
 
-// Others are the product's policy with one part switched off or as it was
+// AblationPolicies are the product's policy with one part switched off or as it was
 // before, run only where they are named.
-var Others = []string{"better-of-two", "with-reports", "no-hedge", "no-ejection", "no-affinity"}
+var AblationPolicies = []string{"better-of-two", "with-reports", "no-hedge", "no-ejection", "no-affinity"}
 
-// ID names one step.
-type ID struct {
+// StepID names one step.
+type StepID struct {
 	Scenario string
 	Policy   string
 	Seed     uint64
@@ -39,11 +39,11 @@
 // Steps lists what is to be run. All scenarios of one policy and seed stand
 // together, and the policies take turns within a seed, so that a slow spell of
 // the machine does not fall on one policy only.
-func Steps(scenarios []*experiment.Scenario, pick Selection) ([]ID, error) {
+func Steps(scenarios []*experiment.Scenario, pick Selection) ([]StepID, error) {
 	if err := pick.check(scenarios); err != nil {
 		return nil, err
 	}
-	var steps []ID
+	var steps []StepID
 	for turn := 0; ; turn++ {
 		found := false
 		for _, policy := range pick.policies() {
@@ -53,7 +53,7 @@
 					continue
 				}
 				found = true
-				steps = append(steps, ID{Scenario: s.Name, Policy: policy, Seed: seeds[turn]})
+				steps = append(steps, StepID{Scenario: s.Name, Policy: policy, Seed: seeds[turn]})
 			}
 		}
 		if !found {
@@ -69,7 +69,7 @@
 		}
 	}
 	for _, name := range p.Policies {
-		if !slices.Contains(Policies, name) && !slices.Contains(Others, name) {
+		if !slices.Contains(Policies, name) && !slices.Contains(AblationPolicies, name) {
 			return fmt.Errorf("bench: no policy %q", name)
 		}
 	}
--- a/internal/load/cli/bench.go
+++ b/internal/load/cli/bench.go
@@ -200,7 +200,7 @@
 			return err
 		}
 	}
-	fmt.Fprintln(os.Stderr, result.Summary.LastLine())
+	fmt.Fprintln(os.Stderr, result.Summary.ResultLine())
 	return nil
 }
 
--- a/internal/load/cli/cli_test.go
+++ b/internal/load/cli/cli_test.go
@@ -66,7 +66,7 @@
 	assert.NilError(t, err)
 	var s report.Summary
 	assert.NilError(t, json.Unmarshal(raw, &s))
-	assert.Assert(t, s.Requests > 0 && s.Answered == s.Requests && s.Doubled == 0, s.LastLine())
+	assert.Assert(t, s.Requests > 0 && s.Answered == s.Requests && s.Doubled == 0, s.ResultLine())
 	_, err = os.Stat(rows)
 	assert.NilError(t, err)
 }
--- a/internal/load/cli/output.go
+++ b/internal/load/cli/output.go
@@ -22,7 +22,7 @@
 
 // printDetails writes what the last line leaves out.
 func printDetails(s report.Summary) {
-	for _, line := range s.Details() {
+	for _, line := range s.DetailLines() {
 		fmt.Fprintln(os.Stdout, line)
 	}
 }
--- a/internal/load/cli/overhead.go
+++ b/internal/load/cli/overhead.go
@@ -80,22 +80,22 @@
 			return err
 		}
 		fmt.Printf("overhead kind=%s requests=%d direct_p50_us=%d through_p50_us=%d added_p50_us=%d direct_p95_us=%d through_p95_us=%d\n",
-			kindName(stream), requests, added.Direct.At(0.5).Microseconds(), added.Through.At(0.5).Microseconds(),
-			added.Median().Microseconds(), added.Direct.At(0.95).Microseconds(), added.Through.At(0.95).Microseconds())
+			kindName(stream), requests, added.Direct.Quantile(0.5).Microseconds(), added.ViaEntry.Quantile(0.5).Microseconds(),
+			added.MedianOverhead().Microseconds(), added.Direct.Quantile(0.95).Microseconds(), added.ViaEntry.Quantile(0.95).Microseconds())
 	}
 	return nil
 }
 
 func printLoops(ctx context.Context, meter *overhead.Meter, workers int, length time.Duration) error {
-	if _, err := meter.Loop(ctx, workers, length/4, fewTokens, false); err != nil {
+	if _, err := meter.RunClosedLoop(ctx, workers, length/4, fewTokens, false); err != nil {
 		return err // this one only warms up
 	}
-	var perStream []overhead.Load
+	var perStream []overhead.LoopResult
 	for _, loop := range []struct {
 		tokens int
 		stream bool
 	}{{fewTokens, false}, {fewTokens, true}, {manyTokens, true}} {
-		load, err := meter.Loop(ctx, workers, length, loop.tokens, loop.stream)
+		load, err := meter.RunClosedLoop(ctx, workers, length, loop.tokens, loop.stream)
 		if err != nil {
 			return err
 		}
@@ -103,8 +103,8 @@
 			perStream = append(perStream, load)
 		}
 		fmt.Printf("overhead loop kind=%s tokens=%d workers=%d requests_per_second=%.0f entry_cores=%.2f cpu_us_per_request=%d p50_ms=%.2f p95_ms=%.2f\n",
-			kindName(loop.stream), loop.tokens, workers, load.PerSecond(), load.Cores(), load.CPUPerRequest().Microseconds(),
-			load.Latencies.At(0.5).Seconds()*1000, load.Latencies.At(0.95).Seconds()*1000)
+			kindName(loop.stream), loop.tokens, workers, load.PerSecond(), load.CoresUsed(), load.CPUPerRequest().Microseconds(),
+			load.Latencies.Quantile(0.5).Seconds()*1000, load.Latencies.Quantile(0.95).Seconds()*1000)
 	}
 	perToken := (perStream[1].CPUPerRequest() - perStream[0].CPUPerRequest()) / (manyTokens - fewTokens)
 	fmt.Printf("overhead cpu_us_per_streamed_token=%.2f\n", float64(perToken)/float64(time.Microsecond))
--- a/internal/load/cli/run.go
+++ b/internal/load/cli/run.go
@@ -81,7 +81,7 @@
 type runSettings struct {
 	entries  []string
 	controls []string
-	stream   experiment.Stream
+	stream   experiment.CustomerLoad
 	duration time.Duration
 	seed     uint64
 	required float64
@@ -122,14 +122,14 @@
 	}, nil
 }
 
-func streamOf(cmd *cli.Command) experiment.Stream {
+func streamOf(cmd *cli.Command) experiment.CustomerLoad {
 	service := cmd.Float(flagServicePart)
 	if cmd.String(flagService) == "" {
 		service = 0
 	}
 	streamed := cmd.Float(flagStreamPart)
 	timeout := int(cmd.Duration(flagTimeout).Milliseconds())
-	return experiment.Stream{
+	return experiment.CustomerLoad{
 		BearerKey: cmd.String(flagKey),
 		Pattern:   arrival.Steady{PerSecond: cmd.Float(flagRate)},
 		Mix: shape.Mix{
@@ -159,7 +159,7 @@
 	if err != nil {
 		return err
 	}
-	plan := experiment.Plan([]experiment.Stream{set.stream}, set.duration, set.seed, runName())
+	plan := experiment.Plan([]experiment.CustomerLoad{set.stream}, set.duration, set.seed, runName())
 	results := sendAll(ctx, set.entries, plan)
 	executions, err := countsOf(set.controls)
 	if err != nil {
@@ -170,7 +170,7 @@
 		return err
 	}
 	printDetails(summary)
-	fmt.Println(summary.LastLine())
+	fmt.Println(summary.ResultLine())
 	return verdict(summary, set.required)
 }
 
--- a/internal/load/experiment/experiment_test.go
+++ b/internal/load/experiment/experiment_test.go
@@ -109,8 +109,8 @@
 			inputs[p.Call.Ref+p.Call.Input]++
 		}
 	}
-	assert.Equal(t, len(inputs), s.Crashing.Count)
-	assert.Equal(t, len(keys), s.Crashing.Count*(1+s.Crashing.Resends))
+	assert.Equal(t, len(inputs), s.CrashingRequests.Count)
+	assert.Equal(t, len(keys), s.CrashingRequests.Count*(1+s.CrashingRequests.Resends))
 }
 
 func TestArrivalsKeepTheMean(t *testing.T) {
--- a/internal/load/experiment/plan.go
+++ b/internal/load/experiment/plan.go
@@ -15,8 +15,8 @@
 	"github.com/vanillagate/vanillagate/internal/load/shape"
 )
 
-// Stream is one customer's calls over a run.
-type Stream struct {
+// CustomerLoad is one customer's calls over a run.
+type CustomerLoad struct {
 	Customer  string
 	BearerKey string
 	Pattern   arrival.Pattern
@@ -26,7 +26,7 @@
 // Plan draws the calls of all streams in order of time. The same seed gives
 // the same calls; run makes refs and idempotency keys differ between runs, so
 // that no run is answered from what an earlier one left behind.
-func Plan(streams []Stream, length time.Duration, seed uint64, run string) []runner.Planned {
+func Plan(streams []CustomerLoad, length time.Duration, seed uint64, run string) []runner.Planned {
 	var plan []runner.Planned
 	for i, s := range streams {
 		own := seed*1000003 + uint64(i)
@@ -47,7 +47,7 @@
 // callStream keeps these draws apart from others of the same seed.
 const callStream = 0x63616c6c
 
-func (s Stream) draw(random *rand.Rand, ref string) caller.Call {
+func (s CustomerLoad) draw(random *rand.Rand, ref string) caller.Call {
 	m := s.Mix
 	call := caller.Call{
 		Customer:       s.Customer,
--- a/internal/load/experiment/scenario.go
+++ b/internal/load/experiment/scenario.go
@@ -40,8 +40,8 @@
 	WithoutLimits bool `json:"without_limits"`
 	// Balance replaces that of all contracts; nil keeps them.
 	Balance *float64 `json:"balance"`
-	// Crashing is a customer whose requests crash the targets that run them.
-	Crashing *Crashing `json:"crashing"`
+	// CrashingRequests is a customer whose requests crash the targets that run them.
+	CrashingRequests *CrashingRequests `json:"crashing"`
 	// TimeoutMS replaces the shape's timeout of pipeline calls; zero keeps it.
 	TimeoutMS int `json:"timeout_ms"`
 	// FirstTryShare is the part of its time after which a caller leaves an entry
@@ -82,9 +82,9 @@
 	Until    float64 `json:"until"`
 }
 
-// Crashing describes requests that crash the targets that run them. They can't
+// CrashingRequests describes requests that crash the targets that run them. They can't
 // be answered, so they are left out of the attainment.
-type Crashing struct {
+type CrashingRequests struct {
 	Customer string `json:"customer"`
 	// Marker is the text on which the stand-ins crash.
 	Marker string `json:"marker"`
@@ -144,8 +144,8 @@
 // that ended.
 type EntryFault struct {
 	Action EntryAction `json:"action"`
-	// Place is the first entry VM; a repeated fault goes on to the next.
-	Place int `json:"place"`
+	// FirstEntry is the first entry VM; a repeated fault goes on to the next.
+	FirstEntry int `json:"place"`
 }
 
 // ReadDir reads all scenarios of a directory, ordered by name.
@@ -219,9 +219,9 @@
 		need(s.hasCustomer(b.Customer), "bursts: no customer %q", b.Customer)
 		need(b.Factor > 0 && b.At < b.Until, "bursts: factor must be above 0 and at before until")
 	}
-	if s.Crashing != nil {
-		need(s.hasCustomer(s.Crashing.Customer), "crashing: no customer %q", s.Crashing.Customer)
-		need(s.Crashing.Marker != "", "crashing: marker is empty")
+	if s.CrashingRequests != nil {
+		need(s.hasCustomer(s.CrashingRequests.Customer), "crashing: no customer %q", s.CrashingRequests.Customer)
+		need(s.CrashingRequests.Marker != "", "crashing: marker is empty")
 	}
 	for i, f := range s.Faults {
 		if err := s.checkFault(f); err != nil {
@@ -293,16 +293,16 @@
 	return time.Duration(s.DurationMS) * time.Millisecond
 }
 
-// Streams are the customers' calls over a run of the given length.
-func (s *Scenario) Streams(length time.Duration) []Stream {
+// CustomerLoads are the customers' calls over a run of the given length.
+func (s *Scenario) CustomerLoads(length time.Duration) []CustomerLoad {
 	sum := 0.0
 	for _, c := range s.Shape.Customers {
 		sum += c.Share
 	}
-	var streams []Stream
+	var streams []CustomerLoad
 	for _, c := range s.Shape.Customers {
 		rate := s.Load * s.Shape.CapacityPerSecond * c.Share / sum
-		streams = append(streams, Stream{
+		streams = append(streams, CustomerLoad{
 			Customer:  c.Contract.Customer,
 			BearerKey: c.Key,
 			Pattern:   s.pattern(c.Contract.Customer, rate, length),
@@ -352,8 +352,8 @@
 
 // Plan draws all calls of a run, those that crash their targets included.
 func (s *Scenario) Plan(length time.Duration, seed uint64, run string) []runner.Planned {
-	plan := Plan(s.Streams(length), length, seed, run)
-	if s.Crashing != nil {
+	plan := Plan(s.CustomerLoads(length), length, seed, run)
+	if s.CrashingRequests != nil {
 		plan = append(plan, s.crashing(length, run)...)
 		sortByTime(plan)
 	}
@@ -364,7 +364,7 @@
 // again with the same content under new idempotency keys, as from a caller
 // that takes the failure for a passing one.
 func (s *Scenario) crashing(length time.Duration, run string) []runner.Planned {
-	c := s.Crashing
+	c := s.CrashingRequests
 	var plan []runner.Planned
 	for n := range c.Count {
 		ref := fmt.Sprintf("%s-crash-%d", run, n)
@@ -385,11 +385,11 @@
 	m := s.mix()
 	return caller.Call{
 		Kind:      caller.KindPipeline,
-		Customer:  s.Crashing.Customer,
-		BearerKey: s.keyOf(s.Crashing.Customer),
+		Customer:  s.CrashingRequests.Customer,
+		BearerKey: s.keyOf(s.CrashingRequests.Customer),
 		Ref:       ref,
 		Pipeline:  m.Pipeline,
-		Input:     "a request that no engine survives " + s.Crashing.Marker,
+		Input:     "a request that no engine survives " + s.CrashingRequests.Marker,
 		MaxTokens: m.MostTokens,
 		Timeout:   time.Duration(m.TimeoutMS) * time.Millisecond,
 		Poison:    true,
--- a/internal/load/fault/fault_test.go
+++ b/internal/load/fault/fault_test.go
@@ -55,7 +55,7 @@
 	down := json.RawMessage(`{"down":true}`)
 	s := &experiment.Scenario{Shape: &shape.Shape{}, Faults: []experiment.Fault{
 		{At: 0.5, Until: 0.75, Platform: &experiment.PlatformFault{Scope: "table", Fault: down}},
-		{At: 0.1, EveryMS: 4000, Entry: &experiment.EntryFault{Action: experiment.EntryKill, Place: 1}},
+		{At: 0.1, EveryMS: 4000, Entry: &experiment.EntryFault{Action: experiment.EntryKill, FirstEntry: 1}},
 		{At: 0.2, Until: 0.3, Entry: &experiment.EntryFault{Action: experiment.EntryPause}},
 	}}
 	var got []string
--- a/internal/load/fault/plan.go
+++ b/internal/load/fault/plan.go
@@ -52,7 +52,7 @@
 // Plan lists the events of a scenario in order of time.
 func Plan(s *experiment.Scenario, fleet shape.Fleet, length time.Duration) []Event {
 	var events []Event
-	if s.Crashing != nil {
+	if s.CrashingRequests != nil {
 		events = append(events, crashing(s, length)...)
 	}
 	for _, f := range s.Faults {
@@ -123,7 +123,7 @@
 }
 
 func signals(f *experiment.EntryFault, entries int, at, until time.Duration, turn int) []Event {
-	entry := (f.Place + turn) % entries
+	entry := (f.FirstEntry + turn) % entries
 	switch f.Action {
 	case experiment.EntryKill:
 		return []Event{{At: at, Signal: syscall.SIGKILL, Entry: entry}}
@@ -137,7 +137,7 @@
 
 // crashing makes the targets crash on the marker from the start.
 func crashing(s *experiment.Scenario, _ time.Duration) []Event {
-	fault, err := json.Marshal(crashFault{Marker: s.Crashing.Marker, RestartMS: crashRestartMS})
+	fault, err := json.Marshal(crashFault{Marker: s.CrashingRequests.Marker, RestartMS: crashRestartMS})
 	if err != nil {
 		panic(err) // a struct of a string and a number always encodes
 	}
--- a/internal/load/overhead/direct.go
+++ b/internal/load/overhead/direct.go
@@ -28,9 +28,9 @@
 	endOfStream = "[DONE]"
 )
 
-// Direct calls one target of each stage without an entry VM in between. It is
+// DirectClient calls one target of each stage without an entry VM in between. It is
 // safe for concurrent use.
-type Direct struct {
+type DirectClient struct {
 	encoder, retriever, reranker, engine *fasthttp.HostClient
 	sent                                 atomic.Int64
 }
@@ -39,8 +39,8 @@
 type Targets struct{ Encoder, Retriever, Reranker, Engine string }
 
 // NewDirect makes a Direct.
-func NewDirect(t Targets) *Direct {
-	return &Direct{
+func NewDirect(t Targets) *DirectClient {
+	return &DirectClient{
 		encoder: hostClient(t.Encoder), retriever: hostClient(t.Retriever),
 		reranker: hostClient(t.Reranker), engine: hostClient(t.Engine),
 	}
@@ -51,7 +51,7 @@
 }
 
 // Do runs one request through the four stages and returns what was generated.
-func (d *Direct) Do(input string, maxTokens int, stream bool) (string, error) {
+func (d *DirectClient) Do(input string, maxTokens int, stream bool) (string, error) {
 	identity := "direct-" + strconv.FormatInt(d.sent.Add(1), 10)
 	var embedding targetapi.EmbeddingAnswer
 	err := call(d.encoder, targetapi.PathEmbeddings, identity+"/encode/1", targetapi.EmbeddingRequest{Input: input}, &embedding)
@@ -81,7 +81,7 @@
 	return textOf(completion), nil
 }
 
-func (d *Direct) rerank(identity, input string, found targetapi.SearchAnswer) ([]string, error) {
+func (d *DirectClient) rerank(identity, input string, found targetapi.SearchAnswer) ([]string, error) {
 	order := targetapi.RerankRequest{Query: input, TopN: documents}
 	for _, result := range found.Data {
 		order.Documents = append(order.Documents, result.Content)
@@ -152,7 +152,7 @@
 	return json.Unmarshal(resp.Body(), into)
 }
 
-func (d *Direct) stream(identity string, order targetapi.CompletionRequest) (string, error) {
+func (d *DirectClient) stream(identity string, order targetapi.CompletionRequest) (string, error) {
 	req, err := newRequest(targetapi.PathCompletions, identity+"/generate/1", order)
 	if err != nil {
 		return "", err
--- a/internal/load/overhead/measure.go
+++ b/internal/load/overhead/measure.go
@@ -15,7 +15,7 @@
 
 // Meter measures one entry VM.
 type Meter struct {
-	Direct *Direct
+	Direct *DirectClient
 	// Entry is a caller that uses that entry VM only.
 	Entry *caller.Caller
 	// PID is the entry VM's process.
@@ -31,36 +31,36 @@
 // Latencies are sorted.
 type Latencies []time.Duration
 
-// At is the latency that a share of the requests stayed within.
-func (l Latencies) At(share float64) time.Duration {
+// Quantile is the latency that a share of the requests stayed within.
+func (l Latencies) Quantile(share float64) time.Duration {
 	if len(l) == 0 {
 		return 0
 	}
 	return l[min(int(share*float64(len(l))), len(l)-1)]
 }
 
-// Added compares requests that took turns.
-type Added struct{ Direct, Through Latencies }
+// Comparison compares requests that took turns.
+type Comparison struct{ Direct, ViaEntry Latencies }
 
-// Median is what the entry VM adds at the median.
-func (a Added) Median() time.Duration { return a.Through.At(0.5) - a.Direct.At(0.5) }
+// MedianOverhead is what the entry VM adds at the median.
+func (a Comparison) MedianOverhead() time.Duration { return a.ViaEntry.Quantile(0.5) - a.Direct.Quantile(0.5) }
 
 // Compare sends so many requests each way, one after the other, in turn.
-func (m *Meter) Compare(ctx context.Context, count, tokens int, stream bool) (Added, error) {
-	var added Added
+func (m *Meter) Compare(ctx context.Context, count, tokens int, stream bool) (Comparison, error) {
+	var added Comparison
 	for range count {
 		took, err := m.direct(tokens, stream)
 		if err != nil {
-			return Added{}, err
+			return Comparison{}, err
 		}
 		added.Direct = append(added.Direct, took)
 		if took, err = m.through(ctx, tokens, stream); err != nil {
-			return Added{}, err
+			return Comparison{}, err
 		}
-		added.Through = append(added.Through, took)
+		added.ViaEntry = append(added.ViaEntry, took)
 	}
 	slices.Sort(added.Direct)
-	slices.Sort(added.Through)
+	slices.Sort(added.ViaEntry)
 	return added, nil
 }
 
@@ -96,30 +96,30 @@
 	return got.Latency, nil
 }
 
-// Load is what a closed loop brought.
-type Load struct {
+// LoopResult is what a closed loop brought.
+type LoopResult struct {
 	Requests int64
-	Wall     time.Duration
+	Elapsed     time.Duration
 	// CPU is the processor time that the entry VM used.
 	CPU       time.Duration
 	Latencies Latencies
 }
 
 // PerSecond is the throughput.
-func (l Load) PerSecond() float64 { return float64(l.Requests) / l.Wall.Seconds() }
+func (l LoopResult) PerSecond() float64 { return float64(l.Requests) / l.Elapsed.Seconds() }
 
-// Cores is how many processors the entry VM kept busy.
-func (l Load) Cores() float64 { return l.CPU.Seconds() / l.Wall.Seconds() }
+// CoresUsed is how many processors the entry VM kept busy.
+func (l LoopResult) CoresUsed() float64 { return l.CPU.Seconds() / l.Elapsed.Seconds() }
 
 // CPUPerRequest is the entry VM's processor time for each request.
-func (l Load) CPUPerRequest() time.Duration { return l.CPU / time.Duration(max(l.Requests, 1)) }
+func (l LoopResult) CPUPerRequest() time.Duration { return l.CPU / time.Duration(max(l.Requests, 1)) }
 
-// Loop has workers send requests through the entry VM, each as soon as its last
+// RunClosedLoop has workers send requests through the entry VM, each as soon as its last
 // one is answered.
-func (m *Meter) Loop(ctx context.Context, workers int, length time.Duration, tokens int, stream bool) (Load, error) {
+func (m *Meter) RunClosedLoop(ctx context.Context, workers int, length time.Duration, tokens int, stream bool) (LoopResult, error) {
 	before, err := CPUTime(m.PID)
 	if err != nil {
-		return Load{}, err
+		return LoopResult{}, err
 	}
 	start := time.Now()
 	all := make([]Latencies, workers)
@@ -137,14 +137,14 @@
 		})
 	}
 	if err := group.Wait(); err != nil {
-		return Load{}, err
+		return LoopResult{}, err
 	}
 	wall := time.Since(start)
 	after, err := CPUTime(m.PID)
 	if err != nil {
-		return Load{}, err
+		return LoopResult{}, err
 	}
 	latencies := slices.Concat(all...)
 	slices.Sort(latencies)
-	return Load{Requests: int64(len(latencies)), Wall: wall, CPU: after - before, Latencies: latencies}, nil
+	return LoopResult{Requests: int64(len(latencies)), Elapsed: wall, CPU: after - before, Latencies: latencies}, nil
 }
--- a/internal/load/report/files.go
+++ b/internal/load/report/files.go
@@ -72,12 +72,12 @@
 
 func millisText(ms float64) string { return strconv.FormatFloat(ms, 'f', 3, 64) }
 
-// Details are the lines that stand before the last one.
-func (s Summary) Details() []string {
+// DetailLines are the lines that stand before the last one.
+func (s Summary) DetailLines() []string {
 	lines := []string{
-		fmt.Sprintf("latency p50_ms=%.1f p95_ms=%.1f p99_ms=%.1f max_ms=%.1f", s.All.P50, s.All.P95, s.All.P99, s.All.Max),
+		fmt.Sprintf("latency p50_ms=%.1f p95_ms=%.1f p99_ms=%.1f max_ms=%.1f", s.Latency.P50, s.Latency.P95, s.Latency.P99, s.Latency.Max),
 		fmt.Sprintf("first_token p50_ms=%.1f p95_ms=%.1f p99_ms=%.1f", s.FirstToken.P50, s.FirstToken.P95, s.FirstToken.P99),
-		fmt.Sprintf("sent_late p50_ms=%.1f p99_ms=%.1f max_ms=%.1f", s.Late.P50, s.Late.P99, s.Late.Max),
+		fmt.Sprintf("sent_late p50_ms=%.1f p99_ms=%.1f max_ms=%.1f", s.SendDelay.P50, s.SendDelay.P99, s.SendDelay.Max),
 		fmt.Sprintf("executions=%d engine_us=%d unfinished_us=%d cost=%.0f cached_share=%.3f", s.Executions, s.EngineUS, s.UnfinishedUS, s.Cost, s.CachedShare),
 		fmt.Sprintf("false_not_run=%d refused=%d", s.FalseNotRun, s.Refused),
 	}
--- a/internal/load/report/report_test.go
+++ b/internal/load/report/report_test.go
@@ -59,7 +59,7 @@
 		{IdempotencyKey: "a2", Pool: "enc", EngineUS: 100, Customer: "c-a"},
 	}
 	s := Summarize(results(), executions)
-	assert.Equal(t, s.LastLine(), "attainment=0.2500 requests=4 answered=2 lost=1 doubled=0 crossed=0")
+	assert.Equal(t, s.ResultLine(), "attainment=0.2500 requests=4 answered=2 lost=1 doubled=0 crossed=0")
 	assert.Equal(t, s.Cost, 400.0)
 	assert.Equal(t, s.ByPool["llm"], int64(300))
 	assert.Equal(t, s.UnfinishedUS, int64(100))
@@ -69,7 +69,7 @@
 	assert.Equal(t, s.ByCustomer[0].Attainment, 0.5)
 	assert.Equal(t, s.ByCustomer[0].Executions, 2)
 	assert.Equal(t, s.Errors["refused 429 not_run"], 1)
-	assert.Assert(t, s.All.Max < 3100, "poison requests are not in the latency")
+	assert.Assert(t, s.Latency.Max < 3100, "poison requests are not in the latency")
 }
 
 func TestTimelineCountsByScheduledTime(t *testing.T) {
--- a/internal/load/report/summary.go
+++ b/internal/load/report/summary.go
@@ -57,13 +57,13 @@
 type Summary struct {
 	check.Totals
 	Attainment float64 `json:"attainment"`
-	// All is the latency of every request until it ended, however it ended.
-	All Latency `json:"latency"`
+	// Latency is the latency of every request until it ended, however it ended.
+	Latency Latency `json:"latency"`
 	// FirstToken is the time to the first token of streams.
 	FirstToken Latency `json:"first_token"`
-	// Late is how late the load tool itself sent; high values mean that this
+	// SendDelay is how late the load tool itself sent; high values mean that this
 	// machine was too busy to trust the run.
-	Late Latency `json:"late"`
+	SendDelay Latency `json:"late"`
 	// EngineUS is the time that the targets spent, in microseconds.
 	EngineUS int64 `json:"engine_us"`
 	// Cost is EngineUS for each request answered once, whole and in time; zero
@@ -85,16 +85,16 @@
 	Customer string `json:"customer"`
 	check.Totals
 	Attainment float64 `json:"attainment"`
-	All        Latency `json:"latency"`
+	Latency        Latency `json:"latency"`
 }
 
 // Summarize judges a run by its results and by what the targets counted.
 func Summarize(results []caller.Result, executions []control.Execution) Summary {
 	s := Summary{Totals: check.Judge(endings(results), executions)}
 	s.Attainment = s.Totals.Attainment()
-	s.All = Percentiles(latencies(results))
+	s.Latency = Percentiles(latencies(results))
 	s.FirstToken = Percentiles(firstTokens(results))
-	s.Late = Percentiles(lateness(results))
+	s.SendDelay = Percentiles(lateness(results))
 	s.addCosts(executions)
 	s.ByCustomer = byCustomer(results, executions)
 	s.Errors = errorsOf(results)
@@ -141,7 +141,7 @@
 			Customer:   customer,
 			Totals:     totals,
 			Attainment: totals.Attainment(),
-			All:        Percentiles(latencies(parts[customer])),
+			Latency:        Percentiles(latencies(parts[customer])),
 		})
 	}
 	return summaries
@@ -217,8 +217,8 @@
 	return counts
 }
 
-// LastLine is the line that every run ends with.
-func (s Summary) LastLine() string {
+// ResultLine is the line that every run ends with.
+func (s Summary) ResultLine() string {
 	return fmt.Sprintf("attainment=%.4f requests=%d answered=%d lost=%d doubled=%d crossed=%d",
 		s.Attainment, s.Requests, s.Answered, s.Lost, s.Doubled, s.Crossed)
 }
