--- a/internal/load/bench/bench_test.go
+++ b/internal/load/bench/bench_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestSteps(t *testing.T) {
+func TestStepsOrderAndSelection(t *testing.T) {
 	got, err := Steps(scenarios(), Selection{Policies: []string{"present", "random"}})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, []StepID{
@@ -42,7 +42,7 @@
 	assert.ErrorContains(t, err, `no policy "best"`)
 }
 
-func TestSpread(t *testing.T) {
+func TestSpreadMedianAndRange(t *testing.T) {
 	assert.Equal(t, NewSpread(nil), Spread{})
 	assert.Equal(t, NewSpread([]float64{3, 1, 2}), Spread{Median: 2, Low: 1, High: 3})
 	assert.Equal(t, NewSpread([]float64{4, 1, 2, 3}), Spread{Median: 2.5, Low: 1, High: 4})
@@ -55,7 +55,7 @@
 	return r
 }
 
-func TestMergeComparesSeedBySeed(t *testing.T) {
+func TestMergeComparesRunsOfTheSameSeed(t *testing.T) {
 	rows := Merge([]Result{
 		result("random", 2, 0.4, 300), result("random", 1, 0.5, 100), result("random", 3, 0, 0),
 		result("present", 1, 1.0, 200), result("present", 2, 0.8, 150), result("present", 3, 0.9, 100),
@@ -70,7 +70,7 @@
 		"policy=present scenario=a attainment=0.9000 p50_ms=0.0 p95_ms=0.0 cost=150 "), rows[0].Line())
 }
 
-func TestResultsSurviveTheFile(t *testing.T) {
+func TestResultsRoundTripThroughFile(t *testing.T) {
 	dir := t.TempDir()
 	want := result("present", 1, 0.5, 7)
 	assert.NilError(t, report.WriteJSON(filepath.Join(dir, "a.json"), want))
@@ -95,7 +95,7 @@
 	assert.Assert(t, !strings.Contains(string(raw), "<halls>"))
 }
 
-func TestLayoutNamesEveryEntry(t *testing.T) {
+func TestLayoutListsEveryEntryVM(t *testing.T) {
 	s, err := experiment.ReadScenario("../../../experiments/steady-70.json")
 	assert.NilError(t, err)
 	dir := t.TempDir()
--- a/internal/load/bench/layout.go
+++ b/internal/load/bench/layout.go
@@ -1,6 +1,6 @@
-// Package bench makes one run of a scenario under a policy against processes
-// that a script has started, and merges the results of many runs. It starts no
-// process itself.
+// Package bench runs benchmark scenarios under a policy against processes that a
+// script has started, and merges the results of many runs. It starts no
+// processes itself.
 package bench
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/vanillagate/vanillagate/internal/load/shape"
 )
 
-// Files of a run's directory.
+// Files in the directory of a run.
 const (
 	fleetFile   = "fleet.json"
 	entriesFile = "entries.tsv"
@@ -23,15 +23,17 @@
 	fileMode    = 0o644
 )
 
-// Keys of the bench. They protect nothing: everything listens on loopback.
+// Keys used by the benchmark. They are not secret: everything listens on
+// loopback only.
 const (
 	OperatorKey = "bench-operator"
 	peerKey     = "bench-peer-key-0123456789abcdef"
 )
 
-// WriteLayout writes what a script needs to start a deployment of a scenario:
-// the stand-ins' fleet file, one line for each entry VM (place, address, peer
-// address, zone, region), and settings as environment variables.
+// WriteLayout writes the files that a script needs to start the deployment of a
+// scenario on free ports: the stand-ins' fleet file, a table with one line for
+// each entry VM (index, address, peer address, zone, region), and a shell script
+// that exports the settings as environment variables.
 func WriteLayout(dir string, s *experiment.Scenario, seed uint64) error {
 	port, err := shape.FreePorts(s.Shape.Ports())
 	if err != nil {
@@ -48,10 +50,10 @@
 	if err := os.WriteFile(filepath.Join(dir, entriesFile), []byte(entries.String()), fileMode); err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(dir, envFile), []byte(envOf(fleet)), fileMode)
+	return os.WriteFile(filepath.Join(dir, envFile), []byte(environmentScript(fleet)), fileMode)
 }
 
-func envOf(fleet shape.Fleet) string {
+func environmentScript(fleet shape.Fleet) string {
 	var text strings.Builder
 	set := func(name, value string) { fmt.Fprintf(&text, "export VANILLAGATE_%s=%q\n", name, value) }
 	set("TABLE_URL", "http://"+fleet.Table)
@@ -62,7 +64,7 @@
 	return text.String()
 }
 
-// ReadFleet reads the fleet file of a run's directory.
+// ReadFleet reads the fleet file in the directory of a run.
 func ReadFleet(dir string) (shape.Fleet, error) {
 	var fleet shape.Fleet
 	err := shape.DecodeFile(filepath.Join(dir, fleetFile), &fleet)
--- a/internal/load/bench/merge.go
+++ b/internal/load/bench/merge.go
@@ -11,12 +11,12 @@
 	"strings"
 )
 
-// Spread is the median of several runs, with the lowest and the highest.
+// Spread is the median, minimum and maximum of a figure over several runs.
 type Spread struct {
 	Median, Low, High float64
 }
 
-// NewSpread reads a Spread; of no values it is zero.
+// NewSpread returns the Spread of values; without values it is zero.
 func NewSpread(values []float64) Spread {
 	if len(values) == 0 {
 		return Spread{}
@@ -30,29 +30,30 @@
 	return Spread{Median: median, Low: sorted[0], High: sorted[len(sorted)-1]}
 }
 
-// Row is one policy in one scenario over all its seeds.
+// Row holds the merged results of one policy in one scenario over all seeds.
 type Row struct {
 	Scenario, Policy string
 	Runs             []Result
 	Attainment       Spread
 	P50, P95         Spread
 	Cost             Spread
-	// SendDelay is how late vgload itself sent, at the 99th percentile; high values
-	// mean that the machine was too busy to trust the row.
+	// SendDelay is how long after schedule vgload itself sent requests, at the
+	// 99th percentile. High values mean that the machine was overloaded and the
+	// row is not reliable.
 	SendDelay Spread
-	// CachedShare is the share of prompt tokens that prefix caches held.
+	// CachedShare is the share of prompt tokens found in prefix caches.
 	CachedShare Spread
-	// AttainmentRatio and CostRatio are the present policy's figure divided by
-	// this policy's, seed by seed. They are zero where the present policy has
-	// no run of the same seed.
+	// AttainmentRatio and CostRatio are the figure of PresentPolicy divided by
+	// that of this policy, for each seed. They are zero if PresentPolicy has no
+	// run with the same seed.
 	AttainmentRatio, CostRatio Spread
-	// ByCustomer is the attainment of each customer.
+	// ByCustomer maps each customer to its attainment.
 	ByCustomer map[string]Spread
-	// Lost, Doubled, Crossed and FalseNotRun add up all seeds.
+	// Lost, Doubled, Crossed and FalseNotRun are sums over all seeds.
 	Lost, Doubled, Crossed, FalseNotRun int
 }
 
-// ReadResults reads all results of a directory.
+// ReadResults reads all results in a directory.
 func ReadResults(dir string) ([]Result, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -71,15 +72,15 @@
 		all = append(all, r)
 	}
 	if len(all) == 0 {
-		return nil, fmt.Errorf("bench: %s holds no results: %w", dir, os.ErrNotExist)
+		return nil, fmt.Errorf("bench: no results in %s: %w", dir, os.ErrNotExist)
 	}
 	return all, nil
 }
 
 type rowKey struct{ scenario, policy string }
 
-// Merge makes a row of each policy in each scenario, ordered by scenario and
-// then as Policies is.
+// Merge combines results into one row for each scenario and policy, sorted by
+// scenario and then by the order of Policies.
 func Merge(results []Result) []Row {
 	groups := map[rowKey][]Result{}
 	for _, r := range results {
@@ -89,7 +90,7 @@
 	var rows []Row
 	for key, runs := range groups {
 		slices.SortFunc(runs, func(a, b Result) int { return cmp.Compare(a.Seed, b.Seed) })
-		rows = append(rows, rowOf(key, runs, groups[rowKey{key.scenario, PresentPolicy}]))
+		rows = append(rows, newRow(key, runs, groups[rowKey{key.scenario, PresentPolicy}]))
 	}
 	slices.SortFunc(rows, func(a, b Row) int {
 		return cmp.Or(
@@ -100,7 +101,7 @@
 	return rows
 }
 
-func rowOf(key rowKey, runs, present []Result) Row {
+func newRow(key rowKey, runs, present []Result) Row {
 	row := Row{Scenario: key.scenario, Policy: key.policy, Runs: runs}
 	row.Attainment = spreadOver(runs, func(r Result) float64 { return r.Summary.Attainment })
 	row.P50 = spreadOver(runs, func(r Result) float64 { return r.Summary.Latency.P50 })
@@ -120,22 +121,22 @@
 	return row
 }
 
-func spreadOver(runs []Result, figure func(Result) float64) Spread {
+func spreadOver(runs []Result, metric func(Result) float64) Spread {
 	var values []float64
 	for _, r := range runs {
-		values = append(values, figure(r))
+		values = append(values, metric(r))
 	}
 	return NewSpread(values)
 }
 
-// ratios divides figures of runs with the same seed. Runs whose figure is zero
-// have no ratio.
-func ratios(above, below []Result, figure func(Result) float64) Spread {
+// ratios divides the metric of each run in numerators by that of the run with
+// the same seed in denominators. Runs whose denominator is zero are skipped.
+func ratios(numerators, denominators []Result, metric func(Result) float64) Spread {
 	var values []float64
-	for _, b := range below {
-		at := slices.IndexFunc(above, func(a Result) bool { return a.Seed == b.Seed })
-		if at >= 0 && figure(b) > 0 {
-			values = append(values, figure(above[at])/figure(b))
+	for _, b := range denominators {
+		match := slices.IndexFunc(numerators, func(a Result) bool { return a.Seed == b.Seed })
+		if match >= 0 && metric(b) > 0 {
+			values = append(values, metric(numerators[match])/metric(b))
 		}
 	}
 	return NewSpread(values)
@@ -155,7 +156,8 @@
 	return spreads
 }
 
-// CustomerLine is the attainment of each customer as one line of text.
+// CustomerLine returns the median attainment of each customer as one line of
+// key=value pairs.
 func (r Row) CustomerLine() string {
 	var line strings.Builder
 	fmt.Fprintf(&line, "by_customer policy=%s scenario=%s", r.Policy, r.Scenario)
@@ -165,7 +167,7 @@
 	return line.String()
 }
 
-// Line is the row as one line of text.
+// Line returns the row as one line of key=value pairs.
 func (r Row) Line() string {
 	return fmt.Sprintf("policy=%s scenario=%s attainment=%.4f p50_ms=%.1f p95_ms=%.1f cost=%.0f"+
 		" attainment_low=%.4f attainment_high=%.4f seeds=%d present_to_this_attainment=%.3f present_to_this_cost=%.3f"+
--- a/internal/load/bench/page.go
+++ b/internal/load/bench/page.go
@@ -9,7 +9,7 @@
 	"github.com/vanillagate/vanillagate/internal/load/report"
 )
 
-// page is what the template shows.
+// page is the data of pageTemplate, with drawings as SVG.
 type page struct {
 	Overview  []template.HTML
 	Scenarios []scenarioPage
@@ -21,7 +21,7 @@
 	OverTime           template.HTML
 }
 
-// pageTemplate shows inline SVG drawings beside tables.
+// pageTemplate renders the report with inline SVG charts and tables.
 var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>vanillagate bench</title>
 <style>
@@ -54,9 +54,9 @@
 </body></html>
 `))
 
-// WritePage writes the report with its plots.
+// WritePage writes the HTML report of rows, with its charts, to path.
 func WritePage(path string, rows []Row) error {
-	shown, err := pageOf(rows)
+	data, err := newPage(rows)
 	if err != nil {
 		return err
 	}
@@ -67,49 +67,49 @@
 	if err != nil {
 		return err
 	}
-	if err := pageTemplate.Execute(file, shown); err != nil {
+	if err := pageTemplate.Execute(file, data); err != nil {
 		_ = file.Close()
 		return err
 	}
 	return file.Close()
 }
 
-func pageOf(rows []Row) (page, error) {
-	var shown page
-	for _, figure := range figures {
-		drawing, err := report.Bars(figure.title, figure.axis, barsOf(rows, figure.of))
+func newPage(rows []Row) (page, error) {
+	var data page
+	for _, chart := range overviewCharts {
+		drawing, err := report.Bars(chart.title, chart.axis, newBarChart(rows, chart.value))
 		if err != nil {
 			return page{}, err
 		}
-		shown.Overview = append(shown.Overview, template.HTML(drawing))
+		data.Overview = append(data.Overview, template.HTML(drawing))
 	}
-	for _, name := range scenariosOf(rows) {
-		own := slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.Scenario != name })
-		drawing, err := report.Lines("Attainment over time, first seed", "seconds", "attainment", linesOf(own))
+	for _, name := range scenarioNames(rows) {
+		scenarioRows := slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.Scenario != name })
+		drawing, err := report.Lines("Attainment over time, first seed", "seconds", "attainment", attainmentSeries(scenarioRows))
 		if err != nil {
 			return page{}, err
 		}
-		first := own[0].Runs[0]
-		shown.Scenarios = append(shown.Scenarios, scenarioPage{
-			Name: name, About: first.About, Shape: first.Shape, Rows: own, OverTime: template.HTML(drawing),
+		first := scenarioRows[0].Runs[0]
+		data.Scenarios = append(data.Scenarios, scenarioPage{
+			Name: name, About: first.About, Shape: first.Shape, Rows: scenarioRows, OverTime: template.HTML(drawing),
 		})
 	}
-	return shown, nil
+	return data, nil
 }
 
-// figure is one drawing of the overview.
-type figure struct {
+// overviewChart is a bar chart that compares all scenarios and policies.
+type overviewChart struct {
 	title, axis string
-	of          func(Row) float64
+	value       func(Row) float64
 }
 
-var figures = []figure{
+var overviewCharts = []overviewChart{
 	{"Attainment", "share of requests", func(r Row) float64 { return r.Attainment.Median }},
 	{"Latency, 95th percentile", "ms", func(r Row) float64 { return r.P95.Median }},
 	{"Cost for each attained request", "target ms", func(r Row) float64 { return r.Cost.Median / 1000 }},
 }
 
-func scenariosOf(rows []Row) []string {
+func scenarioNames(rows []Row) []string {
 	var names []string
 	for _, r := range rows {
 		if !slices.Contains(names, r.Scenario) {
@@ -119,16 +119,17 @@
 	return names
 }
 
-// barsOf makes a group of bars of each policy, one bar for each scenario.
-func barsOf(rows []Row, of func(Row) float64) report.BarChart {
-	chart := report.BarChart{Labels: scenariosOf(rows)}
+// newBarChart returns a chart with a group of bars for each policy and one bar
+// in it for each scenario.
+func newBarChart(rows []Row, value func(Row) float64) report.BarChart {
+	chart := report.BarChart{Labels: scenarioNames(rows)}
 	for _, policy := range Policies {
 		values := make([]float64, len(chart.Labels))
 		found := false
 		for _, r := range rows {
 			if r.Policy == policy {
 				found = true
-				values[slices.Index(chart.Labels, r.Scenario)] = of(r)
+				values[slices.Index(chart.Labels, r.Scenario)] = value(r)
 			}
 		}
 		if found {
@@ -138,7 +139,7 @@
 	return chart
 }
 
-func linesOf(rows []Row) []report.Series {
+func attainmentSeries(rows []Row) []report.Series {
 	var all []report.Series
 	for _, r := range rows {
 		line := report.Series{Name: r.Policy}
--- a/internal/load/bench/step.go
+++ b/internal/load/bench/step.go
@@ -19,24 +19,24 @@
 )
 
 const (
-	readyLimit   = 15 * time.Second
-	warmupLength = 500 * time.Millisecond
-	warmupSeed   = 1 << 32
+	readyTimeout   = 15 * time.Second
+	warmupDuration = 500 * time.Millisecond
+	warmupSeed     = 1 << 32
 )
 
-// Step is one run: a scenario under a policy with one seed.
+// Step is one benchmark run: a scenario under one policy with one seed.
 type Step struct {
 	Scenario *experiment.Scenario
 	Policy   string
 	Seed     uint64
 	Quick    bool
-	// Dir is where WriteLayout wrote and where the script keeps the process
-	// ids of the entry VMs.
+	// Dir is the directory that WriteLayout wrote to and in which the script
+	// stores the process IDs of the entry VMs.
 	Dir string
 	Log io.Writer
 }
 
-// Result is what a Step found.
+// Result holds the measurements of a Step.
 type Result struct {
 	Scenario string         `json:"scenario"`
 	About    string         `json:"about"`
@@ -44,12 +44,12 @@
 	Policy   string         `json:"policy"`
 	Seed     uint64         `json:"seed"`
 	Summary  report.Summary `json:"summary"`
-	// Timeline has one point for each part of the duration.
+	// Timeline has one point for each interval of the duration.
 	Timeline []report.Point `json:"timeline"`
 }
 
-// Run makes the step. The processes must have been started; Run waits until
-// they are up, has the configuration accepted, warms up, and measures.
+// Run executes the step. The processes must have been started: Run waits until
+// they are ready, applies the configuration, warms the system up and measures.
 func (s Step) Run(ctx context.Context) (Result, []caller.Result, error) {
 	fleet, err := s.Prepare(ctx)
 	if err != nil {
@@ -57,15 +57,15 @@
 	}
 	callers := s.callers(fleet)
 	defer closeAll(callers)
-	stands := control.New(fleet.Control)
-	if err := s.warmUp(ctx, callers, stands); err != nil {
+	standins := control.New(fleet.Control)
+	if err := s.warmUp(ctx, callers, standins); err != nil {
 		return Result{}, nil, err
 	}
-	results, err := s.measure(ctx, callers, stands, fleet)
+	results, err := s.measure(ctx, callers, standins, fleet)
 	if err != nil {
 		return Result{}, nil, err
 	}
-	counts, err := stands.Settled(control.SettleLimit)
+	counts, err := standins.Settled(control.SettleLimit)
 	if err != nil {
 		return Result{}, nil, err
 	}
@@ -82,8 +82,8 @@
 
 func (s Step) length() time.Duration { return s.Scenario.Duration(s.Quick) }
 
-// Prepare waits for the processes, has the shape's configuration in force, and
-// tells where everything listens.
+// Prepare waits until the processes are ready and the shape's configuration is
+// in force on all entry VMs, and returns the addresses of the deployment.
 func (s Step) Prepare(ctx context.Context) (shape.Fleet, error) {
 	fleet, err := ReadFleet(s.Dir)
 	if err != nil {
@@ -93,10 +93,10 @@
 }
 
 func (s Step) prepare(ctx context.Context, fleet shape.Fleet) error {
-	ctx, cancel := context.WithTimeout(ctx, readyLimit)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	began := time.Now()
-	note := func(what string) {
+	logStage := func(what string) {
 		fmt.Fprintf(s.Log, "prepare: %s after %.2f s\n", what, time.Since(began).Seconds())
 	}
 	for _, e := range fleet.Entries {
@@ -104,42 +104,42 @@
 			return err
 		}
 	}
-	note("all entry VMs answer")
+	logStage("all entry VMs healthy")
 	operator := setup.NewOperator(fleet.Entries[0].Address, OperatorKey)
 	revision, err := operator.Apply(ctx, s.Scenario.Shape)
 	if err != nil {
 		return err
 	}
-	note("configuration accepted")
+	logStage("configuration accepted")
 	if err := operator.WaitInForce(ctx, revision, len(fleet.Entries)); err != nil {
 		return err
 	}
-	note("configuration in force")
+	logStage("configuration in force")
 	for _, e := range fleet.Entries {
 		if err := setup.WaitReady(ctx, e.Address); err != nil {
 			return err
 		}
 	}
-	err = s.waitAnswered(ctx, fleet)
-	note("requests are answered")
+	err = s.waitForAnswers(ctx, fleet)
+	logStage("entry VMs answer requests")
 	return err
 }
 
-// waitAnswered sends requests to each entry VM until it has answered one, so
-// that a run doesn't begin before the targets have been discovered.
-func (s Step) waitAnswered(ctx context.Context, fleet shape.Fleet) error {
+// waitForAnswers sends probe requests to each entry VM until it answers one, so
+// that the run doesn't start before the targets have been discovered.
+func (s Step) waitForAnswers(ctx context.Context, fleet shape.Fleet) error {
 	for i, e := range fleet.Entries {
 		client := caller.NewPinned(e.Address)
 		for try := 0; ; try++ {
-			call := s.probe(fmt.Sprintf("probe-%d-%d", i, try))
+			call := s.probeCall(fmt.Sprintf("probe-%d-%d", i, try))
 			got := client.Do(ctx, call)
 			if got.Outcome == caller.Answered {
 				break
 			}
 			if ctx.Err() != nil {
-				return fmt.Errorf("bench: entry VM %s answers no request: %s", e.Address, got.Detail)
+				return fmt.Errorf("bench: entry VM %s answered no probe request: %s", e.Address, got.Detail)
 			}
-			pause(ctx, probePeriod)
+			sleepContext(ctx, probePeriod)
 		}
 		client.Close()
 	}
@@ -151,7 +151,7 @@
 	probeTimeout = 2 * time.Second
 )
 
-func (s Step) probe(ref string) caller.Call {
+func (s Step) probeCall(ref string) caller.Call {
 	first := s.Scenario.Shape.Customers[0]
 	return caller.Call{
 		Kind:           caller.KindPipeline,
@@ -167,7 +167,7 @@
 	}
 }
 
-// callers makes one caller near each entry VM.
+// callers returns one caller for each entry VM, which it tries first.
 func (s Step) callers(fleet shape.Fleet) []*caller.Caller {
 	var all []*caller.Caller
 	for i := range fleet.Entries {
@@ -186,20 +186,21 @@
 	}
 }
 
-// warmUp opens connections and fills estimates, then forgets what was counted.
-func (s Step) warmUp(ctx context.Context, callers []*caller.Caller, stands *control.Client) error {
-	plan := experiment.Plan(s.Scenario.CustomerLoads(warmupLength), warmupLength, s.Seed+warmupSeed, s.name()+"w")
+// warmUp sends a short load that opens connections and lets the entry VMs
+// form their estimates, then resets the counters of the stand-ins.
+func (s Step) warmUp(ctx context.Context, callers []*caller.Caller, standins *control.Client) error {
+	plan := experiment.Plan(s.Scenario.CustomerLoads(warmupDuration), warmupDuration, s.Seed+warmupSeed, s.runName()+"w")
 	runner.Run(ctx, callers, plan, time.Now(), &runner.Progress{})
-	return stands.Reset()
+	return standins.Reset()
 }
 
-func (s Step) name() string { return fmt.Sprintf("%d", s.Seed) }
+func (s Step) runName() string { return fmt.Sprintf("%d", s.Seed) }
 
-// measure sends the load while the faults happen.
-func (s Step) measure(ctx context.Context, callers []*caller.Caller, stands *control.Client, fleet shape.Fleet) ([]caller.Result, error) {
-	plan := s.Scenario.Plan(s.length(), s.Seed, s.name())
+// measure sends the load while the faults are injected.
+func (s Step) measure(ctx context.Context, callers []*caller.Caller, standins *control.Client, fleet shape.Fleet) ([]caller.Result, error) {
+	plan := s.Scenario.Plan(s.length(), s.Seed, s.runName())
 	events := fault.Plan(s.Scenario, fleet, s.length())
-	injector := &fault.Injector{Control: stands, PIDDir: s.Dir, Log: s.Log}
+	injector := &fault.Injector{Control: standins, PIDDir: s.Dir, Log: s.Log}
 	var progress runner.Progress
 	stop := report.ShowProgress(s.Log, &progress, time.Second)
 	defer stop()
@@ -216,7 +217,7 @@
 	return results, err
 }
 
-func pause(ctx context.Context, wait time.Duration) {
+func sleepContext(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(wait):
--- a/internal/load/bench/steps.go
+++ b/internal/load/bench/steps.go
@@ -7,53 +7,54 @@
 	"github.com/vanillagate/vanillagate/internal/load/experiment"
 )
 
-// PresentPolicy is the product's own policy; all others are baselines.
+// PresentPolicy is the policy for routing, admission and retries that
+// vanillagate uses; all other policies are compared with it.
 const PresentPolicy = "present"
 
-// Policies are the product's own policy and the baselines, in the order in
-// which they are run and shown.
+// Policies lists PresentPolicy and the baseline policies, in the order in which
+// they are run and shown.
 var Policies = []string{
 	PresentPolicy, "random", "round-robin", "least-in-flight", "no-admission", "retry-without-budget",
 }
 
-// AblationPolicies are the product's policy with one part switched off or as it was
-// before, run only where they are named.
+// AblationPolicies are variants of PresentPolicy with one mechanism disabled or
+// replaced by its earlier version. They run only if selected by name.
 var AblationPolicies = []string{"better-of-two", "with-reports", "no-hedge", "no-ejection", "no-affinity"}
 
-// StepID names one step.
+// StepID identifies one step.
 type StepID struct {
 	Scenario string
 	Policy   string
 	Seed     uint64
 }
 
-// Selection narrows the steps down; empty fields select everything.
+// Selection filters the steps to run; empty fields select everything.
 type Selection struct {
 	Policies  []string
 	Scenarios []string
 	Seeds     []uint64
-	// Quick selects the quick scenarios and one seed of each.
+	// Quick selects the quick scenarios and the first seed of each.
 	Quick bool
 }
 
-// Steps lists what is to be run. All scenarios of one policy and seed stand
-// together, and the policies take turns within a seed, so that a slow spell of
-// the machine does not fall on one policy only.
-func Steps(scenarios []*experiment.Scenario, pick Selection) ([]StepID, error) {
-	if err := pick.check(scenarios); err != nil {
+// Steps returns the steps to run. They are grouped by seed position and then by
+// policy, so that a temporary slowdown of the machine does not affect only one
+// policy.
+func Steps(scenarios []*experiment.Scenario, selection Selection) ([]StepID, error) {
+	if err := selection.check(scenarios); err != nil {
 		return nil, err
 	}
 	var steps []StepID
-	for turn := 0; ; turn++ {
+	for seedIndex := 0; ; seedIndex++ {
 		found := false
-		for _, policy := range pick.policies() {
+		for _, policy := range selection.policies() {
 			for _, s := range scenarios {
-				seeds := pick.seeds(s)
-				if !pick.wants(s) || turn >= len(seeds) {
+				seeds := selection.seeds(s)
+				if !selection.includes(s) || seedIndex >= len(seeds) {
 					continue
 				}
 				found = true
-				steps = append(steps, StepID{Scenario: s.Name, Policy: policy, Seed: seeds[turn]})
+				steps = append(steps, StepID{Scenario: s.Name, Policy: policy, Seed: seeds[seedIndex]})
 			}
 		}
 		if !found {
@@ -83,7 +84,7 @@
 	return Policies
 }
 
-func (p Selection) wants(s *experiment.Scenario) bool {
+func (p Selection) includes(s *experiment.Scenario) bool {
 	if len(p.Scenarios) > 0 {
 		return slices.Contains(p.Scenarios, s.Name)
 	}
--- a/internal/load/cli/bench.go
+++ b/internal/load/cli/bench.go
@@ -34,9 +34,9 @@
 func benchCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "bench",
-		Usage: "experiments, one step at a time; scripts/bench.sh starts the processes in between",
-		Description: "vgload starts no process. scripts/bench.sh asks \"bench steps\" what is to be run, has \"bench layout\"\n" +
-			"write addresses and settings for a step, starts the stand-ins and entry VMs, and calls \"bench step\".\n" +
+		Usage: "run benchmark scenarios step by step; scripts/bench.sh starts the processes for each step",
+		Description: "vgload starts no processes. scripts/bench.sh lists the steps with \"bench steps\", writes the addresses\n" +
+			"and settings of each with \"bench layout\", starts its stand-ins and entry VMs, and calls \"bench step\".\n" +
 			"\"vgload report\" merges the results.",
 		Commands:     []*cli.Command{stepsCommand(), layoutCommand(), stepCommand()},
 		OnUsageError: onUsageError,
@@ -48,11 +48,11 @@
 }
 
 func quickFlag() cli.Flag {
-	return &cli.BoolFlag{Name: flagQuick, Usage: "the quick scenarios, short and with one seed", Sources: program.Env(flagQuick)}
+	return &cli.BoolFlag{Name: flagQuick, Usage: "run only the quick scenarios, for a shorter time and with one seed", Sources: program.Env(flagQuick)}
 }
 
 func dirFlag() cli.Flag {
-	return &cli.StringFlag{Name: flagDir, Usage: "`DIR` of the step's files", Sources: program.Env(flagDir)}
+	return &cli.StringFlag{Name: flagDir, Usage: "`DIR` with the files of the step", Sources: program.Env(flagDir)}
 }
 
 func stepFlags(more ...cli.Flag) []cli.Flag {
@@ -67,15 +67,15 @@
 func stepsCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "steps",
-		Usage:        "list what is to be run: scenario, policy and seed, separated by tabs",
+		Usage:        "list the steps to run: scenario, policy and seed, separated by tabs",
 		Action:       listSteps,
 		OnUsageError: onUsageError,
 		Flags: []cli.Flag{
 			experimentsFlag(),
 			quickFlag(),
-			&cli.StringFlag{Name: flagPolicies, Usage: "only these, `P,...`", Sources: program.Env(flagPolicies)},
-			&cli.StringFlag{Name: flagScenarios, Usage: "only these, `S,...`", Sources: program.Env(flagScenarios)},
-			&cli.StringFlag{Name: flagSeeds, Usage: "these in place of the files', `N,...`", Sources: program.Env(flagSeeds)},
+			&cli.StringFlag{Name: flagPolicies, Usage: "run only these policies, `P,...`", Sources: program.Env(flagPolicies)},
+			&cli.StringFlag{Name: flagScenarios, Usage: "run only these scenarios, `S,...`", Sources: program.Env(flagScenarios)},
+			&cli.StringFlag{Name: flagSeeds, Usage: "use these seeds instead of those in the scenario files, `N,...`", Sources: program.Env(flagSeeds)},
 		},
 	}
 }
@@ -130,15 +130,15 @@
 }
 
 func writeLayout(_ context.Context, cmd *cli.Command) error {
-	scenario, err := scenarioOf(cmd)
+	scenario, err := readScenario(cmd)
 	if err != nil {
 		return err
 	}
 	return bench.WriteLayout(cmd.String(flagDir), scenario, cmd.Uint64(flagSeed))
 }
 
-// scenarioOf checks the settings of a step and reads its scenario.
-func scenarioOf(cmd *cli.Command) (*experiment.Scenario, error) {
+// readScenario validates the settings of a step and reads its scenario.
+func readScenario(cmd *cli.Command) (*experiment.Scenario, error) {
 	var check settings.Checker
 	check.NotEmpty(flagExperiments, cmd.String(flagExperiments))
 	check.NotEmpty(flagDir, cmd.String(flagDir))
@@ -161,20 +161,20 @@
 func stepCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "step",
-		Usage:        "wait for the processes of a step, set them up, send the load, inject the faults, write the result",
-		Action:       makeStep,
+		Usage:        "wait for the processes of a step, configure them, send the load, inject the faults and write the result",
+		Action:       runStep,
 		OnUsageError: onUsageError,
 		Flags: stepFlags(
 			quickFlag(),
-			&cli.StringFlag{Name: flagPolicy, Value: bench.PresentPolicy, Usage: "policy that the entry VMs run, for the result", Sources: program.Env(flagPolicy)},
+			&cli.StringFlag{Name: flagPolicy, Value: bench.PresentPolicy, Usage: "policy that the entry VMs run, recorded in the result", Sources: program.Env(flagPolicy)},
 			&cli.StringFlag{Name: flagOut, Usage: "write the result to `FILE`", Sources: program.Env(flagOut)},
 			&cli.StringFlag{Name: flagCSV, Usage: "write one line for each request to `FILE`", Sources: program.Env(flagCSV)},
 		),
 	}
 }
 
-func makeStep(ctx context.Context, cmd *cli.Command) error {
-	scenario, err := scenarioOf(cmd)
+func runStep(ctx context.Context, cmd *cli.Command) error {
+	scenario, err := readScenario(cmd)
 	if err != nil {
 		return err
 	}
@@ -207,20 +207,21 @@
 func reportCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "report",
-		Usage:        "merge the results of many steps into lines and a page with plots",
-		Action:       makeReport,
+		Usage:        "merge the results of many steps into text lines and an HTML page with charts",
+		Action:       writeReport,
 		OnUsageError: onUsageError,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: flagResults, Value: "out/bench/results", Usage: "`DIR` of the results", Sources: program.Env(flagResults)},
+			&cli.StringFlag{Name: flagResults, Value: "out/bench/results", Usage: "`DIR` with the results", Sources: program.Env(flagResults)},
 			&cli.StringFlag{Name: flagOut, Value: "out/bench", Usage: "`DIR` for report.html", Sources: program.Env(flagOut)},
 		},
 	}
 }
 
-// errBroken is returned when some run lost, doubled or crossed something.
-var errBroken = errors.New("a run doubled or crossed something, or told a false \"not run\"")
+// errGuaranteeViolated is returned if a run of PresentPolicy has doubled, crossed
+// or falsely reported "not run" requests.
+var errGuaranteeViolated = errors.New("a run has doubled or crossed requests, or requests falsely reported as \"not run\"")
 
-func makeReport(_ context.Context, cmd *cli.Command) error {
+func writeReport(_ context.Context, cmd *cli.Command) error {
 	results, err := bench.ReadResults(cmd.String(flagResults))
 	if err != nil {
 		return err
@@ -229,14 +230,14 @@
 	if err := bench.WritePage(filepath.Join(cmd.String(flagOut), "report.html"), rows); err != nil {
 		return err
 	}
-	broken := false
+	violated := false
 	for _, row := range rows {
 		fmt.Println(row.Line())
 		fmt.Println(row.CustomerLine())
-		broken = broken || (row.Policy == bench.PresentPolicy && row.Doubled+row.Crossed+row.FalseNotRun > 0)
+		violated = violated || (row.Policy == bench.PresentPolicy && row.Doubled+row.Crossed+row.FalseNotRun > 0)
 	}
-	if broken {
-		return errBroken
+	if violated {
+		return errGuaranteeViolated
 	}
 	return nil
 }
--- a/internal/load/cli/cli.go
+++ b/internal/load/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli holds the commands of vgload.
+// Package cli implements the commands of vgload.
 package cli
 
 import (
@@ -11,23 +11,24 @@
 	"github.com/vanillagate/vanillagate/internal/program"
 )
 
-// errVerdict is returned when a run was made and its verdict is bad.
-var errVerdict = errors.New("the run does not hold what must always hold")
+// errRunFailed is returned if a run completed, but with lost, doubled or crossed
+// requests, or requests falsely reported as "not run".
+var errRunFailed = errors.New("the run has lost, doubled or crossed requests, or requests falsely reported as \"not run\"")
 
-// usageError is a command line that can't be read.
+// usageError reports an invalid command line.
 type usageError struct{ error }
 
-// ExitCode makes a program end as with a setting that can't be used.
+// ExitCode makes the program exit with the same code as for an invalid setting.
 func (usageError) ExitCode() int { return program.ExitUsage }
 
-// Command is vgload.
+// Command returns the command line interface of vgload.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:    "vgload",
-		Usage:   "send load to vanillagate as its callers do, and check every answer",
+		Usage:   "send load to vanillagate like its callers do, and check every answer",
 		Version: buildinfo.Version,
-		Description: "Exit codes: 0 the run was made and nothing is wrong; 1 something was lost, doubled or crossed,\n" +
-			"or the run could not be made; 2 a setting can't be used.",
+		Description: "Exit codes: 0 the run completed without violations; 1 requests were lost, doubled or crossed,\n" +
+			"or the run could not be completed; 2 a setting is invalid.",
 		Commands:       []*cli.Command{runCommand(), benchCommand(), reportCommand(), overheadCommand()},
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		OnUsageError:   onUsageError,
--- a/internal/load/cli/cli_test.go
+++ b/internal/load/cli/cli_test.go
@@ -22,25 +22,26 @@
 	"github.com/vanillagate/vanillagate/internal/settings"
 )
 
-// system answers as an entry VM that serves a booking, and as the control
-// listener of targets that ran each booking so many times.
-func system(t *testing.T, runs int) string {
+// startFakeServer starts a server that acts both as an entry VM with the booking
+// service and as the control listener of targets, and returns its address. It
+// records executionsPerCall executions for each booking.
+func startFakeServer(t *testing.T, executionsPerCall int) string {
 	t.Helper()
 	var server *httptest.Server
-	var mu sync.Mutex // guards ran
-	var ran control.Counts
+	var mu sync.Mutex // guards counts
+	var counts control.Counts
 	server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch r.URL.Path {
 		case "/v1/entries":
-			own := strings.TrimPrefix(server.URL, "http://")
-			_ = json.NewEncoder(w).Encode(caller.EntriesAnswer{Entries: []caller.Entry{{Address: own}}, KeepMS: 60_000})
+			address := strings.TrimPrefix(server.URL, "http://")
+			_ = json.NewEncoder(w).Encode(caller.EntriesAnswer{Entries: []caller.Entry{{Address: address}}, KeepMS: 60_000})
 		case "/counts":
-			_ = json.NewEncoder(w).Encode(ran)
+			_ = json.NewEncoder(w).Encode(counts)
 		default:
-			for range runs {
-				ran.Executions = append(ran.Executions, control.Execution{IdempotencyKey: r.Header.Get("Idempotency-Key"), Finished: true})
+			for range executionsPerCall {
+				counts.Executions = append(counts.Executions, control.Execution{IdempotencyKey: r.Header.Get("Idempotency-Key"), Finished: true})
 			}
 			_, _ = io.Copy(w, r.Body)
 		}
@@ -58,10 +59,10 @@
 	return Command().Run(context.Background(), append(args, more...))
 }
 
-func TestRunWritesItsSummary(t *testing.T) {
+func TestRunWritesSummaryFiles(t *testing.T) {
 	dir := t.TempDir()
 	file, rows := filepath.Join(dir, "s.json"), filepath.Join(dir, "s.csv")
-	assert.NilError(t, runWith(t, system(t, 1), "--require-attainment", "1", "--json", file, "--csv", rows))
+	assert.NilError(t, runWith(t, startFakeServer(t, 1), "--require-attainment", "1", "--json", file, "--csv", rows))
 	raw, err := os.ReadFile(file)
 	assert.NilError(t, err)
 	var s report.Summary
@@ -71,13 +72,14 @@
 	assert.NilError(t, err)
 }
 
-// A booking ran twice at the targets while its caller got one good answer.
-// Nobody would notice but the client with two bills, and this count.
+// A booking that runs twice at the targets must fail the run, even though its
+// caller gets one good answer: only the recorded executions show the second
+// booking, for which the client would be billed twice.
 func TestRunFailsOnADoubledBooking(t *testing.T) {
-	assert.ErrorIs(t, runWith(t, system(t, 2)), errVerdict)
+	assert.ErrorIs(t, runWith(t, startFakeServer(t, 2)), errRunFailed)
 }
 
-func TestSettingsAreCheckedAtOnce(t *testing.T) {
+func TestAllInvalidSettingsAreReportedTogether(t *testing.T) {
 	err := Command().Run(context.Background(), []string{"vgload", "run", "--entries", "x", "--rate", "-1", "--stream-share", "2"})
 	var wrong *settings.Error
 	assert.Assert(t, errors.As(err, &wrong))
--- a/internal/load/cli/output.go
+++ b/internal/load/cli/output.go
@@ -8,19 +8,20 @@
 	"github.com/vanillagate/vanillagate/internal/load/report"
 )
 
-func writeFiles(set runSettings, summary report.Summary, results []caller.Result) error {
-	if set.jsonFile != "" {
-		if err := report.WriteJSON(set.jsonFile, summary); err != nil {
+// writeFiles writes the JSON and CSV files that the settings ask for.
+func writeFiles(options runSettings, summary report.Summary, results []caller.Result) error {
+	if options.jsonFile != "" {
+		if err := report.WriteJSON(options.jsonFile, summary); err != nil {
 			return err
 		}
 	}
-	if set.csvFile != "" {
-		return report.WriteCSV(set.csvFile, results)
+	if options.csvFile != "" {
+		return report.WriteCSV(options.csvFile, results)
 	}
 	return nil
 }
 
-// printDetails writes what the last line leaves out.
+// printDetails prints the lines that precede the result line.
 func printDetails(s report.Summary) {
 	for _, line := range s.DetailLines() {
 		fmt.Fprintln(os.Stdout, line)
--- a/internal/load/cli/overhead.go
+++ b/internal/load/cli/overhead.go
@@ -24,27 +24,28 @@
 func overheadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "overhead",
-		Usage: "measure what one entry VM adds against direct calls; scripts/overhead.sh starts the processes",
-		Description: "Sends requests of four stages directly and through the entry VM in turn, then reads the entry VM's\n" +
-			"processor time while many callers send at once.",
+		Usage: "measure the overhead of one entry VM compared with direct calls; scripts/overhead.sh starts the processes",
+		Description: "Sends requests through four stages, alternately directly and through the entry VM. Then measures the\n" +
+			"CPU time of the entry VM under load from many concurrent callers.",
 		Action:       measureOverhead,
 		OnUsageError: onUsageError,
 		Flags: stepFlags(
-			&cli.IntFlag{Name: flagRequests, Value: 400, Usage: "requests each way", Sources: program.Env(flagRequests)},
-			&cli.IntFlag{Name: flagWorkers, Value: 64, Usage: "callers at once for processor time and throughput", Sources: program.Env(flagWorkers)},
-			&cli.DurationFlag{Name: flagLength, Value: 4 * time.Second, Usage: "length of each loop", Sources: program.Env(flagLength)},
+			&cli.IntFlag{Name: flagRequests, Value: 400, Usage: "requests to send directly, and as many through the entry VM", Sources: program.Env(flagRequests)},
+			&cli.IntFlag{Name: flagWorkers, Value: 64, Usage: "concurrent callers while measuring CPU time and throughput", Sources: program.Env(flagWorkers)},
+			&cli.DurationFlag{Name: flagLength, Value: 4 * time.Second, Usage: "duration of each measurement under load", Sources: program.Env(flagLength)},
 		),
 	}
 }
 
-// Sizes of the requests: few tokens weigh the request, many the tokens.
+// Tokens generated for each request: with few, the cost of a request dominates;
+// with many, the cost of its tokens.
 const (
 	fewTokens  = 4
 	manyTokens = 64
 )
 
 func measureOverhead(ctx context.Context, cmd *cli.Command) error {
-	scenario, err := scenarioOf(cmd)
+	scenario, err := readScenario(cmd)
 	if err != nil {
 		return err
 	}
@@ -59,36 +60,36 @@
 	}
 	entry := caller.NewPinned(fleet.Entries[0].Address)
 	defer entry.Close()
-	first := func(pool string) string { return fleet.Targets(pool)[0] }
+	firstTarget := func(pool string) string { return fleet.Targets(pool)[0] }
 	meter := &overhead.Meter{
-		Direct: overhead.NewDirect(overhead.Targets{
-			Encoder: first("encoders"), Retriever: first("retrievers"), Reranker: first("rerankers"), Engine: first("llm"),
+		Direct: overhead.NewDirectClient(overhead.Targets{
+			Encoder: firstTarget("encoders"), Retriever: firstTarget("retrievers"), Reranker: firstTarget("rerankers"), Engine: firstTarget("llm"),
 		}),
 		Entry: entry, PID: pid, Pipeline: scenario.Shape.Mix.Pipeline, BearerKey: scenario.Shape.Customers[0].Key,
 		Input: "What does a hall for forty with lunch cost in Kraków in May?",
 	}
-	if err := printAdded(ctx, meter, cmd.Int(flagRequests)); err != nil {
+	if err := printComparison(ctx, meter, cmd.Int(flagRequests)); err != nil {
 		return err
 	}
 	return printLoops(ctx, meter, cmd.Int(flagWorkers), cmd.Duration(flagLength))
 }
 
-func printAdded(ctx context.Context, meter *overhead.Meter, requests int) error {
+func printComparison(ctx context.Context, meter *overhead.Meter, requests int) error {
 	for _, stream := range []bool{false, true} {
-		added, err := meter.Compare(ctx, requests, fewTokens, stream)
+		comparison, err := meter.Compare(ctx, requests, fewTokens, stream)
 		if err != nil {
 			return err
 		}
 		fmt.Printf("overhead kind=%s requests=%d direct_p50_us=%d through_p50_us=%d added_p50_us=%d direct_p95_us=%d through_p95_us=%d\n",
-			kindName(stream), requests, added.Direct.Quantile(0.5).Microseconds(), added.ViaEntry.Quantile(0.5).Microseconds(),
-			added.MedianOverhead().Microseconds(), added.Direct.Quantile(0.95).Microseconds(), added.ViaEntry.Quantile(0.95).Microseconds())
+			kindName(stream), requests, comparison.Direct.Quantile(0.5).Microseconds(), comparison.ViaEntry.Quantile(0.5).Microseconds(),
+			comparison.MedianOverhead().Microseconds(), comparison.Direct.Quantile(0.95).Microseconds(), comparison.ViaEntry.Quantile(0.95).Microseconds())
 	}
 	return nil
 }
 
 func printLoops(ctx context.Context, meter *overhead.Meter, workers int, length time.Duration) error {
 	if _, err := meter.RunClosedLoop(ctx, workers, length/4, fewTokens, false); err != nil {
-		return err // this one only warms up
+		return err // warmup: the result is discarded
 	}
 	var perStream []overhead.LoopResult
 	for _, loop := range []struct {
--- a/internal/load/cli/run.go
+++ b/internal/load/cli/run.go
@@ -23,25 +23,25 @@
 
 // Names of the flags of "vgload run".
 const (
-	flagEntries     = "entries"
-	flagKey         = "key"
-	flagPipeline    = "pipeline"
-	flagService     = "service"
-	flagRate        = "rate"
-	flagDuration    = "duration"
-	flagControl     = "control"
-	flagTimeout     = "timeout"
-	flagSeed        = "seed"
-	flagMaxTokens   = "max-tokens"
-	flagServicePart = "service-share"
-	flagStreamPart  = "stream-share"
-	flagConfirmPath = "confirm-path"
-	flagAttainment  = "require-attainment"
-	flagJSON        = "json"
-	flagCSV         = "csv"
+	flagEntries      = "entries"
+	flagKey          = "key"
+	flagPipeline     = "pipeline"
+	flagService      = "service"
+	flagRate         = "rate"
+	flagDuration     = "duration"
+	flagControl      = "control"
+	flagTimeout      = "timeout"
+	flagSeed         = "seed"
+	flagMaxTokens    = "max-tokens"
+	flagServiceShare = "service-share"
+	flagStreamShare  = "stream-share"
+	flagConfirmPath  = "confirm-path"
+	flagAttainment   = "require-attainment"
+	flagJSON         = "json"
+	flagCSV          = "csv"
 )
 
-// Bounds of settings.
+// Bounds of the settings of "vgload run".
 const (
 	highestRate     = 100_000
 	longestDuration = 24 * time.Hour
@@ -53,24 +53,24 @@
 func runCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "run",
-		Usage:        "send a bounded load and print what became of it",
+		Usage:        "send load for a limited time and print a summary of the results",
 		Action:       run,
 		OnUsageError: onUsageError,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: flagEntries, Usage: "first addresses of entry VMs, `IP:PORT,...`", Sources: program.Env(flagEntries)},
+			&cli.StringFlag{Name: flagEntries, Usage: "addresses of entry VMs to start with, `IP:PORT,...`", Sources: program.Env(flagEntries)},
 			&cli.StringFlag{Name: flagKey, Usage: "the customer's bearer `KEY`", Sources: program.Env(flagKey)},
 			&cli.StringFlag{Name: flagPipeline, Value: "quote", Usage: "pipeline `NAME`", Sources: program.Env(flagPipeline)},
 			&cli.StringFlag{Name: flagService, Value: "booking", Usage: "plain service `NAME`; empty for none", Sources: program.Env(flagService)},
 			&cli.StringFlag{Name: flagConfirmPath, Value: "/confirm", Usage: "`PATH` of the service's non-idempotent POST", Sources: program.Env(flagConfirmPath)},
 			&cli.FloatFlag{Name: flagRate, Value: 50, Usage: "requests per second", Sources: program.Env(flagRate)},
 			&cli.DurationFlag{Name: flagDuration, Value: 10 * time.Second, Usage: "how long to send", Sources: program.Env(flagDuration)},
-			&cli.DurationFlag{Name: flagTimeout, Value: 4 * time.Second, Usage: "each caller's deadline", Sources: program.Env(flagTimeout)},
+			&cli.DurationFlag{Name: flagTimeout, Value: 4 * time.Second, Usage: "timeout of each request", Sources: program.Env(flagTimeout)},
 			&cli.IntFlag{Name: flagMaxTokens, Value: 16, Usage: "tokens to generate for each request", Sources: program.Env(flagMaxTokens)},
-			&cli.FloatFlag{Name: flagServicePart, Value: 0.2, Usage: "share of calls that go to the plain service, `0..1`", Sources: program.Env(flagServicePart)},
-			&cli.FloatFlag{Name: flagStreamPart, Value: 0.5, Usage: "share of pipeline calls that ask for a stream, `0..1`", Sources: program.Env(flagStreamPart)},
-			&cli.StringFlag{Name: flagControl, Usage: "control listeners of the stand-ins, `IP:PORT,...`; without one, nothing is known of doubled calls", Sources: program.Env(flagControl)},
+			&cli.FloatFlag{Name: flagServiceShare, Value: 0.2, Usage: "share of requests sent to the plain service, `0..1`", Sources: program.Env(flagServiceShare)},
+			&cli.FloatFlag{Name: flagStreamShare, Value: 0.5, Usage: "share of pipeline requests that are streamed, `0..1`", Sources: program.Env(flagStreamShare)},
+			&cli.StringFlag{Name: flagControl, Usage: "control listeners of the stand-ins, `IP:PORT,...`; without them, doubled requests are not detected", Sources: program.Env(flagControl)},
 			&cli.Uint64Flag{Name: flagSeed, Value: 1, Usage: "seed of arrivals and inputs", Sources: program.Env(flagSeed)},
-			&cli.FloatFlag{Name: flagAttainment, Usage: "fail below this attainment, `0..1`", Sources: program.Env(flagAttainment)},
+			&cli.FloatFlag{Name: flagAttainment, Usage: "fail if the attainment is below this, `0..1`", Sources: program.Env(flagAttainment)},
 			&cli.StringFlag{Name: flagJSON, Usage: "write the summary to `FILE`", Sources: program.Env(flagJSON)},
 			&cli.StringFlag{Name: flagCSV, Usage: "write one line for each request to `FILE`", Sources: program.Env(flagCSV)},
 		},
@@ -81,7 +81,7 @@
 type runSettings struct {
 	entries  []string
 	controls []string
-	stream   experiment.CustomerLoad
+	load     experiment.CustomerLoad
 	duration time.Duration
 	seed     uint64
 	required float64
@@ -98,8 +98,8 @@
 	check.Between(flagDuration, cmd.Duration(flagDuration), time.Millisecond, longestDuration)
 	check.Between(flagTimeout, cmd.Duration(flagTimeout), shortestTimeout, longestTimeout)
 	check.IntBetween(flagMaxTokens, cmd.Int(flagMaxTokens), 1, mostTokens)
-	checkShare(&check, flagServicePart, cmd.Float(flagServicePart))
-	checkShare(&check, flagStreamPart, cmd.Float(flagStreamPart))
+	checkShare(&check, flagServiceShare, cmd.Float(flagServiceShare))
+	checkShare(&check, flagStreamShare, cmd.Float(flagStreamShare))
 	checkShare(&check, flagAttainment, cmd.Float(flagAttainment))
 	if rate := cmd.Float(flagRate); !(rate > 0 && rate <= highestRate) {
 		check.Reject(flagRate, rate, fmt.Sprintf("above 0 to %d", highestRate))
@@ -113,7 +113,7 @@
 	return runSettings{
 		entries:  splitList(cmd.String(flagEntries)),
 		controls: splitList(cmd.String(flagControl)),
-		stream:   streamOf(cmd),
+		load:     customerLoad(cmd),
 		duration: cmd.Duration(flagDuration),
 		seed:     cmd.Uint64(flagSeed),
 		required: cmd.Float(flagAttainment),
@@ -122,12 +122,12 @@
 	}, nil
 }
 
-func streamOf(cmd *cli.Command) experiment.CustomerLoad {
-	service := cmd.Float(flagServicePart)
+func customerLoad(cmd *cli.Command) experiment.CustomerLoad {
+	service := cmd.Float(flagServiceShare)
 	if cmd.String(flagService) == "" {
 		service = 0
 	}
-	streamed := cmd.Float(flagStreamPart)
+	streamed := cmd.Float(flagStreamShare)
 	timeout := int(cmd.Duration(flagTimeout).Milliseconds())
 	return experiment.CustomerLoad{
 		BearerKey: cmd.String(flagKey),
@@ -155,28 +155,28 @@
 )
 
 func run(ctx context.Context, cmd *cli.Command) error {
-	set, err := readRunSettings(cmd)
+	options, err := readRunSettings(cmd)
 	if err != nil {
 		return err
 	}
-	plan := experiment.Plan([]experiment.CustomerLoad{set.stream}, set.duration, set.seed, runName())
-	results := sendAll(ctx, set.entries, plan)
-	executions, err := countsOf(set.controls)
+	plan := experiment.Plan([]experiment.CustomerLoad{options.load}, options.duration, options.seed, newRunID())
+	results := sendAll(ctx, options.entries, plan)
+	executions, err := collectExecutions(options.controls)
 	if err != nil {
 		return err
 	}
 	summary := report.Summarize(results, executions)
-	if err := writeFiles(set, summary, results); err != nil {
+	if err := writeFiles(options, summary, results); err != nil {
 		return err
 	}
 	printDetails(summary)
 	fmt.Println(summary.ResultLine())
-	return verdict(summary, set.required)
+	return checkSummary(summary, options.required)
 }
 
-// sendAll sends a plan as one caller near each first address would.
+// sendAll sends the planned calls from one caller for each address of entries.
 func sendAll(ctx context.Context, entries []string, plan []runner.Planned) []caller.Result {
-	callers := callersOf(entries)
+	callers := newCallers(entries)
 	defer closeAll(callers)
 	var progress runner.Progress
 	stop := report.ShowProgress(os.Stderr, &progress, time.Second)
@@ -184,8 +184,8 @@
 	return runner.Run(ctx, callers, plan, time.Now(), &progress)
 }
 
-// callersOf makes one caller for each first address, which it asks first.
-func callersOf(entries []string) []*caller.Caller {
+// newCallers returns one caller for each address, which the caller tries first.
+func newCallers(entries []string) []*caller.Caller {
 	var callers []*caller.Caller
 	for i := range entries {
 		rotated := append(append([]string{}, entries[i:]...), entries[:i]...)
@@ -200,7 +200,9 @@
 	}
 }
 
-func countsOf(controls []string) ([]control.Execution, error) {
+// collectExecutions returns the executions that the stand-ins with the given
+// control listeners recorded, once their counts have settled.
+func collectExecutions(controls []string) ([]control.Execution, error) {
 	var all []control.Execution
 	for _, address := range controls {
 		counts, err := control.New(address).Settled(control.SettleLimit)
@@ -212,19 +214,21 @@
 	return all, nil
 }
 
-func verdict(s report.Summary, required float64) error {
+// checkSummary returns an error if the run violated a guarantee or its attainment
+// is below required.
+func checkSummary(s report.Summary, required float64) error {
 	if s.Lost > 0 || s.Doubled > 0 || s.Crossed > 0 || s.FalseNotRun > 0 {
-		return errVerdict
+		return errRunFailed
 	}
 	if s.Attainment < required {
-		return fmt.Errorf("attainment %.4f is below %.4f", s.Attainment, required)
+		return fmt.Errorf("attainment %.4f is below the required %.4f", s.Attainment, required)
 	}
 	return nil
 }
 
-// runName keeps the refs and idempotency keys of this run apart from all
-// others'.
-func runName() string { return strconv.FormatInt(time.Now().UnixNano(), 36) }
+// newRunID returns a name for this run that makes its refs and idempotency keys
+// unique.
+func newRunID() string { return strconv.FormatInt(time.Now().UnixNano(), 36) }
 
 func splitList(text string) []string {
 	var items []string
--- a/internal/load/experiment/experiment_test.go
+++ b/internal/load/experiment/experiment_test.go
@@ -14,17 +14,17 @@
 	"github.com/vanillagate/vanillagate/internal/load/runner"
 )
 
-const checkedIn = "../../../experiments"
+const experimentsDir = "../../../experiments"
 
-func read(t *testing.T, name string) *Scenario {
+func readScenario(t *testing.T, name string) *Scenario {
 	t.Helper()
-	s, err := ReadScenario(filepath.Join(checkedIn, name+".json"))
+	s, err := ReadScenario(filepath.Join(experimentsDir, name+".json"))
 	assert.NilError(t, err)
 	return s
 }
 
 func TestCheckedInScenarios(t *testing.T) {
-	all, err := ReadDir(checkedIn)
+	all, err := ReadDir(experimentsDir)
 	assert.NilError(t, err)
 	var names, quick []string
 	for _, s := range all {
@@ -42,16 +42,16 @@
 	assert.Assert(t, len(quick) >= 2)
 }
 
-func TestPlanIsTheSameForTheSameSeed(t *testing.T) {
-	s := read(t, "steady-70")
+func TestPlanIsDeterministicPerSeed(t *testing.T) {
+	s := readScenario(t, "steady-70")
 	first := s.Plan(5*time.Second, 1, "x")
 	assert.DeepEqual(t, first, s.Plan(5*time.Second, 1, "x"))
 	assert.Assert(t, len(first) != len(s.Plan(5*time.Second, 2, "x")))
 	assert.Assert(t, slices.IsSortedFunc(first, func(a, b runner.Planned) int { return int(a.At - b.At) }))
 }
 
-func TestPlanFollowsLoadAndMix(t *testing.T) {
-	s := read(t, "steady-70")
+func TestPlanMatchesLoadAndMix(t *testing.T) {
+	s := readScenario(t, "steady-70")
 	const seconds = 60
 	plan := s.Plan(seconds*time.Second, 1, "x")
 	want := s.Load * s.Shape.CapacityPerSecond * seconds
@@ -72,36 +72,36 @@
 		assert.Assert(t, c.Timeout > 0 && c.BearerKey != "" && c.Customer != "")
 	}
 	assert.Equal(t, len(keys), len(plan))
-	share := func(count int) float64 { return float64(count) / float64(len(plan)) }
-	assert.Assert(t, math.Abs(share(kinds[caller.KindPipeline])-0.5) < 0.04)
-	assert.Assert(t, math.Abs(share(kinds[caller.KindStream])-0.3) < 0.04)
-	assert.Assert(t, math.Abs(share(confirms)-0.08) < 0.03)
+	shareOf := func(count int) float64 { return float64(count) / float64(len(plan)) }
+	assert.Assert(t, math.Abs(shareOf(kinds[caller.KindPipeline])-0.5) < 0.04)
+	assert.Assert(t, math.Abs(shareOf(kinds[caller.KindStream])-0.3) < 0.04)
+	assert.Assert(t, math.Abs(shareOf(confirms)-0.08) < 0.03)
 }
 
-func TestBurstOfOneCustomer(t *testing.T) {
-	s := read(t, "team-burst")
+func TestBurstAffectsOneCustomer(t *testing.T) {
+	s := readScenario(t, "team-burst")
 	b := s.Bursts[0]
 	const length = 60 * time.Second
-	in, out := map[bool]int{}, map[bool]int{}
+	fromCustomer, fromOthers := map[bool]int{}, map[bool]int{}
 	for _, p := range s.Plan(length, 1, "x") {
-		during := p.At >= part(length, b.At) && p.At < part(length, b.Until)
+		during := p.At >= fractionOf(length, b.At) && p.At < fractionOf(length, b.Until)
 		if p.Call.Customer == b.Customer {
-			in[during]++
+			fromCustomer[during]++
 		} else {
-			out[during]++
+			fromOthers[during]++
 		}
 	}
 	share := b.Until - b.At
-	burstFactor := (float64(in[true]) / share) / (float64(in[false]) / (1 - share))
-	otherFactor := (float64(out[true]) / share) / (float64(out[false]) / (1 - share))
+	burstFactor := (float64(fromCustomer[true]) / share) / (float64(fromCustomer[false]) / (1 - share))
+	otherFactor := (float64(fromOthers[true]) / share) / (float64(fromOthers[false]) / (1 - share))
 	assert.Assert(t, math.Abs(burstFactor-b.Factor) < 0.15*b.Factor, burstFactor)
 	assert.Assert(t, math.Abs(otherFactor-1) < 0.15, otherFactor)
 }
 
-// A caller that takes a crash for a passing failure sends the same content
-// again, under a new idempotency key each time.
-func TestCrashingRequestsComeAgain(t *testing.T) {
-	s := read(t, "crash-request")
+// A caller that treats a crash as a transient failure resends the same content
+// under a new idempotency key each time.
+func TestCrashingRequestsAreResent(t *testing.T) {
+	s := readScenario(t, "crash-request")
 	keys, inputs := map[string]bool{}, map[string]int{}
 	for _, p := range s.Plan(20*time.Second, 1, "x") {
 		if p.Call.Poison {
@@ -113,7 +113,7 @@
 	assert.Equal(t, len(keys), s.CrashingRequests.Count*(1+s.CrashingRequests.Resends))
 }
 
-func TestArrivalsKeepTheMean(t *testing.T) {
+func TestArrivalPatternsKeepTheMeanRate(t *testing.T) {
 	const length = 100 * time.Second
 	for _, a := range []Arrivals{
 		{},
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestMistakesAreNamed(t *testing.T) {
+func TestInvalidScenariosAreRejected(t *testing.T) {
 	cases := []struct{ text, want string }{
 		{`{"name":"a b","shape":"shapes/wierzbicki.json"}`, `name "a b" must be one word`},
 		{`{"name":"a","shape":"shapes/wierzbicki.json","load":1,"duration_ms":1,"seeds":[1],"faults":[{"at":0.5}]}`, "one of targets, platform and entry"},
@@ -142,7 +142,7 @@
 	}
 	for _, c := range cases {
 		dir := t.TempDir()
-		raw, err := os.ReadFile(filepath.Join(checkedIn, "shapes", "wierzbicki.json"))
+		raw, err := os.ReadFile(filepath.Join(experimentsDir, "shapes", "wierzbicki.json"))
 		assert.NilError(t, err)
 		assert.NilError(t, os.Mkdir(filepath.Join(dir, "shapes"), 0o755))
 		assert.NilError(t, os.WriteFile(filepath.Join(dir, "shapes", "wierzbicki.json"), raw, 0o644))
--- a/internal/load/experiment/input.go
+++ b/internal/load/experiment/input.go
@@ -8,25 +8,28 @@
 	"github.com/vanillagate/vanillagate/internal/load/shape"
 )
 
-// vocabulary fills inputs with words of the users' trades.
+// vocabulary holds the words from which request inputs are generated.
 var vocabulary = []string{
 	"hall", "catering", "lodging", "quote", "plenary", "delegates", "projector", "lunch", "Kraków", "Gdańsk",
 	"reservoir", "level", "gauge", "spillway", "notice", "alarm", "inflow", "gate", "engineer", "shift",
 }
 
-const sharedTenths = 9
+// sharedPrefixTenths is how many tenths of an input's words belong to the shared
+// prefix.
+const sharedPrefixTenths = 9
 
-// inputOf draws the text of a request. Customers that share prefixes ask with
-// the same long start again and again, as a saved client record does.
-func inputOf(m shape.Mix, random *rand.Rand, customer, ref string) string {
+// generateInput generates the text of a request. If the mix has prefixes, most
+// of the text is one of a few prefixes of the customer, as when requests embed
+// the same saved client record, so that prefix caches can hit.
+func generateInput(m shape.Mix, random *rand.Rand, customer, ref string) string {
 	var text strings.Builder
 	length := max(m.InputWords, 1)
 	if m.Prefixes > 0 {
-		number := random.IntN(m.Prefixes)
-		prefix := rand.New(rand.NewPCG(uint64(number), uint64(len(customer))))
-		fmt.Fprintf(&text, "%s record %d ", customer, number)
-		writeWords(&text, prefix, length*sharedTenths/10)
-		length -= length * sharedTenths / 10
+		prefixIndex := random.IntN(m.Prefixes)
+		prefix := rand.New(rand.NewPCG(uint64(prefixIndex), uint64(len(customer))))
+		fmt.Fprintf(&text, "%s record %d ", customer, prefixIndex)
+		writeWords(&text, prefix, length*sharedPrefixTenths/10)
+		length -= length * sharedPrefixTenths / 10
 	} else {
 		fmt.Fprintf(&text, "%s request %s ", customer, ref)
 	}
--- a/internal/load/experiment/plan.go
+++ b/internal/load/experiment/plan.go
@@ -1,4 +1,5 @@
-// Package experiment describes experiments and plans their calls.
+// Package experiment defines load experiments (scenarios) and generates the
+// calls that they send.
 package experiment
 
 import (
@@ -15,7 +16,8 @@
 	"github.com/vanillagate/vanillagate/internal/load/shape"
 )
 
-// CustomerLoad is one customer's calls over a run.
+// CustomerLoad describes the calls that one customer sends during a run: its
+// credentials, arrival pattern and mix of requests.
 type CustomerLoad struct {
 	Customer  string
 	BearerKey string
@@ -23,17 +25,17 @@
 	Mix       shape.Mix
 }
 
-// Plan draws the calls of all streams in order of time. The same seed gives
-// the same calls; run makes refs and idempotency keys differ between runs, so
-// that no run is answered from what an earlier one left behind.
-func Plan(streams []CustomerLoad, length time.Duration, seed uint64, run string) []runner.Planned {
+// Plan generates the calls of all customers, ordered by time. The same seed
+// gives the same calls. The run name is part of every ref and idempotency key,
+// so that no call is answered from results stored by an earlier run.
+func Plan(loads []CustomerLoad, length time.Duration, seed uint64, run string) []runner.Planned {
 	var plan []runner.Planned
-	for i, s := range streams {
-		own := seed*1000003 + uint64(i)
-		random := rand.New(rand.NewPCG(own, callStream))
-		for n, at := range arrival.Times(s.Pattern, length, own) {
+	for i, load := range loads {
+		customerSeed := seed*1000003 + uint64(i)
+		random := rand.New(rand.NewPCG(customerSeed, callRandStream))
+		for n, at := range arrival.Times(load.Pattern, length, customerSeed) {
 			ref := fmt.Sprintf("%s-%d-%d", run, i, n)
-			plan = append(plan, runner.Planned{At: at, Call: s.draw(random, ref)})
+			plan = append(plan, runner.Planned{At: at, Call: load.newCall(random, ref)})
 		}
 	}
 	sortByTime(plan)
@@ -44,10 +46,11 @@
 	slices.SortStableFunc(plan, func(a, b runner.Planned) int { return cmp.Compare(a.At, b.At) })
 }
 
-// callStream keeps these draws apart from others of the same seed.
-const callStream = 0x63616c6c
+// callRandStream selects the random stream for generating calls, independent of
+// other streams with the same seed.
+const callRandStream = 0x63616c6c
 
-func (s CustomerLoad) draw(random *rand.Rand, ref string) caller.Call {
+func (s CustomerLoad) newCall(random *rand.Rand, ref string) caller.Call {
 	m := s.Mix
 	call := caller.Call{
 		Customer:       s.Customer,
@@ -56,7 +59,7 @@
 		Ref:            ref,
 		Pipeline:       m.Pipeline,
 		Service:        m.Service,
-		Input:          inputOf(m, random, s.Customer, ref),
+		Input:          generateInput(m, random, s.Customer, ref),
 		MaxTokens:      m.LeastTokens + random.IntN(m.MostTokens-m.LeastTokens+1),
 		Timeout:        time.Duration(m.TimeoutMS) * time.Millisecond,
 	}
@@ -76,15 +79,17 @@
 	return call
 }
 
+// pickWeighted returns a random index, with probability proportional to its
+// weight.
 func pickWeighted(random *rand.Rand, weights ...float64) int {
 	sum := 0.0
 	for _, w := range weights {
 		sum += w
 	}
-	at := random.Float64() * sum
+	remaining := random.Float64() * sum
 	for i, w := range weights {
-		at -= w
-		if at < 0 {
+		remaining -= w
+		if remaining < 0 {
 			return i
 		}
 	}
--- a/internal/load/experiment/scenario.go
+++ b/internal/load/experiment/scenario.go
@@ -16,65 +16,68 @@
 	"github.com/vanillagate/vanillagate/internal/load/shape"
 )
 
-// Scenario is one experiment: a deployment under a load, with faults at given
-// times. Times within a scenario are shares of its duration, 0 to 1, so that
-// the quick form goes through the same events.
+// Scenario is one experiment: a deployment under load, with faults injected at
+// given times. Times within a scenario are fractions of its duration, 0 to 1,
+// so that the shorter quick run has the same events.
 type Scenario struct {
 	Name  string `json:"name"`
 	About string `json:"about"`
-	// ShapeFile is the deployment, relative to the scenario's file.
+	// ShapeFile describes the deployment; the path is relative to the
+	// scenario's file.
 	ShapeFile string       `json:"shape"`
 	Shape     *shape.Shape `json:"-"`
-	// Quick says that the scenario belongs to the quick bench.
+	// Quick includes the scenario in the quick benchmark.
 	Quick           bool     `json:"quick"`
 	DurationMS      int      `json:"duration_ms"`
 	QuickDurationMS int      `json:"quick_duration_ms"`
 	Seeds           []uint64 `json:"seeds"`
-	// Load is the arrivals as a share of the shape's capacity.
+	// Load is the arrival rate as a fraction of the shape's capacity.
 	Load     float64  `json:"load"`
 	Arrivals Arrivals `json:"arrivals"`
-	// Bursts are customers that ask for much more for a while.
+	// Bursts raise the arrival rate of single customers for part of the run.
 	Bursts []Burst `json:"bursts"`
-	// WithoutLimits leaves the limits out of the contracts, so that only shares
-	// and priorities stand between the customers.
+	// WithoutLimits removes the rate and concurrency limits from the contracts,
+	// so that only shares and priorities isolate the customers from each other.
 	WithoutLimits bool `json:"without_limits"`
-	// Balance replaces that of all contracts; nil keeps them.
+	// Balance replaces the balance of every contract; nil keeps them.
 	Balance *float64 `json:"balance"`
-	// CrashingRequests is a customer whose requests crash the targets that run them.
+	// CrashingRequests adds requests that crash the targets that run them.
 	CrashingRequests *CrashingRequests `json:"crashing"`
-	// TimeoutMS replaces the shape's timeout of pipeline calls; zero keeps it.
+	// TimeoutMS replaces the shape's timeout for pipeline calls; zero keeps it.
 	TimeoutMS int `json:"timeout_ms"`
-	// FirstTryShare is the part of its time after which a caller leaves an entry
-	// VM that sends nothing for another one; zero means never.
+	// FirstTryShare is the fraction of its timeout after which a caller gives up
+	// on an entry VM that has sent nothing and tries another one; zero means
+	// never.
 	FirstTryShare float64 `json:"first_try_share"`
 	Faults        []Fault `json:"faults"`
 }
 
-// ArrivalKind names a pattern.
+// ArrivalKind names an arrival pattern.
 type ArrivalKind string
 
-// The patterns. The empty one is steady.
+// The arrival patterns. An empty kind means steady.
 const (
 	ArrivalSteady ArrivalKind = "steady"
 	ArrivalDaily  ArrivalKind = "daily"
 	ArrivalBursts ArrivalKind = "bursts"
 )
 
-// Arrivals is the pattern of every customer without a burst of its own.
+// Arrivals is the arrival pattern of every customer without its own Burst.
 type Arrivals struct {
 	Kind ArrivalKind `json:"kind"`
-	// Swing is how far a day swings around its mean, 0 to 1.
+	// Swing is the amplitude of the daily pattern relative to its mean, 0 to 1.
 	Swing float64 `json:"swing"`
-	// Days is how many days the duration holds; zero means 1.
+	// Days is the number of daily cycles within the duration; zero means 1.
 	Days float64 `json:"days"`
-	// Factor is a burst's rate against the mean rate; Count how many bursts
-	// there are, each for Length of the time between two.
+	// Factor is the rate during a burst relative to the mean rate. Count is the
+	// number of bursts, and Length the fraction of each burst's period that the
+	// burst lasts.
 	Factor float64 `json:"factor"`
 	Count  int     `json:"count"`
 	Length float64 `json:"length"`
 }
 
-// Burst multiplies the arrivals of one customer for a while.
+// Burst multiplies the arrival rate of one customer from At to Until.
 type Burst struct {
 	Customer string  `json:"customer"`
 	Factor   float64 `json:"factor"`
@@ -82,73 +85,75 @@
 	Until    float64 `json:"until"`
 }
 
-// CrashingRequests describes requests that crash the targets that run them. They can't
-// be answered, so they are left out of the attainment.
+// CrashingRequests describes requests that crash the targets that run them. They
+// can't be answered, so they are excluded from the attainment.
 type CrashingRequests struct {
 	Customer string `json:"customer"`
-	// Marker is the text on which the stand-ins crash.
+	// Marker is the input text that makes the stand-ins crash.
 	Marker string `json:"marker"`
-	// Count is how many such requests there are, from At on.
+	// Count is the number of such requests, spread from At to the end.
 	Count int     `json:"count"`
 	At    float64 `json:"at"`
-	// Resends is how often each is sent again under a new idempotency key,
-	// EveryMS apart.
+	// Resends is how many times each request is resent, every EveryMS, under a
+	// new idempotency key.
 	Resends int `json:"resends"`
 	EveryMS int `json:"every_ms"`
 }
 
-// Fault is something that goes wrong from At on. One of Targets, Platform and
+// Fault is a fault injected at time At. Exactly one of Targets, Platform and
 // Entry is set.
 type Fault struct {
 	At float64 `json:"at"`
-	// Until is when it is mended; zero means at the end.
+	// Until is when the fault is cleared; zero means at the end of the run.
 	Until float64 `json:"until"`
-	// EveryMS repeats it; zero means once.
+	// EveryMS is the interval at which the fault is repeated; zero means once.
 	EveryMS  int            `json:"every_ms"`
 	Targets  *TargetFault   `json:"targets"`
 	Platform *PlatformFault `json:"platform"`
 	Entry    *EntryFault    `json:"entry"`
 }
 
-// TargetFault concerns targets of a pool, or of all pools where none is named.
+// TargetFault affects targets of one pool, or of all pools if Pool is empty.
 type TargetFault struct {
 	Pool string `json:"pool"`
-	// Zone picks the targets of one availability zone.
+	// Zone restricts the fault to one availability zone; empty means all.
 	Zone string `json:"zone"`
-	// Count picks the first so many; zero means all.
+	// Count restricts the fault to the first Count targets; zero means all.
 	Count int             `json:"count"`
 	Fault json.RawMessage `json:"fault"`
 }
 
-// PlatformFault concerns "table", "objects" or "vm_list".
+// PlatformFault affects the platform service in Scope: "table", "objects" or
+// "vm_list".
 type PlatformFault struct {
 	Scope string          `json:"scope"`
 	Fault json.RawMessage `json:"fault"`
 }
 
-// EntryAction is what happens to an entry VM.
+// EntryAction is an action applied to the process of an entry VM.
 type EntryAction string
 
-// The actions.
+// The actions on entry VMs.
 const (
-	// EntryKill ends the process at once (SIGKILL).
+	// EntryKill kills the process immediately (SIGKILL).
 	EntryKill EntryAction = "kill"
-	// EntryStop asks for a graceful shutdown (SIGTERM).
+	// EntryStop requests a graceful shutdown (SIGTERM).
 	EntryStop EntryAction = "stop"
-	// EntryPause stands the process still until the fault's Until (SIGSTOP,
+	// EntryPause suspends the process until the fault's Until (SIGSTOP, then
 	// SIGCONT).
 	EntryPause EntryAction = "pause"
 )
 
-// EntryFault concerns one entry VM. The script that started it replaces one
-// that ended.
+// EntryFault affects one entry VM. The script that started the process starts a
+// replacement after it has exited.
 type EntryFault struct {
 	Action EntryAction `json:"action"`
-	// FirstEntry is the first entry VM; a repeated fault goes on to the next.
+	// FirstEntry is the index of the entry VM that is affected first; each
+	// repetition of the fault affects the next one.
 	FirstEntry int `json:"place"`
 }
 
-// ReadDir reads all scenarios of a directory, ordered by name.
+// ReadDir reads all scenarios in a directory, sorted by name.
 func ReadDir(dir string) ([]*Scenario, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -163,13 +168,14 @@
 		all = append(all, s)
 	}
 	if len(all) == 0 {
-		return nil, fmt.Errorf("experiment: %s holds no experiment files: %w", dir, os.ErrNotExist)
+		return nil, fmt.Errorf("experiment: no experiment files in %s: %w", dir, os.ErrNotExist)
 	}
 	slices.SortFunc(all, func(a, b *Scenario) int { return strings.Compare(a.Name, b.Name) })
 	return all, nil
 }
 
-// ReadScenario reads and checks a scenario and its shape.
+// ReadScenario reads and validates a scenario and its shape, and applies the
+// overrides of the contracts.
 func ReadScenario(path string) (*Scenario, error) {
 	var s Scenario
 	if err := shape.DecodeFile(path, &s); err != nil {
@@ -202,45 +208,45 @@
 }
 
 func (s *Scenario) check() error {
-	var wrong []error
-	need := func(good bool, format string, args ...any) {
+	var errs []error
+	require := func(good bool, format string, args ...any) {
 		if !good {
-			wrong = append(wrong, fmt.Errorf(format, args...))
+			errs = append(errs, fmt.Errorf(format, args...))
 		}
 	}
-	need(s.Name != "" && !strings.ContainsAny(s.Name, " /"), "name %q must be one word", s.Name)
-	need(s.DurationMS > 0, "duration_ms must be above 0")
-	need(!s.Quick || s.QuickDurationMS > 0, "quick needs quick_duration_ms")
-	need(len(s.Seeds) > 0, "seeds is empty")
-	need(s.FirstTryShare >= 0 && s.FirstTryShare < 1, "first_try_share must be 0 to below 1")
-	need(s.TimeoutMS >= 0, "timeout_ms must not be negative")
-	need(s.Load > 0, "load must be above 0")
+	require(s.Name != "" && !strings.ContainsAny(s.Name, " /"), "name %q must be one word", s.Name)
+	require(s.DurationMS > 0, "duration_ms must be above 0")
+	require(!s.Quick || s.QuickDurationMS > 0, "quick needs quick_duration_ms")
+	require(len(s.Seeds) > 0, "seeds must not be empty")
+	require(s.FirstTryShare >= 0 && s.FirstTryShare < 1, "first_try_share must be 0 to below 1")
+	require(s.TimeoutMS >= 0, "timeout_ms must not be negative")
+	require(s.Load > 0, "load must be above 0")
 	for _, b := range s.Bursts {
-		need(s.hasCustomer(b.Customer), "bursts: no customer %q", b.Customer)
-		need(b.Factor > 0 && b.At < b.Until, "bursts: factor must be above 0 and at before until")
+		require(s.hasCustomer(b.Customer), "bursts: no customer %q", b.Customer)
+		require(b.Factor > 0 && b.At < b.Until, "bursts: factor must be above 0 and at before until")
 	}
 	if s.CrashingRequests != nil {
-		need(s.hasCustomer(s.CrashingRequests.Customer), "crashing: no customer %q", s.CrashingRequests.Customer)
-		need(s.CrashingRequests.Marker != "", "crashing: marker is empty")
+		require(s.hasCustomer(s.CrashingRequests.Customer), "crashing: no customer %q", s.CrashingRequests.Customer)
+		require(s.CrashingRequests.Marker != "", "crashing: marker must not be empty")
 	}
 	for i, f := range s.Faults {
 		if err := s.checkFault(f); err != nil {
-			wrong = append(wrong, fmt.Errorf("faults[%d]: %w", i, err))
+			errs = append(errs, fmt.Errorf("faults[%d]: %w", i, err))
 		}
 	}
-	wrong = append(wrong, s.Arrivals.check())
-	return errors.Join(wrong...)
+	errs = append(errs, s.Arrivals.check())
+	return errors.Join(errs...)
 }
 
 func (s *Scenario) checkFault(f Fault) error {
-	set := 0
+	kinds := 0
 	for _, given := range []bool{f.Targets != nil, f.Platform != nil, f.Entry != nil} {
 		if given {
-			set++
+			kinds++
 		}
 	}
 	switch {
-	case set != 1:
+	case kinds != 1:
 		return errors.New("one of targets, platform and entry must be set")
 	case f.At < 0 || f.At > 1 || f.Until < 0 || f.Until > 1:
 		return errors.New("at and until must be 0 to 1")
@@ -285,7 +291,7 @@
 	return slices.ContainsFunc(s.Shape.Customers, func(c shape.Customer) bool { return c.Contract.Customer == name })
 }
 
-// Duration is how long requests are sent.
+// Duration returns how long requests are sent.
 func (s *Scenario) Duration(quick bool) time.Duration {
 	if quick {
 		return time.Duration(s.QuickDurationMS) * time.Millisecond
@@ -293,23 +299,23 @@
 	return time.Duration(s.DurationMS) * time.Millisecond
 }
 
-// CustomerLoads are the customers' calls over a run of the given length.
+// CustomerLoads returns the load of each customer for a run of the given length.
 func (s *Scenario) CustomerLoads(length time.Duration) []CustomerLoad {
 	sum := 0.0
 	for _, c := range s.Shape.Customers {
 		sum += c.Share
 	}
-	var streams []CustomerLoad
+	var loads []CustomerLoad
 	for _, c := range s.Shape.Customers {
 		rate := s.Load * s.Shape.CapacityPerSecond * c.Share / sum
-		streams = append(streams, CustomerLoad{
+		loads = append(loads, CustomerLoad{
 			Customer:  c.Contract.Customer,
 			BearerKey: c.Key,
 			Pattern:   s.pattern(c.Contract.Customer, rate, length),
 			Mix:       s.mix(),
 		})
 	}
-	return streams
+	return loads
 }
 
 func (s *Scenario) mix() shape.Mix {
@@ -325,14 +331,14 @@
 		if b.Customer == customer {
 			return arrival.Bursts{
 				Base: rate, Peak: rate * b.Factor,
-				First: part(length, b.At), Length: part(length, b.Until-b.At),
+				First: fractionOf(length, b.At), Length: fractionOf(length, b.Until-b.At),
 			}
 		}
 	}
 	return s.Arrivals.pattern(rate, length)
 }
 
-// pattern keeps the mean rate, whatever the kind.
+// pattern returns the arrival pattern. Its mean rate is rate for every kind.
 func (a Arrivals) pattern(rate float64, length time.Duration) arrival.Pattern {
 	switch a.Kind {
 	case ArrivalDaily:
@@ -340,39 +346,39 @@
 		if days == 0 {
 			days = 1
 		}
-		return arrival.Daily{Mean: rate, Swing: a.Swing, Day: part(length, 1/days)}
+		return arrival.Daily{Mean: rate, Swing: a.Swing, Day: fractionOf(length, 1/days)}
 	case ArrivalBursts:
-		every := part(length, 1/float64(a.Count))
+		every := fractionOf(length, 1/float64(a.Count))
 		base := rate * (1 - a.Factor*a.Length) / (1 - a.Length)
-		return arrival.Bursts{Base: base, Peak: rate * a.Factor, Every: every, Length: part(every, a.Length)}
+		return arrival.Bursts{Base: base, Peak: rate * a.Factor, Every: every, Length: fractionOf(every, a.Length)}
 	case ArrivalSteady:
 	}
 	return arrival.Steady{PerSecond: rate}
 }
 
-// Plan draws all calls of a run, those that crash their targets included.
+// Plan generates all calls of a run, including those that crash their targets.
 func (s *Scenario) Plan(length time.Duration, seed uint64, run string) []runner.Planned {
 	plan := Plan(s.CustomerLoads(length), length, seed, run)
 	if s.CrashingRequests != nil {
-		plan = append(plan, s.crashing(length, run)...)
+		plan = append(plan, s.crashingCalls(length, run)...)
 		sortByTime(plan)
 	}
 	return plan
 }
 
-// crashing lists the calls that crash their targets. Each comes again and
-// again with the same content under new idempotency keys, as from a caller
-// that takes the failure for a passing one.
-func (s *Scenario) crashing(length time.Duration, run string) []runner.Planned {
+// crashingCalls returns the calls that crash their targets. Each is resent with
+// the same content under new idempotency keys, as by a caller that treats the
+// failure as transient.
+func (s *Scenario) crashingCalls(length time.Duration, run string) []runner.Planned {
 	c := s.CrashingRequests
 	var plan []runner.Planned
 	for n := range c.Count {
 		ref := fmt.Sprintf("%s-crash-%d", run, n)
-		first := part(length, c.At+(1-c.At)*float64(n)/float64(c.Count))
-		for again := range 1 + c.Resends {
+		first := fractionOf(length, c.At+(1-c.At)*float64(n)/float64(c.Count))
+		for attempt := range 1 + c.Resends {
 			call := s.crashingCall(ref)
-			call.IdempotencyKey = fmt.Sprintf("key-%s-%d", ref, again)
-			at := first + time.Duration(again*c.EveryMS)*time.Millisecond
+			call.IdempotencyKey = fmt.Sprintf("key-%s-%d", ref, attempt)
+			at := first + time.Duration(attempt*c.EveryMS)*time.Millisecond
 			if at < length {
 				plan = append(plan, runner.Planned{At: at, Call: call})
 			}
@@ -386,7 +392,7 @@
 	return caller.Call{
 		Kind:      caller.KindPipeline,
 		Customer:  s.CrashingRequests.Customer,
-		BearerKey: s.keyOf(s.CrashingRequests.Customer),
+		BearerKey: s.bearerKeyOf(s.CrashingRequests.Customer),
 		Ref:       ref,
 		Pipeline:  m.Pipeline,
 		Input:     "a request that no engine survives " + s.CrashingRequests.Marker,
@@ -396,7 +402,7 @@
 	}
 }
 
-func (s *Scenario) keyOf(customer string) string {
+func (s *Scenario) bearerKeyOf(customer string) string {
 	for _, c := range s.Shape.Customers {
 		if c.Contract.Customer == customer {
 			return c.Key
@@ -405,6 +411,7 @@
 	return ""
 }
 
-func part(length time.Duration, share float64) time.Duration {
+// fractionOf returns the given fraction of a duration.
+func fractionOf(length time.Duration, share float64) time.Duration {
 	return time.Duration(float64(length) * share)
 }
--- a/internal/load/overhead/cpu.go
+++ b/internal/load/overhead/cpu.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// tick is the unit of /proc/PID/stat on Linux.
-const tick = 10 * time.Millisecond
+// clockTick is the unit of CPU times in /proc/PID/stat on Linux (USER_HZ is 100).
+const clockTick = 10 * time.Millisecond
 
-// Fields of /proc/PID/stat behind the command's name, counted from 0.
+// Indexes of fields in /proc/PID/stat, counted from 0 after the command name.
 const (
 	fieldUser   = 11
 	fieldSystem = 12
 )
 
-// CPUTime is the processor time that a process has used.
+// CPUTime returns the user and system CPU time that a process has used.
 func CPUTime(pid int) (time.Duration, error) {
 	raw, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	if err != nil {
@@ -26,11 +26,12 @@
 	return parseStat(string(raw))
 }
 
-// parseStat skips the command's name, which may hold spaces and brackets.
+// parseStat returns the CPU time in the text of /proc/PID/stat. It skips the
+// command name, which may contain spaces and parentheses.
 func parseStat(text string) (time.Duration, error) {
 	fields := strings.Fields(text[strings.LastIndex(text, ")")+1:])
 	if len(fields) <= fieldSystem {
-		return 0, fmt.Errorf("overhead: /proc stat has %d fields", len(fields))
+		return 0, fmt.Errorf("overhead: too few fields in /proc/PID/stat: %d", len(fields))
 	}
 	var ticks int64
 	for _, field := range []int{fieldUser, fieldSystem} {
@@ -40,5 +41,5 @@
 		}
 		ticks += count
 	}
-	return time.Duration(ticks) * tick, nil
+	return time.Duration(ticks) * clockTick, nil
 }
--- a/internal/load/overhead/direct.go
+++ b/internal/load/overhead/direct.go
@@ -1,5 +1,6 @@
-// Package overhead measures what an entry VM adds to a request: the same four
-// stages are called directly and through it, in turn, within one run.
+// Package overhead measures the latency and CPU time that an entry VM adds to a
+// request. Within one run, it alternately calls the same four stages directly
+// and through the entry VM.
 package overhead
 
 import (
@@ -20,26 +21,26 @@
 
 const (
 	callTimeout = 10 * time.Second
-	// documents is how many documents are retrieved and kept, as in the
-	// pipeline that the entry VM runs.
-	documents   = 4
-	maxConns    = 4096
-	dataPrefix  = "data: "
-	endOfStream = "[DONE]"
+	// documentCount is the number of documents that are retrieved and kept after
+	// reranking, the same as in the pipeline that the entry VM runs.
+	documentCount = 4
+	maxConns      = 4096
+	dataPrefix    = "data: "
+	endOfStream   = "[DONE]"
 )
 
-// DirectClient calls one target of each stage without an entry VM in between. It is
-// safe for concurrent use.
+// DirectClient runs the pipeline by calling one target of each stage directly,
+// without an entry VM. It is safe for concurrent use.
 type DirectClient struct {
 	encoder, retriever, reranker, engine *fasthttp.HostClient
 	sent                                 atomic.Int64
 }
 
-// Targets are the IP:port of one target of each stage.
+// Targets holds the address (IP:port) of one target for each stage.
 type Targets struct{ Encoder, Retriever, Reranker, Engine string }
 
-// NewDirect makes a Direct.
-func NewDirect(t Targets) *DirectClient {
+// NewDirectClient returns a client that calls the given targets.
+func NewDirectClient(t Targets) *DirectClient {
 	return &DirectClient{
 		encoder: hostClient(t.Encoder), retriever: hostClient(t.Retriever),
 		reranker: hostClient(t.Reranker), engine: hostClient(t.Engine),
@@ -50,57 +51,57 @@
 	return &fasthttp.HostClient{Addr: address, MaxConns: maxConns, MaxIdemponentCallAttempts: 1}
 }
 
-// Do runs one request through the four stages and returns what was generated.
+// Do runs one request through the four stages and returns the generated text.
 func (d *DirectClient) Do(input string, maxTokens int, stream bool) (string, error) {
-	identity := "direct-" + strconv.FormatInt(d.sent.Add(1), 10)
+	requestID := "direct-" + strconv.FormatInt(d.sent.Add(1), 10)
 	var embedding targetapi.EmbeddingAnswer
-	err := call(d.encoder, targetapi.PathEmbeddings, identity+"/encode/1", targetapi.EmbeddingRequest{Input: input}, &embedding)
+	err := call(d.encoder, targetapi.PathEmbeddings, requestID+"/encode/1", targetapi.EmbeddingRequest{Input: input}, &embedding)
 	if err != nil {
 		return "", err
 	}
 	if len(embedding.Data) != 1 {
-		return "", errors.New("overhead: no embedding")
+		return "", errors.New("overhead: response must contain exactly one embedding")
 	}
 	var found targetapi.SearchAnswer
-	search := targetapi.SearchRequest{Query: input, Vector: embedding.Data[0].Embedding, MaxResults: documents}
-	if err := call(d.retriever, targetapi.PathSearch, identity+"/retrieve/1", search, &found); err != nil {
+	search := targetapi.SearchRequest{Query: input, Vector: embedding.Data[0].Embedding, MaxResults: documentCount}
+	if err := call(d.retriever, targetapi.PathSearch, requestID+"/retrieve/1", search, &found); err != nil {
 		return "", err
 	}
-	ranked, err := d.rerank(identity, input, found)
+	ranked, err := d.rerank(requestID, input, found)
 	if err != nil {
 		return "", err
 	}
-	order := targetapi.CompletionRequest{Prompt: promptOf(input, ranked), MaxTokens: maxTokens, Stream: stream}
+	request := targetapi.CompletionRequest{Prompt: buildPrompt(input, ranked), MaxTokens: maxTokens, Stream: stream}
 	if stream {
-		return d.stream(identity, order)
+		return d.stream(requestID, request)
 	}
 	var completion targetapi.Completion
-	if err := call(d.engine, targetapi.PathCompletions, identity+"/generate/1", order, &completion); err != nil {
+	if err := call(d.engine, targetapi.PathCompletions, requestID+"/generate/1", request, &completion); err != nil {
 		return "", err
 	}
-	return textOf(completion), nil
+	return completionText(completion), nil
 }
 
-func (d *DirectClient) rerank(identity, input string, found targetapi.SearchAnswer) ([]string, error) {
-	order := targetapi.RerankRequest{Query: input, TopN: documents}
+func (d *DirectClient) rerank(requestID, input string, found targetapi.SearchAnswer) ([]string, error) {
+	request := targetapi.RerankRequest{Query: input, TopN: documentCount}
 	for _, result := range found.Data {
-		order.Documents = append(order.Documents, result.Content)
+		request.Documents = append(request.Documents, result.Content)
 	}
 	var answer targetapi.RerankAnswer
-	if err := call(d.reranker, targetapi.PathRerank, identity+"/rerank/1", order, &answer); err != nil {
+	if err := call(d.reranker, targetapi.PathRerank, requestID+"/rerank/1", request, &answer); err != nil {
 		return nil, err
 	}
 	var ranked []string
 	for _, result := range answer.Results {
-		if result.Index < 0 || result.Index >= len(order.Documents) {
-			return nil, fmt.Errorf("overhead: rerank names document %d", result.Index)
+		if result.Index < 0 || result.Index >= len(request.Documents) {
+			return nil, fmt.Errorf("overhead: rerank response has document index %d out of range", result.Index)
 		}
-		ranked = append(ranked, order.Documents[result.Index])
+		ranked = append(ranked, request.Documents[result.Index])
 	}
 	return ranked, nil
 }
 
-func promptOf(input string, ranked []string) string {
+func buildPrompt(input string, ranked []string) string {
 	var prompt strings.Builder
 	for _, document := range ranked {
 		prompt.WriteString("Document: ")
@@ -113,7 +114,7 @@
 	return prompt.String()
 }
 
-func textOf(completion targetapi.Completion) string {
+func completionText(completion targetapi.Completion) string {
 	var text strings.Builder
 	for _, choice := range completion.Choices {
 		text.WriteString(choice.Text)
@@ -121,7 +122,7 @@
 	return text.String()
 }
 
-func newRequest(path, identity string, body any) (*fasthttp.Request, error) {
+func newRequest(path, requestID string, body any) (*fasthttp.Request, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
@@ -129,14 +130,14 @@
 	req := fasthttp.AcquireRequest()
 	req.Header.SetMethod(http.MethodPost)
 	req.SetRequestURI("http://target" + path)
-	req.Header.Set(targetapi.HeaderRequestID, identity)
+	req.Header.Set(targetapi.HeaderRequestID, requestID)
 	req.Header.SetContentType("application/json")
 	req.SetBody(raw)
 	return req, nil
 }
 
-func call(client *fasthttp.HostClient, path, identity string, body, into any) error {
-	req, err := newRequest(path, identity, body)
+func call(client *fasthttp.HostClient, path, requestID string, body, answer any) error {
+	req, err := newRequest(path, requestID, body)
 	if err != nil {
 		return err
 	}
@@ -147,13 +148,13 @@
 		return err
 	}
 	if resp.StatusCode() != http.StatusOK {
-		return fmt.Errorf("overhead: %s: %d %s", path, resp.StatusCode(), resp.Body())
+		return fmt.Errorf("overhead: %s: status %d: %s", path, resp.StatusCode(), resp.Body())
 	}
-	return json.Unmarshal(resp.Body(), into)
+	return json.Unmarshal(resp.Body(), answer)
 }
 
-func (d *DirectClient) stream(identity string, order targetapi.CompletionRequest) (string, error) {
-	req, err := newRequest(targetapi.PathCompletions, identity+"/generate/1", order)
+func (d *DirectClient) stream(requestID string, request targetapi.CompletionRequest) (string, error) {
+	req, err := newRequest(targetapi.PathCompletions, requestID+"/generate/1", request)
 	if err != nil {
 		return "", err
 	}
@@ -178,11 +179,11 @@
 		if data == endOfStream {
 			return text.String(), nil
 		}
-		var piece targetapi.Completion
-		if err := json.Unmarshal([]byte(data), &piece); err != nil {
+		var chunk targetapi.Completion
+		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
 			return "", err
 		}
-		text.WriteString(textOf(piece))
+		text.WriteString(completionText(chunk))
 	}
-	return "", errors.Join(errors.New("overhead: stream has no end"), lines.Err())
+	return "", errors.Join(errors.New("overhead: stream ended without the [DONE] event"), lines.Err())
 }
--- a/internal/load/report/files.go
+++ b/internal/load/report/files.go
@@ -19,7 +19,8 @@
 	dirMode  = 0o755
 )
 
-// WriteJSON writes a value as indented JSON, and makes the directory.
+// WriteJSON writes value as indented JSON to path and creates the directory if
+// needed.
 func WriteJSON(path string, value any) error {
 	raw, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
@@ -36,7 +37,8 @@
 	"latency_ms", "first_token_ms", "late_ms", "detail",
 }
 
-// WriteCSV writes one row for each request, in order of arrival.
+// WriteCSV writes one row for each request to path, in the order of results, and
+// creates the directory if needed.
 func WriteCSV(path string, results []caller.Result) error {
 	if err := os.MkdirAll(filepath.Dir(path), dirMode); err != nil {
 		return err
@@ -72,7 +74,7 @@
 
 func millisText(ms float64) string { return strconv.FormatFloat(ms, 'f', 3, 64) }
 
-// DetailLines are the lines that stand before the last one.
+// DetailLines returns the lines printed before ResultLine.
 func (s Summary) DetailLines() []string {
 	lines := []string{
 		fmt.Sprintf("latency p50_ms=%.1f p95_ms=%.1f p99_ms=%.1f max_ms=%.1f", s.Latency.P50, s.Latency.P95, s.Latency.P99, s.Latency.Max),
--- a/internal/load/report/plots.go
+++ b/internal/load/report/plots.go
@@ -12,20 +12,20 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Series is one line or one group of bars.
+// Series is one line of a line chart or one group of a bar chart.
 type Series struct {
 	Name string
-	// X is unused by bars.
+	// X is unused in bar charts.
 	X, Y []float64
 }
 
-// BarChart has one bar of each group at each label.
+// BarChart holds the data of a bar chart: for each label, one bar of each group.
 type BarChart struct {
 	Labels []string
 	Groups []Series
 }
 
-// Sizes of the drawings.
+// Dimensions of the charts.
 const (
 	drawingWidth  = 30 * vg.Centimeter
 	drawingHeight = 10 * vg.Centimeter
@@ -33,7 +33,7 @@
 	lineWidth     = vg.Length(1.5)
 )
 
-// Bars draws a chart as SVG.
+// Bars renders a bar chart as SVG.
 func Bars(title, axis string, chart BarChart) (string, error) {
 	p := newPlot(title, "", axis)
 	p.Y.Min = 0
@@ -52,7 +52,8 @@
 	return svg(p)
 }
 
-// Lines draws lines as SVG. A series without points is left out.
+// Lines renders a line chart as SVG, with the Y axis from 0 to 1. Series without
+// points are omitted.
 func Lines(title, x, y string, lines []Series) (string, error) {
 	p := newPlot(title, x, y)
 	p.Y.Min, p.Y.Max = 0, 1
@@ -87,7 +88,8 @@
 	return p
 }
 
-// svg draws a plot, without the XML header, so that it can stand within HTML.
+// svg renders a plot as SVG without the XML header, so that it can be embedded in
+// HTML.
 func svg(p *plot.Plot) (string, error) {
 	canvas := vgsvg.New(drawingWidth, drawingHeight)
 	p.Draw(draw.New(canvas))
--- a/internal/load/report/progress.go
+++ b/internal/load/report/progress.go
@@ -9,15 +9,15 @@
 	"github.com/vanillagate/vanillagate/internal/load/runner"
 )
 
-// ShowProgress writes a line every period until the returned function is
-// called.
+// ShowProgress writes a progress line to out every period until the returned
+// function is called.
 func ShowProgress(out io.Writer, progress *runner.Progress, period time.Duration) func() {
 	done := make(chan struct{})
-	var writing sync.WaitGroup
-	writing.Go(func() { writeProgress(out, progress, period, done) })
+	var writer sync.WaitGroup
+	writer.Go(func() { writeProgress(out, progress, period, done) })
 	return func() {
 		close(done)
-		writing.Wait()
+		writer.Wait()
 	}
 }
 
--- a/internal/load/report/report_test.go
+++ b/internal/load/report/report_test.go
@@ -69,10 +69,10 @@
 	assert.Equal(t, s.ByCustomer[0].Attainment, 0.5)
 	assert.Equal(t, s.ByCustomer[0].Executions, 2)
 	assert.Equal(t, s.Errors["refused 429 not_run"], 1)
-	assert.Assert(t, s.Latency.Max < 3100, "poison requests are not in the latency")
+	assert.Assert(t, s.Latency.Max < 3100, "poison requests must be excluded from the latency")
 }
 
-func TestTimelineCountsByScheduledTime(t *testing.T) {
+func TestTimelineGroupsByScheduledTime(t *testing.T) {
 	points := Timeline(results(), 4*time.Second)
 	sent, inTime := 0, 0
 	for _, p := range points {
@@ -96,7 +96,7 @@
 	assert.Assert(t, strings.Contains(lines[4], "refused") && strings.Contains(lines[4], "429"), lines[4])
 }
 
-func TestDrawings(t *testing.T) {
+func TestChartsAreSVG(t *testing.T) {
 	bars, err := Bars("t", "y", BarChart{Labels: []string{"x1", "x2"}, Groups: []Series{{Name: "p", Y: []float64{1, 2}}}})
 	assert.NilError(t, err)
 	assert.Assert(t, strings.HasPrefix(bars, "<svg"))
--- a/internal/load/report/summary.go
+++ b/internal/load/report/summary.go
@@ -1,4 +1,5 @@
-// Package report turns the results of runs into lines, JSON, CSV and pages.
+// Package report summarizes the results of load runs and writes them as text
+// lines, JSON, CSV and SVG charts.
 package report
 
 import (
@@ -13,15 +14,15 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// Bounds of the latency histograms.
+// Range and precision of the latency histograms.
 const (
 	longestLatencyUS = int64(10 * time.Minute / time.Microsecond)
 	latencyDigits    = 3
 )
 
-// Latency holds percentiles in milliseconds. They count from the scheduled
-// arrival, so that a request that had to wait because the load tool or the
-// system stood still is not left out (coordinated omission).
+// Latency holds percentiles in milliseconds. Latencies of requests are measured
+// from the scheduled arrival, so that time spent waiting while the load generator
+// or the system was stalled is included (no coordinated omission).
 type Latency struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -30,12 +31,13 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Percentiles reads a Latency from durations. None gives the zero Latency.
+// Percentiles computes the percentiles of durations; without durations they are
+// zero.
 func Percentiles(durations []time.Duration) Latency {
 	histogram := hdrhistogram.New(1, longestLatencyUS, latencyDigits)
 	for _, d := range durations {
 		us := min(max(d.Microseconds(), 1), longestLatencyUS)
-		_ = histogram.RecordValue(us) // us is within the bounds
+		_ = histogram.RecordValue(us) // can't fail: us is within the range
 	}
 	if histogram.TotalCount() == 0 {
 		return Latency{}
@@ -53,55 +55,59 @@
 	return float64(h.ValueAtQuantile(percent)) / 1000
 }
 
-// Summary is one run.
+// Summary holds the aggregated results of one run.
 type Summary struct {
 	check.Totals
 	Attainment float64 `json:"attainment"`
-	// Latency is the latency of every request until it ended, however it ended.
+	// Latency covers every request except poison requests, until it ended with
+	// any outcome.
 	Latency Latency `json:"latency"`
-	// FirstToken is the time to the first token of streams.
+	// FirstToken is the time to the first token of streamed requests.
 	FirstToken Latency `json:"first_token"`
-	// SendDelay is how late the load tool itself sent; high values mean that this
-	// machine was too busy to trust the run.
+	// SendDelay is how long after schedule the load generator itself sent requests.
+	// High values mean that its machine was overloaded and the run is not
+	// reliable.
 	SendDelay Latency `json:"late"`
-	// EngineUS is the time that the targets spent, in microseconds.
+	// EngineUS is the processing time of all targets, in microseconds.
 	EngineUS int64 `json:"engine_us"`
-	// Cost is EngineUS for each request answered once, whole and in time; zero
-	// if there is none.
+	// Cost is EngineUS divided by the number of requests answered once,
+	// completely and in time; zero if there are none.
 	Cost float64 `json:"cost"`
-	// UnfinishedUS is the part of EngineUS that went into calls that did not
-	// finish: cancelled, crashed or hung up on.
+	// UnfinishedUS is the part of EngineUS spent on calls that did not finish
+	// because they were cancelled, crashed or disconnected.
 	UnfinishedUS int64 `json:"unfinished_us"`
-	// CachedShare is the part of the engines' prompt tokens that their prefix
-	// caches held.
+	// CachedShare is the share of the engines' prompt tokens found in their
+	// prefix caches.
 	CachedShare float64           `json:"cached_share"`
 	ByPool      map[string]int64  `json:"engine_us_by_pool"`
 	ByCustomer  []CustomerSummary `json:"by_customer"`
 	Errors      map[string]int    `json:"errors"`
 }
 
-// CustomerSummary is one customer's part of a run.
+// CustomerSummary holds the aggregated results of one customer in a run.
 type CustomerSummary struct {
 	Customer string `json:"customer"`
 	check.Totals
 	Attainment float64 `json:"attainment"`
-	Latency        Latency `json:"latency"`
+	Latency    Latency `json:"latency"`
 }
 
-// Summarize judges a run by its results and by what the targets counted.
+// Summarize aggregates a run from the callers' results and the executions that
+// the targets recorded.
 func Summarize(results []caller.Result, executions []control.Execution) Summary {
-	s := Summary{Totals: check.Judge(endings(results), executions)}
+	s := Summary{Totals: check.Judge(endedRequests(results), executions)}
 	s.Attainment = s.Totals.Attainment()
 	s.Latency = Percentiles(latencies(results))
 	s.FirstToken = Percentiles(firstTokens(results))
-	s.SendDelay = Percentiles(lateness(results))
+	s.SendDelay = Percentiles(sendDelays(results))
 	s.addCosts(executions)
 	s.ByCustomer = byCustomer(results, executions)
-	s.Errors = errorsOf(results)
+	s.Errors = countErrors(results)
 	return s
 }
 
-// addCosts reads what the targets spent. It needs the totals.
+// addCosts computes the engine time, cost and cache figures. It uses s.InTime, so
+// the totals must be set first.
 func (s *Summary) addCosts(executions []control.Execution) {
 	s.ByPool = map[string]int64{}
 	prompts, cached := 0, 0
@@ -126,28 +132,28 @@
 
 func byCustomer(results []caller.Result, executions []control.Execution) []CustomerSummary {
 	var order []string
-	parts := map[string][]caller.Result{}
+	resultsByCustomer := map[string][]caller.Result{}
 	for _, r := range results {
-		if _, found := parts[r.Call.Customer]; !found {
+		if _, found := resultsByCustomer[r.Call.Customer]; !found {
 			order = append(order, r.Call.Customer)
 		}
-		parts[r.Call.Customer] = append(parts[r.Call.Customer], r)
+		resultsByCustomer[r.Call.Customer] = append(resultsByCustomer[r.Call.Customer], r)
 	}
 	summaries := make([]CustomerSummary, 0, len(order))
 	for _, customer := range order {
-		totals := check.Judge(endings(parts[customer]), executions)
-		totals.Executions = countOf(customer, executions)
+		totals := check.Judge(endedRequests(resultsByCustomer[customer]), executions)
+		totals.Executions = countExecutions(customer, executions)
 		summaries = append(summaries, CustomerSummary{
 			Customer:   customer,
 			Totals:     totals,
 			Attainment: totals.Attainment(),
-			Latency:        Percentiles(latencies(parts[customer])),
+			Latency:    Percentiles(latencies(resultsByCustomer[customer])),
 		})
 	}
 	return summaries
 }
 
-func countOf(customer string, executions []control.Execution) int {
+func countExecutions(customer string, executions []control.Execution) int {
 	count := 0
 	for _, x := range executions {
 		if x.Customer == customer {
@@ -157,7 +163,7 @@
 	return count
 }
 
-func endings(results []caller.Result) []check.Ended {
+func endedRequests(results []caller.Result) []check.Ended {
 	ended := make([]check.Ended, 0, len(results))
 	for _, r := range results {
 		ended = append(ended, check.Ended{
@@ -195,7 +201,7 @@
 	return all
 }
 
-func lateness(results []caller.Result) []time.Duration {
+func sendDelays(results []caller.Result) []time.Duration {
 	var all []time.Duration
 	for _, r := range results {
 		all = append(all, r.Late)
@@ -203,7 +209,7 @@
 	return all
 }
 
-func errorsOf(results []caller.Result) map[string]int {
+func countErrors(results []caller.Result) map[string]int {
 	counts := map[string]int{}
 	for _, r := range results {
 		switch r.Outcome {
@@ -217,7 +223,7 @@
 	return counts
 }
 
-// ResultLine is the line that every run ends with.
+// ResultLine returns the final line of the output of a run.
 func (s Summary) ResultLine() string {
 	return fmt.Sprintf("attainment=%.4f requests=%d answered=%d lost=%d doubled=%d crossed=%d",
 		s.Attainment, s.Requests, s.Answered, s.Lost, s.Doubled, s.Crossed)
--- a/internal/load/report/timeline.go
+++ b/internal/load/report/timeline.go
@@ -6,43 +6,45 @@
 	"github.com/vanillagate/vanillagate/internal/load/caller"
 )
 
-// Point is a part of a run's duration, by the scheduled time of its requests.
+// Point summarizes the requests scheduled within one interval of a run.
 type Point struct {
-	// Second is the middle of the part, since the start.
+	// Second is the middle of the interval, in seconds since the start.
 	Second   float64 `json:"second"`
 	Requests int     `json:"requests"`
 	InTime   int     `json:"in_time"`
 	P95      float64 `json:"p95_ms"`
 }
 
-// timelineParts is into how many parts a duration is cut.
-const timelineParts = 20
+// timelineIntervals is the number of intervals that a run's duration is divided
+// into.
+const timelineIntervals = 20
 
-// Timeline shows how a run went over time. Poison requests are left out.
-func Timeline(results []caller.Result, length time.Duration) []Point {
-	if len(results) == 0 || length <= 0 {
+// Timeline divides a run into intervals of equal length and summarizes the
+// requests of each. Poison requests are excluded.
+func Timeline(results []caller.Result, duration time.Duration) []Point {
+	if len(results) == 0 || duration <= 0 {
 		return nil
 	}
 	start := results[0].Call.Scheduled.Add(-results[0].At)
-	points := make([]Point, timelineParts)
-	spent := make([][]time.Duration, timelineParts)
+	points := make([]Point, timelineIntervals)
+	latenciesByInterval := make([][]time.Duration, timelineIntervals)
 	for i := range points {
-		points[i].Second = length.Seconds() * (float64(i) + 0.5) / timelineParts
+		points[i].Second = duration.Seconds() * (float64(i) + 0.5) / timelineIntervals
 	}
 	for _, r := range results {
 		if r.Call.Poison {
 			continue
 		}
-		at := int(r.Call.Scheduled.Sub(start) * timelineParts / length)
-		at = min(max(at, 0), timelineParts-1)
-		points[at].Requests++
+		interval := int(r.Call.Scheduled.Sub(start) * timelineIntervals / duration)
+		interval = min(max(interval, 0), timelineIntervals-1)
+		points[interval].Requests++
 		if r.InTime() {
-			points[at].InTime++
+			points[interval].InTime++
 		}
-		spent[at] = append(spent[at], r.Latency)
+		latenciesByInterval[interval] = append(latenciesByInterval[interval], r.Latency)
 	}
 	for i := range points {
-		points[i].P95 = Percentiles(spent[i]).P95
+		points[i].P95 = Percentiles(latenciesByInterval[i]).P95
 	}
 	return points
 }
