--- a/internal/load/report/progress.go
+++ b/internal/load/report/progress.go
@@ -9,15 +9,15 @@
 	"github.com/vanillagate/vanillagate/internal/load/runner"
 )
 
-// ShowProgress writes a line every period until the returned function is
-// called.
+// ShowProgress writes a progress line to out every period until the returned
+// function is called.
 func ShowProgress(out io.Writer, progress *runner.Progress, period time.Duration) func() {
 	done := make(chan struct{})
-	var writing sync.WaitGroup
-	writing.Go(func() { writeProgress(out, progress, period, done) })
+	var writer sync.WaitGroup
+	writer.Go(func() { writeProgress(out, progress, period, done) })
 	return func() {
 		close(done)
-		writing.Wait()
+		writer.Wait()
 	}
 }
 
@@ -30,7 +30,7 @@
 		case <-done:
 			return
 		case <-ticker.C:
-			sent, ended, inTime := progress.Sent.Load(), progress.Completed.Load(), progress.InTime.Load()
+			sent, ended, inTime := progress.Sent.Load(), progress.Ended.Load(), progress.InTime.Load()
 			fmt.Fprintf(out, "seconds=%.0f sent=%d in_flight=%d ended=%d in_time=%d\n",
 				time.Since(start).Seconds(), sent, sent-ended, ended, inTime)
 		}
