--- a/internal/load/bench/layout.go
+++ b/internal/load/bench/layout.go
@@ -35,11 +35,11 @@
 // each entry VM (index, address, peer address, zone, region), and a shell script
 // that exports the settings as environment variables.
 func WriteLayout(dir string, s *experiment.Scenario, seed uint64) error {
-	port, err := shape.FreePorts(s.Shape.Ports())
+	port, err := shape.FindFreePorts(s.Shape.PortCount())
 	if err != nil {
 		return err
 	}
-	fleet := s.Shape.Fleet(port, seed)
+	fleet := s.Shape.BuildFleet(port, seed)
 	if err := report.WriteJSON(filepath.Join(dir, fleetFile), fleet); err != nil {
 		return err
 	}
--- a/internal/load/bench/merge.go
+++ b/internal/load/bench/merge.go
@@ -114,8 +114,8 @@
 	row.CostRatio = ratios(present, runs, func(r Result) float64 { return r.Summary.Cost })
 	for _, r := range runs {
 		row.Lost += r.Summary.Lost
-		row.Doubled += r.Summary.Doubled
-		row.Crossed += r.Summary.Crossed
+		row.Doubled += r.Summary.RanTwice
+		row.Crossed += r.Summary.WrongAnswers
 		row.FalseNotRun += r.Summary.FalseNotRun
 	}
 	return row
--- a/internal/load/bench/step.go
+++ b/internal/load/bench/step.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return Result{}, nil, err
 	}
-	counts, err := standins.Settled(control.SettleLimit)
+	counts, err := standins.CountsWhenIdle(control.DefaultIdleWait)
 	if err != nil {
 		return Result{}, nil, err
 	}
--- a/internal/load/cli/cli_test.go
+++ b/internal/load/cli/cli_test.go
@@ -36,7 +36,7 @@
 		switch r.URL.Path {
 		case "/v1/entries":
 			address := strings.TrimPrefix(server.URL, "http://")
-			_ = json.NewEncoder(w).Encode(caller.EntriesAnswer{Entries: []caller.Entry{{Address: address}}, KeepMS: 60_000})
+			_ = json.NewEncoder(w).Encode(caller.EntriesAnswer{Entries: []caller.Entry{{Address: address}}, TTLMS: 60_000})
 		case "/counts":
 			_ = json.NewEncoder(w).Encode(counts)
 		default:
--- a/internal/load/cli/overhead.go
+++ b/internal/load/cli/overhead.go
@@ -54,13 +54,13 @@
 	if err != nil {
 		return err
 	}
-	pid, err := fault.PID(cmd.String(flagDir), 0)
+	pid, err := fault.ReadPID(cmd.String(flagDir), 0)
 	if err != nil {
 		return err
 	}
 	entry := caller.NewPinned(fleet.Entries[0].Address)
 	defer entry.Close()
-	firstTarget := func(pool string) string { return fleet.Targets(pool)[0] }
+	firstTarget := func(pool string) string { return fleet.TargetAddresses(pool)[0] }
 	meter := &overhead.Meter{
 		Direct: overhead.NewDirectClient(overhead.Targets{
 			Encoder: firstTarget("encoders"), Retriever: firstTarget("retrievers"), Reranker: firstTarget("rerankers"), Engine: firstTarget("llm"),
--- a/internal/load/cli/run.go
+++ b/internal/load/cli/run.go
@@ -139,8 +139,8 @@
 			Service:          cmd.String(flagService),
 			Confirm:          service,
 			ConfirmPath:      cmd.String(flagConfirmPath),
-			LeastTokens:      cmd.Int(flagMaxTokens),
-			MostTokens:       cmd.Int(flagMaxTokens),
+			MinTokens:        cmd.Int(flagMaxTokens),
+			MaxTokens:        cmd.Int(flagMaxTokens),
 			Prefixes:         defaultPrefixes,
 			InputWords:       defaultInputWords,
 			TimeoutMS:        timeout,
@@ -175,7 +175,7 @@
 }
 
 // sendAll sends the planned calls from one caller for each address of entries.
-func sendAll(ctx context.Context, entries []string, plan []runner.Planned) []caller.Result {
+func sendAll(ctx context.Context, entries []string, plan []runner.PlannedCall) []caller.Result {
 	callers := newCallers(entries)
 	defer closeAll(callers)
 	var progress runner.Progress
@@ -205,7 +205,7 @@
 func collectExecutions(controls []string) ([]control.Execution, error) {
 	var all []control.Execution
 	for _, address := range controls {
-		counts, err := control.New(address).Settled(control.SettleLimit)
+		counts, err := control.New(address).CountsWhenIdle(control.DefaultIdleWait)
 		if err != nil {
 			return nil, err
 		}
@@ -217,7 +217,7 @@
 // checkSummary returns an error if the run violated a guarantee or its attainment
 // is below required.
 func checkSummary(s report.Summary, required float64) error {
-	if s.Lost > 0 || s.Doubled > 0 || s.Crossed > 0 || s.FalseNotRun > 0 {
+	if s.Lost > 0 || s.RanTwice > 0 || s.WrongAnswers > 0 || s.FalseNotRun > 0 {
 		return errRunFailed
 	}
 	if s.Attainment < required {
--- a/internal/load/experiment/experiment_test.go
+++ b/internal/load/experiment/experiment_test.go
@@ -47,7 +47,7 @@
 	first := s.Plan(5*time.Second, 1, "x")
 	assert.DeepEqual(t, first, s.Plan(5*time.Second, 1, "x"))
 	assert.Assert(t, len(first) != len(s.Plan(5*time.Second, 2, "x")))
-	assert.Assert(t, slices.IsSortedFunc(first, func(a, b runner.Planned) int { return int(a.At - b.At) }))
+	assert.Assert(t, slices.IsSortedFunc(first, func(a, b runner.PlannedCall) int { return int(a.At - b.At) }))
 }
 
 func TestPlanMatchesLoadAndMix(t *testing.T) {
@@ -68,7 +68,7 @@
 			confirms++
 			assert.Equal(t, c.Method, "POST")
 		}
-		assert.Assert(t, c.MaxTokens >= s.Shape.Mix.LeastTokens && c.MaxTokens <= s.Shape.Mix.MostTokens)
+		assert.Assert(t, c.MaxTokens >= s.Shape.Mix.MinTokens && c.MaxTokens <= s.Shape.Mix.MaxTokens)
 		assert.Assert(t, c.Timeout > 0 && c.BearerKey != "" && c.Customer != "")
 	}
 	assert.Equal(t, len(keys), len(plan))
--- a/internal/load/experiment/plan.go
+++ b/internal/load/experiment/plan.go
@@ -28,22 +28,22 @@
 // Plan generates the calls of all customers, ordered by time. The same seed
 // gives the same calls. The run name is part of every ref and idempotency key,
 // so that no call is answered from results stored by an earlier run.
-func Plan(loads []CustomerLoad, length time.Duration, seed uint64, run string) []runner.Planned {
-	var plan []runner.Planned
+func Plan(loads []CustomerLoad, length time.Duration, seed uint64, run string) []runner.PlannedCall {
+	var plan []runner.PlannedCall
 	for i, load := range loads {
 		customerSeed := seed*1000003 + uint64(i)
 		random := rand.New(rand.NewPCG(customerSeed, callRandStream))
-		for n, at := range arrival.Times(load.Pattern, length, customerSeed) {
+		for n, at := range arrival.SampleTimes(load.Pattern, length, customerSeed) {
 			ref := fmt.Sprintf("%s-%d-%d", run, i, n)
-			plan = append(plan, runner.Planned{At: at, Call: load.newCall(random, ref)})
+			plan = append(plan, runner.PlannedCall{At: at, Call: load.newCall(random, ref)})
 		}
 	}
 	sortByTime(plan)
 	return plan
 }
 
-func sortByTime(plan []runner.Planned) {
-	slices.SortStableFunc(plan, func(a, b runner.Planned) int { return cmp.Compare(a.At, b.At) })
+func sortByTime(plan []runner.PlannedCall) {
+	slices.SortStableFunc(plan, func(a, b runner.PlannedCall) int { return cmp.Compare(a.At, b.At) })
 }
 
 // callRandStream selects the random stream for generating calls, independent of
@@ -60,7 +60,7 @@
 		Pipeline:       m.Pipeline,
 		Service:        m.Service,
 		Input:          generateInput(m, random, s.Customer, ref),
-		MaxTokens:      m.LeastTokens + random.IntN(m.MostTokens-m.LeastTokens+1),
+		MaxTokens:      m.MinTokens + random.IntN(m.MaxTokens-m.MinTokens+1),
 		Timeout:        time.Duration(m.TimeoutMS) * time.Millisecond,
 	}
 	switch pickWeighted(random, m.JSON, m.Stream, m.Read, m.Confirm) {
--- a/internal/load/experiment/scenario.go
+++ b/internal/load/experiment/scenario.go
@@ -331,7 +331,7 @@
 		if b.Customer == customer {
 			return arrival.Bursts{
 				Base: rate, Peak: rate * b.Factor,
-				First: fractionOf(length, b.At), Length: fractionOf(length, b.Until-b.At),
+				FirstStart: fractionOf(length, b.At), Duration: fractionOf(length, b.Until-b.At),
 			}
 		}
 	}
@@ -346,18 +346,18 @@
 		if days == 0 {
 			days = 1
 		}
-		return arrival.Daily{Mean: rate, Swing: a.Swing, Day: fractionOf(length, 1/days)}
+		return arrival.Daily{Mean: rate, Amplitude: a.Swing, Period: fractionOf(length, 1/days)}
 	case ArrivalBursts:
 		every := fractionOf(length, 1/float64(a.Count))
 		base := rate * (1 - a.Factor*a.Length) / (1 - a.Length)
-		return arrival.Bursts{Base: base, Peak: rate * a.Factor, Every: every, Length: fractionOf(every, a.Length)}
+		return arrival.Bursts{Base: base, Peak: rate * a.Factor, Period: every, Duration: fractionOf(every, a.Length)}
 	case ArrivalSteady:
 	}
 	return arrival.Steady{PerSecond: rate}
 }
 
 // Plan generates all calls of a run, including those that crash their targets.
-func (s *Scenario) Plan(length time.Duration, seed uint64, run string) []runner.Planned {
+func (s *Scenario) Plan(length time.Duration, seed uint64, run string) []runner.PlannedCall {
 	plan := Plan(s.CustomerLoads(length), length, seed, run)
 	if s.CrashingRequests != nil {
 		plan = append(plan, s.crashingCalls(length, run)...)
@@ -369,9 +369,9 @@
 // crashingCalls returns the calls that crash their targets. Each is resent with
 // the same content under new idempotency keys, as by a caller that treats the
 // failure as transient.
-func (s *Scenario) crashingCalls(length time.Duration, run string) []runner.Planned {
+func (s *Scenario) crashingCalls(length time.Duration, run string) []runner.PlannedCall {
 	c := s.CrashingRequests
-	var plan []runner.Planned
+	var plan []runner.PlannedCall
 	for n := range c.Count {
 		ref := fmt.Sprintf("%s-crash-%d", run, n)
 		first := fractionOf(length, c.At+(1-c.At)*float64(n)/float64(c.Count))
@@ -380,7 +380,7 @@
 			call.IdempotencyKey = fmt.Sprintf("key-%s-%d", ref, attempt)
 			at := first + time.Duration(attempt*c.EveryMS)*time.Millisecond
 			if at < length {
-				plan = append(plan, runner.Planned{At: at, Call: call})
+				plan = append(plan, runner.PlannedCall{At: at, Call: call})
 			}
 		}
 	}
@@ -396,7 +396,7 @@
 		Ref:       ref,
 		Pipeline:  m.Pipeline,
 		Input:     "a request that no engine survives " + s.CrashingRequests.Marker,
-		MaxTokens: m.MostTokens,
+		MaxTokens: m.MaxTokens,
 		Timeout:   time.Duration(m.TimeoutMS) * time.Millisecond,
 		Poison:    true,
 	}
--- a/internal/load/overhead/measure.go
+++ b/internal/load/overhead/measure.go
@@ -75,12 +75,12 @@
 func (m *Meter) callDirect(tokens int, stream bool) (time.Duration, error) {
 	ref := m.nextRef()
 	start := time.Now()
-	output, err := m.Direct.Do(m.Input+" "+check.RefMark(ref), tokens, stream)
+	output, err := m.Direct.Do(m.Input+" "+check.RefMarker(ref), tokens, stream)
 	took := time.Since(start)
 	if err != nil {
 		return 0, err
 	}
-	if finding := check.Words(ref, tokens, output); finding != check.Whole {
+	if finding := check.PipelineOutput(ref, tokens, output); finding != check.Complete {
 		return 0, fmt.Errorf("overhead: wrong answer to direct request: %s", finding)
 	}
 	return took, nil
--- a/internal/load/report/files.go
+++ b/internal/load/report/files.go
@@ -65,7 +65,7 @@
 	return []string{
 		r.Call.Ref, r.Call.Customer, string(r.Call.Kind), string(r.Outcome), string(r.Finding), string(r.Execution),
 		strconv.Itoa(r.Status), strconv.Itoa(r.Tries),
-		millisText(millis(r.Latency)), millisText(millis(r.FirstToken)), millisText(millis(r.Late)),
+		millisText(millis(r.Latency)), millisText(millis(r.FirstToken)), millisText(millis(r.SendDelay)),
 		r.Detail,
 	}
 }
--- a/internal/load/report/progress.go
+++ b/internal/load/report/progress.go
@@ -30,7 +30,7 @@
 		case <-done:
 			return
 		case <-ticker.C:
-			sent, ended, inTime := progress.Sent.Load(), progress.Ended.Load(), progress.InTime.Load()
+			sent, ended, inTime := progress.Sent.Load(), progress.Completed.Load(), progress.InTime.Load()
 			fmt.Fprintf(out, "seconds=%.0f sent=%d in_flight=%d ended=%d in_time=%d\n",
 				time.Since(start).Seconds(), sent, sent-ended, ended, inTime)
 		}
--- a/internal/load/report/report_test.go
+++ b/internal/load/report/report_test.go
@@ -32,10 +32,10 @@
 var scheduled = time.Unix(1_000_000, 0)
 
 func resultOf(key string, at, latency time.Duration, outcome caller.Outcome) caller.Result {
-	r := caller.Result{At: at, Latency: latency, Outcome: outcome}
+	r := caller.Result{ScheduledOffset: at, Latency: latency, Outcome: outcome}
 	r.Call = caller.Call{Customer: "c-" + key[:1], IdempotencyKey: key, Timeout: time.Second, Scheduled: scheduled.Add(at)}
 	if outcome == caller.Answered {
-		r.Finding = check.Whole
+		r.Finding = check.Complete
 	}
 	return r
 }
--- a/internal/load/report/summary.go
+++ b/internal/load/report/summary.go
@@ -95,7 +95,7 @@
 // Summarize aggregates a run from the callers' results and the executions that
 // the targets recorded.
 func Summarize(results []caller.Result, executions []control.Execution) Summary {
-	s := Summary{Totals: check.Judge(endedRequests(results), executions)}
+	s := Summary{Totals: check.ComputeTotals(endedRequests(results), executions)}
 	s.Attainment = s.Totals.Attainment()
 	s.Latency = Percentiles(latencies(results))
 	s.FirstToken = Percentiles(firstTokens(results))
@@ -141,7 +141,7 @@
 	}
 	summaries := make([]CustomerSummary, 0, len(order))
 	for _, customer := range order {
-		totals := check.Judge(endedRequests(resultsByCustomer[customer]), executions)
+		totals := check.ComputeTotals(endedRequests(resultsByCustomer[customer]), executions)
 		totals.Executions = countExecutions(customer, executions)
 		summaries = append(summaries, CustomerSummary{
 			Customer:   customer,
@@ -163,19 +163,19 @@
 	return count
 }
 
-func endedRequests(results []caller.Result) []check.Ended {
-	ended := make([]check.Ended, 0, len(results))
+func endedRequests(results []caller.Result) []check.CompletedRequest {
+	ended := make([]check.CompletedRequest, 0, len(results))
 	for _, r := range results {
-		ended = append(ended, check.Ended{
-			IdempotencyKey: r.Call.IdempotencyKey,
-			NonIdempotent:  r.Call.NonIdempotent,
-			RefusedID:      r.RefusedID,
-			Answered:       r.Outcome == caller.Answered,
-			Refused:        r.Outcome == caller.Refused,
-			InTime:         r.InTime(),
-			Poison:         r.Call.Poison,
-			Finding:        r.Finding,
-			Execution:      r.Execution,
+		ended = append(ended, check.CompletedRequest{
+			IdempotencyKey:   r.Call.IdempotencyKey,
+			NonIdempotent:    r.Call.NonIdempotent,
+			RefusedRequestID: r.RefusedRequestID,
+			Answered:         r.Outcome == caller.Answered,
+			Refused:          r.Outcome == caller.Refused,
+			InTime:           r.InTime(),
+			Poison:           r.Call.Poison,
+			Finding:          r.Finding,
+			Execution:        r.Execution,
 		})
 	}
 	return ended
@@ -204,7 +204,7 @@
 func sendDelays(results []caller.Result) []time.Duration {
 	var all []time.Duration
 	for _, r := range results {
-		all = append(all, r.Late)
+		all = append(all, r.SendDelay)
 	}
 	return all
 }
@@ -226,5 +226,5 @@
 // ResultLine returns the final line of the output of a run.
 func (s Summary) ResultLine() string {
 	return fmt.Sprintf("attainment=%.4f requests=%d answered=%d lost=%d doubled=%d crossed=%d",
-		s.Attainment, s.Requests, s.Answered, s.Lost, s.Doubled, s.Crossed)
+		s.Attainment, s.Requests, s.Answered, s.Lost, s.RanTwice, s.WrongAnswers)
 }
--- a/internal/load/report/timeline.go
+++ b/internal/load/report/timeline.go
@@ -25,7 +25,7 @@
 	if len(results) == 0 || duration <= 0 {
 		return nil
 	}
-	start := results[0].Call.Scheduled.Add(-results[0].At)
+	start := results[0].Call.Scheduled.Add(-results[0].ScheduledOffset)
 	points := make([]Point, timelineIntervals)
 	latenciesByInterval := make([][]time.Duration, timelineIntervals)
 	for i := range points {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -160,7 +160,7 @@
 // Progress is how far a sequence has come.
 type Progress struct {
 	Produced int
-	Status      Status
+	Status   Status
 	CostUS   int64
 	Usage    targetapi.Usage
 }
@@ -171,7 +171,7 @@
 	defer e.mu.Unlock()
 	return Progress{
 		Produced: s.produced,
-		Status:      s.end,
+		Status:   s.end,
 		CostUS:   int64(s.costUS),
 		Usage: targetapi.Usage{
 			PromptTokens:     s.promptTokens,
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -14,10 +14,10 @@
 func startEngine(t *testing.T, c Costs) *Engine {
 	t.Helper()
 	e := New(Config{
-		Costs:    c,
-		Serving:  Serving{Model: "m", Version: "1"},
+		Costs:          c,
+		Serving:        Serving{Model: "m", Version: "1"},
 		StraggleFactor: func() float64 { return 1 },
-		Weights:  NewWeightStore(1),
+		Weights:        NewWeightStore(1),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -41,10 +41,10 @@
 
 // Config says where a target listens and what it shares with the others.
 type Config struct {
-	Address string
-	Pool    string
-	Faults  *fault.Set
-	ExecutionLog  *count.ExecutionLog
+	Address      string
+	Pool         string
+	Faults       *fault.Set
+	ExecutionLog *count.ExecutionLog
 }
 
 // Open serves the work on the target's address.
