--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sequence is one completion that an engine works on. Its exported methods
-// are the engine's; all its changing fields are guarded by the engine's lock.
+// Sequence is one completion request that an engine processes. Its mutable
+// fields are guarded by the engine's mutex; Engine.Progress reads them.
 type Sequence struct {
 	prompt   string
 	hashes   []uint64
@@ -17,34 +17,34 @@
 	text     continuation
 	stream   bool
 	version  string
-	notify   chan struct{} // has one element when there is something to see
+	notify   chan struct{} // holds an element when there is progress to read
 
 	promptTokens int
 	cachedTokens int
 	prefillLeft  int
-	inStep       bool // gets a word when the present step ends
+	decoding     bool // generates a word in the current step
 	produced     int
 	costUS       float64
-	end          Status
+	status       Status
 }
 
-// Status says how a sequence ended.
+// Status says whether and how a sequence has ended.
 type Status int
 
-// The ways to end.
+// The states of a sequence.
 const (
 	// InProgress means that the sequence waits or runs.
 	InProgress Status = iota
 	// Complete means that all its words were generated.
 	Complete
-	// Cancelled means that the caller gave it up.
+	// Cancelled means that the caller abandoned it.
 	Cancelled
 	// Aborted means that the engine crashed.
 	Aborted
 )
 
-// waitingQueue orders by priority (lower first), then by arrival. It is a
-// container/heap.
+// waitingQueue orders sequences by priority (lower values first), then by
+// arrival. It implements heap.Interface.
 type waitingQueue []*Sequence
 
 func (q waitingQueue) Len() int { return len(q) }
@@ -58,10 +58,10 @@
 
 func (q waitingQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is heap's.
+// Push implements heap.Interface.
 func (q *waitingQueue) Push(x any) { *q = append(*q, x.(*Sequence)) }
 
-// Pop is heap's.
+// Pop implements heap.Interface.
 func (q *waitingQueue) Pop() any {
 	last := len(*q) - 1
 	s := (*q)[last]
@@ -70,13 +70,14 @@
 	return s
 }
 
-// batch is the pure part of the engine: who runs, and what a step takes.
+// batch is the scheduler of the engine, without clock or locks: it selects the
+// running sequences and computes how long each step takes.
 type batch struct {
 	costs   Costs
 	waiting waitingQueue
 	running []*Sequence
 	cache   *prefixCache
-	// onCache is told of each change of the cache.
+	// onCache is called after each insertion into the cache.
 	onCache func(stored, removed []uint64)
 }
 
@@ -84,46 +85,46 @@
 
 func (b *batch) idle() bool { return len(b.waiting) == 0 && len(b.running) == 0 }
 
-// admit fills the batch from the queue. What the cache holds is found out
-// here, when a sequence starts, not when it arrives.
+// admit fills the batch from the queue. The prefix cache is consulted here,
+// when a sequence starts, not when it arrives.
 func (b *batch) admit() {
 	for len(b.running) < b.costs.MaxBatch && len(b.waiting) > 0 {
 		s := heap.Pop(&b.waiting).(*Sequence)
 		cachedBlocks := b.cache.match(s.hashes)
-		s.promptTokens, s.cachedTokens = tokensIn(s.prompt, cachedBlocks*cacheBlockBytes)
+		s.promptTokens, s.cachedTokens = countTokens(s.prompt, cachedBlocks*cacheBlockBytes)
 		s.prefillLeft = s.promptTokens - s.cachedTokens
 		b.running = append(b.running, s)
 	}
 }
 
-// step plans one step: prompt tokens are taken in first come first served up
-// to the chunk, and every sequence whose prompt is in will get a word. It says
-// how long the step takes and charges it to the sequences; zero only where
-// nobody runs.
-func (b *batch) step(stretch float64) time.Duration {
+// step plans one step: prompt tokens are prefilled in the order of the batch,
+// up to PrefillChunk in total, and every sequence whose prompt is fully
+// prefilled generates a word. It returns the duration of the step and charges
+// it to the sequences. The duration is zero only if no sequence runs.
+func (b *batch) step(straggleFactor float64) time.Duration {
 	b.admit()
 	if len(b.running) == 0 {
 		return 0
 	}
 	budget := b.costs.PrefillChunk
-	share := float64(b.costs.StepUS)/float64(len(b.running)) + float64(b.costs.PerSequenceUS)
+	sequenceCost := float64(b.costs.StepUS)/float64(len(b.running)) + float64(b.costs.PerSequenceUS)
 	total := 0.0
 	for _, s := range b.running {
 		prefill := min(s.prefillLeft, budget)
 		budget -= prefill
 		s.prefillLeft -= prefill
-		cost := stretch * (share + float64(prefill*b.costs.PrefillTokenUS))
+		cost := straggleFactor * (sequenceCost + float64(prefill*b.costs.PrefillTokenUS))
 		s.costUS += cost
 		total += cost
-		s.inStep = s.prefillLeft == 0
+		s.decoding = s.prefillLeft == 0
 	}
 	return time.Duration(max(math.Round(total), 1)) * time.Microsecond
 }
 
-// finishStep gives every sequence of the step its word.
+// finishStep adds a word to every sequence that generates one in this step.
 func (b *batch) finishStep() {
 	for _, s := range b.running {
-		if s.inStep {
+		if s.decoding {
 			b.produce(s)
 		}
 	}
@@ -133,12 +134,13 @@
 	if s.produced == 0 {
 		b.onCache(b.cache.store(s.hashes))
 	}
-	s.inStep = false
+	s.decoding = false
 	s.produced++
 }
 
-// sweep takes out of the batch what is complete, and returns those.
-func (b *batch) sweep() []*Sequence {
+// removeCompleted removes the completed sequences from the batch and returns
+// them.
+func (b *batch) removeCompleted() []*Sequence {
 	var done []*Sequence
 	kept := b.running[:0]
 	for _, s := range b.running {
@@ -146,7 +148,7 @@
 			kept = append(kept, s)
 			continue
 		}
-		s.end = Complete
+		s.status = Complete
 		done = append(done, s)
 	}
 	clear(b.running[len(kept):])
@@ -154,7 +156,7 @@
 	return done
 }
 
-// remove takes a sequence out, waiting or running, and frees its place.
+// remove removes a waiting or running sequence and frees its place.
 func (b *batch) remove(s *Sequence) {
 	for i, w := range b.waiting {
 		if w == s {
@@ -170,7 +172,7 @@
 	}
 }
 
-// clear takes out everything and returns it.
+// clear removes and returns all sequences.
 func (b *batch) clear() []*Sequence {
 	all := append(append([]*Sequence{}, b.running...), b.waiting...)
 	b.running = nil
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -12,8 +12,8 @@
 	fnvPrime  = 1099511628211
 )
 
-// blockHashes gives the FNV-1a 64 hash of the prompt up to the end of each
-// full block.
+// blockHashes returns, for each full block, the 64-bit FNV-1a hash of the
+// prompt up to the end of that block.
 func blockHashes(prompt string) []uint64 {
 	hashes := make([]uint64, 0, len(prompt)/targetapi.CacheBlockBytes)
 	hash := uint64(fnvOffset)
@@ -26,11 +26,11 @@
 	return hashes
 }
 
-// prefixCache holds blocks of prompts by the hash of the prompt up to their
-// end, and drops the least recently used first.
+// prefixCache is an LRU cache of prompt blocks. The key of a block is the hash
+// of the prompt up to the end of the block.
 type prefixCache struct {
 	capacity int
-	order    *list.List // most recently used in front, of uint64
+	order    *list.List // block hashes (uint64), most recently used in front
 	blocks   map[uint64]*list.Element
 }
 
@@ -38,7 +38,8 @@
 	return &prefixCache{capacity: capacity, order: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// match counts the leading blocks that are cached and marks them as used.
+// match returns the number of leading blocks that are cached, and marks them
+// as recently used.
 func (c *prefixCache) match(hashes []uint64) int {
 	n := 0
 	for n < len(hashes) && c.blocks[hashes[n]] != nil {
@@ -48,15 +49,15 @@
 	return n
 }
 
-// touch goes from the last block to the first, so that a prefix is never
-// dropped before what is built on it.
+// touch marks blocks as recently used, from the last to the first, so that a
+// prefix is never evicted before the blocks that extend it.
 func (c *prefixCache) touch(hashes []uint64) {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		c.order.MoveToFront(c.blocks[hashes[i]])
 	}
 }
 
-// store adds the blocks and says which were added and which fell out.
+// store adds the blocks and returns which were added and which were evicted.
 func (c *prefixCache) store(hashes []uint64) (stored, removed []uint64) {
 	if len(hashes) > c.capacity {
 		hashes = hashes[:max(c.capacity, 0)]
@@ -90,9 +91,9 @@
 	return float64(len(c.blocks)) / float64(max(c.capacity, 1))
 }
 
-// tokensIn counts the tokens (words) of a prompt, and how many of them end
-// within its first cachedBytes.
-func tokensIn(prompt string, cachedBytes int) (all, cached int) {
+// countTokens returns the number of tokens (words) in a prompt, and how many of
+// them lie within its first cachedBytes bytes.
+func countTokens(prompt string, cachedBytes int) (all, cached int) {
 	all = len(strings.Fields(prompt))
 	cached = len(strings.Fields(prompt[:min(cachedBytes, len(prompt))]))
 	return all, min(cached, all)
--- a/internal/standin/engine/costs.go
+++ b/internal/standin/engine/costs.go
@@ -1,6 +1,6 @@
 // Package engine emulates a model engine with continuous batching, a limited
-// prefix cache and a priority queue. Time is simulated by steps: what a step
-// takes follows from the costs, and the engine sleeps it out.
+// prefix cache and a priority queue. It works in steps: the duration of a step
+// is computed from the configured costs, and the engine sleeps for that time.
 package engine
 
 import (
@@ -10,38 +10,48 @@
 	"github.com/vanillagate/vanillagate/internal/standin/bounds"
 )
 
-// Costs says what an engine can do and what work takes. Zero values are
-// replaced by the defaults that are named beside each field.
+// Costs configures the capacity of an engine and the time that its work takes.
+// WithDefaults replaces zero values by the defaults named at each field.
 type Costs struct {
-	// StepUS is the fixed part of a decode step in microseconds; 2000.
+	// StepUS is the fixed part of a step in microseconds. Default: 2000.
 	StepUS int `json:"step_us"`
-	// PerSequenceUS is what each sequence adds to a step; 100.
+	// PerSequenceUS is the time in microseconds that each running sequence
+	// adds to a step. Default: 100.
 	PerSequenceUS int `json:"per_sequence_us"`
-	// PrefillTokenUS is what each uncached prompt token takes; 50.
+	// PrefillTokenUS is the time in microseconds to prefill one uncached prompt
+	// token. Default: 50.
 	PrefillTokenUS int `json:"prefill_token_us"`
-	// PrefillChunk is how many prompt tokens one step takes in at most; 512.
+	// PrefillChunk is the maximum number of prompt tokens that one step
+	// prefills. Default: 512.
 	PrefillChunk int `json:"prefill_chunk"`
-	// MaxBatch is how many sequences run at once; 16.
+	// MaxBatch is the maximum number of running sequences. Default: 16.
 	MaxBatch int `json:"max_batch"`
-	// MaxQueue is how many wait at most; the next gets 429; 256.
+	// MaxQueue is the maximum number of waiting sequences; further requests
+	// are answered with 429. Default: 256.
 	MaxQueue int `json:"max_queue"`
-	// CacheBlocks is the size of the prefix cache in blocks; 2048.
+	// CacheBlocks is the size of the prefix cache in blocks. Default: 2048.
 	CacheBlocks int `json:"cache_blocks"`
-	// LoadLagMS is how old the load reports are; 200. Negative means no lag.
+	// LoadLagMS is the delay of the load reports in milliseconds. Default: 200;
+	// negative: no delay.
 	LoadLagMS int `json:"load_lag_ms"`
-	// CacheEventLagMS is how late cache events come; 200. Negative: no lag.
+	// CacheEventLagMS is the delay of cache events in milliseconds. Default:
+	// 200; negative: no delay.
 	CacheEventLagMS int `json:"cache_event_lag_ms"`
-	// CacheEventDropShare of the cache events are lost.
+	// CacheEventDropShare is the share of cache events that are lost, from 0
+	// to 1.
 	CacheEventDropShare float64 `json:"cache_event_drop_share"`
-	// ModelLoadMS is what an order to serve another model takes; 200.
+	// ModelLoadMS is the time in milliseconds to load another model. Default:
+	// 200.
 	ModelLoadMS int `json:"model_load_ms"`
-	// AdapterLoadMS is what an order to load an adapter takes; 50.
+	// AdapterLoadMS is the time in milliseconds to load an adapter. Default: 50.
 	AdapterLoadMS int `json:"adapter_load_ms"`
-	// JitterShare varies the time of a step by up to this share, seeded.
+	// JitterShare is the largest random deviation of the duration of a step, as
+	// a share of it; the random generator is seeded.
 	JitterShare float64 `json:"jitter_share"`
 }
 
-// Check rejects values that no engine can have. Field is put before each name.
+// Check reports invalid values to the checker; field is the prefix of the
+// names of the settings.
 func (c Costs) Check(checker *settings.Checker, field string) {
 	bounds.CheckCount(checker, field+"step_us", c.StepUS)
 	bounds.CheckCount(checker, field+"per_sequence_us", c.PerSequenceUS)
@@ -56,7 +66,7 @@
 	bounds.CheckShare(checker, field+"jitter_share", c.JitterShare)
 }
 
-// WithDefaults fills in what was left out.
+// WithDefaults returns a copy in which defaults replace zero values.
 func (c Costs) WithDefaults() Costs {
 	bounds.OrDefault(&c.StepUS, 2000)
 	bounds.OrDefault(&c.PerSequenceUS, 100)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -15,51 +15,53 @@
 
 const cacheBlockBytes = targetapi.CacheBlockBytes
 
-// maxBehind is how far the loop may lag behind simulated time before it gives
-// up catching up: after a pause of the process it must not run in a burst.
-const maxBehind = 50 * time.Millisecond
+// maxLag is how far the loop may lag behind simulated time. Beyond it the loop
+// restarts from the current time, so that it doesn't run a burst of steps after
+// a pause of the process.
+const maxLag = 50 * time.Millisecond
 
-// defaultMaxTokens is the usual default of the completions call.
+// defaultMaxTokens is the usual default of max_tokens in completion APIs.
 const defaultMaxTokens = 16
 
-// Errors of Submit; the request was not taken in.
+// Errors of Submit; the request was not accepted.
 var (
 	ErrQueueFull = errors.New("engine: queue is full")
 	ErrLoading   = errors.New("engine: another model is being loaded")
 )
 
-// Engine emulates one engine. Use New, and Run it.
+// Engine emulates one model engine. Create it with New and start its loop with
+// Run.
 type Engine struct {
-	costs    Costs
-	first    Serving // what a new process serves
-	straggle func() float64
-	weights  *WeightStore
-	orders   chan struct{} // holds an element while an order is carried out
-	wake     chan struct{}
-	load     *history.DelayedValue[targetapi.LoadReport]
+	costs          Costs
+	initial        Serving // loaded when the process starts
+	straggleFactor func() float64
+	weights        *WeightStore
+	changing       chan struct{} // holds an element while a model or adapter change is applied
+	wake           chan struct{}
+	load           *history.DelayedValue[targetapi.LoadReport]
 
-	mu       sync.Mutex // guards all below; a leaf
+	mu       sync.Mutex // guards all fields below; e.load's own lock is taken inside it
 	batch    batch
-	feed     feed
-	dice     *rand.Rand
+	events   eventFeed
+	rng      *rand.Rand
 	arrivals uint64
 	serving  Serving
 	loading  bool
 }
 
-// Config says what an engine is.
+// Config configures an Engine.
 type Config struct {
 	Costs   Costs
 	Serving Serving
 	Seed    uint64
-	// StraggleFactor is the factor by which work is stretched now; it is asked for
-	// before each step.
+	// StraggleFactor returns the factor by which the work is currently slowed
+	// down. It is called before each step.
 	StraggleFactor func() float64
 	// Weights is shared by the engines of a deployment.
 	Weights *WeightStore
 }
 
-// Serving is what an engine has loaded.
+// Serving describes what an engine has loaded, and its role.
 type Serving struct {
 	Model    string
 	Version  string
@@ -67,41 +69,41 @@
 	Adapters []string
 }
 
-// New builds an engine.
+// New creates an engine.
 func New(c Config) *Engine {
 	costs := c.Costs.WithDefaults()
-	lag := millis(costs.LoadLagMS)
+	loadDelay := millis(costs.LoadLagMS)
 	e := &Engine{
-		costs:    costs,
-		first:    c.Serving,
-		straggle: c.StraggleFactor,
-		weights:  c.Weights,
-		orders:   make(chan struct{}, 1),
-		wake:     make(chan struct{}, 1),
-		load:     history.New(lag, lag/8, targetapi.LoadReport{}),
-		dice:     rand.New(rand.NewPCG(c.Seed, 1)),
-		serving:  c.Serving,
+		costs:          costs,
+		initial:        c.Serving,
+		straggleFactor: c.StraggleFactor,
+		weights:        c.Weights,
+		changing:       make(chan struct{}, 1),
+		wake:           make(chan struct{}, 1),
+		load:           history.New(loadDelay, loadDelay/8, targetapi.LoadReport{}),
+		rng:            rand.New(rand.NewPCG(c.Seed, 1)),
+		serving:        c.Serving,
 	}
-	e.feed = feed{lag: millis(costs.CacheEventLagMS), dropShare: costs.CacheEventDropShare, dice: e.dice}
-	e.batch = batch{costs: costs, cache: newPrefixCache(costs.CacheBlocks), onCache: e.noteCache}
+	e.events = eventFeed{lag: millis(costs.CacheEventLagMS), dropShare: costs.CacheEventDropShare, rng: e.rng}
+	e.batch = batch{costs: costs, cache: newPrefixCache(costs.CacheBlocks), onCache: e.recordCacheChange}
 	return e
 }
 
-// noteCache is called with e.mu held.
-func (e *Engine) noteCache(stored, removed []uint64) {
+// recordCacheChange appends a cache change to the events. The caller holds e.mu.
+func (e *Engine) recordCacheChange(stored, removed []uint64) {
 	now := time.Now()
-	e.feed.add(now, targetapi.BlockStored, stored)
-	e.feed.add(now, targetapi.BlockRemoved, removed)
+	e.events.add(now, targetapi.BlockStored, stored)
+	e.events.add(now, targetapi.BlockRemoved, removed)
 }
 
-// Submit takes a completion in.
+// Submit enqueues a completion request.
 func (e *Engine) Submit(r targetapi.CompletionRequest) (*Sequence, error) {
 	s := &Sequence{
 		prompt:   r.Prompt,
 		hashes:   blockHashes(r.Prompt),
 		priority: r.Priority,
 		maxWords: r.MaxTokens,
-		text:     continuationOf(r.Prompt),
+		text:     newContinuation(r.Prompt),
 		stream:   r.Stream,
 		notify:   make(chan struct{}, 1),
 	}
@@ -118,60 +120,62 @@
 	s.arrival = e.arrivals
 	s.version = e.serving.Version
 	e.batch.enqueue(s)
-	e.noteLoad()
-	poke(e.wake)
+	e.updateLoad()
+	signal(e.wake)
 	return s, nil
 }
 
-// Cancel gives a sequence up and frees its place. It does nothing to one that
-// has ended.
+// Cancel cancels a sequence and frees its place. It does nothing if the
+// sequence has ended.
 func (e *Engine) Cancel(s *Sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if s.end != InProgress {
+	if s.status != InProgress {
 		return
 	}
-	s.end = Cancelled
+	s.status = Cancelled
 	e.batch.remove(s)
-	e.noteLoad()
+	e.updateLoad()
 }
 
-// Crash aborts everything. Like a new process the engine has an empty cache
-// and serves what it served at first: orders must be given again.
+// Crash aborts all sequences. Like a restarted process, the engine then has an
+// empty cache and serves its initial model: later changes of model, role and
+// adapters are lost.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.batch.clear() {
-		s.end = Aborted
-		poke(s.notify)
+		s.status = Aborted
+		signal(s.notify)
 	}
-	e.serving = e.first
-	e.serving.Adapters = slices.Clone(e.first.Adapters)
+	e.serving = e.initial
+	e.serving.Adapters = slices.Clone(e.initial.Adapters)
 	e.clearCache()
-	e.noteLoad()
+	e.updateLoad()
 }
 
-// clearCache is called with e.mu held.
+// clearCache empties the cache and records it as an event. The caller holds
+// e.mu.
 func (e *Engine) clearCache() {
 	e.batch.cache.clear()
-	e.feed.add(time.Now(), targetapi.AllBlocksCleared, nil)
+	e.events.add(time.Now(), targetapi.AllBlocksCleared, nil)
 }
 
-// Progress is how far a sequence has come.
+// Progress is a snapshot of the state of a sequence.
 type Progress struct {
 	Produced int
-	Status      Status
+	Status   Status
 	CostUS   int64
 	Usage    targetapi.Usage
 }
 
-// Progress tells how far a sequence has come.
+// Progress returns the current state of a sequence.
 func (e *Engine) Progress(s *Sequence) Progress {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return Progress{
 		Produced: s.produced,
-		Status:      s.end,
+		Status:   s.status,
 		CostUS:   int64(s.costUS),
 		Usage: targetapi.Usage{
 			PromptTokens:     s.promptTokens,
@@ -181,28 +185,31 @@
 	}
 }
 
-// Changed has an element when there is something new to see: a word on a
-// stream, or the end.
+// Changed delivers an element when there is new progress: a further word if
+// the sequence is streamed, or its end.
 func (s *Sequence) Changed() <-chan struct{} { return s.notify }
 
-// Version is the version of the model that the sequence runs on.
+// Version returns the version of the model that the sequence runs on.
 func (s *Sequence) Version() string { return s.version }
 
-// Text is what was generated from one word up to another.
+// Text returns the text of the generated words from index from up to, but not
+// including, index to.
 func (s *Sequence) Text(from, to int) string { return s.text.text(from, to) }
 
-// Load is the report as it is seen now, with its lag.
+// Load returns the load report with the configured delay.
 func (e *Engine) Load() targetapi.LoadReport { return e.load.Delayed(time.Now()) }
 
-// Events lists the cache events that may be seen now.
+// Events returns the visible cache events whose sequence number is greater than
+// after.
 func (e *Engine) Events(after uint64) targetapi.CacheEvents {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.feed.after(time.Now(), after)
+	return e.events.after(time.Now(), after)
 }
 
-// noteLoad is called with e.mu held. The history's lock is taken inside it.
-func (e *Engine) noteLoad() {
+// updateLoad computes a new load report. The caller holds e.mu; the lock of
+// e.load is taken inside it.
+func (e *Engine) updateLoad() {
 	var r targetapi.LoadReport
 	running, waiting := len(e.batch.running), len(e.batch.waiting)
 	r.Utilization = float64(running+waiting) / float64(e.batch.costs.MaxBatch)
@@ -212,25 +219,25 @@
 	e.load.Set(time.Now(), r)
 }
 
-// Run works until the context ends. One loop with one timer serves all
-// sequences of the engine.
+// Run processes sequences until the context ends. One loop with one timer
+// serves all sequences of the engine.
 func (e *Engine) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	due := time.Now()
 	for ctx.Err() == nil {
-		took := e.plan()
-		if took == 0 {
+		duration := e.startStep()
+		if duration == 0 {
 			e.waitForWork(ctx)
 			due = time.Now()
 			continue
 		}
-		due = due.Add(took)
+		due = due.Add(duration)
 		sleepUntil(ctx, timer, due)
-		if behind := time.Since(due); behind > maxBehind {
+		if lag := time.Since(due); lag > maxLag {
 			due = time.Now()
 		}
-		e.deliver()
+		e.completeStep()
 	}
 }
 
@@ -241,9 +248,9 @@
 	}
 }
 
-// sleepUntil returns at once when due is past. Timers are coarser than short
-// steps; since due is reckoned from the last due time, not from now, the mean
-// is right all the same.
+// sleepUntil returns immediately if due has passed. Timers are coarser than
+// short steps; the mean duration is right nevertheless, because the caller
+// computes each due time from the previous one, not from the current time.
 func sleepUntil(ctx context.Context, timer *time.Timer, due time.Time) {
 	wait := time.Until(due)
 	if wait <= 0 {
@@ -256,39 +263,39 @@
 	}
 }
 
-// plan begins a step and says how long it takes; zero when there is no work.
-func (e *Engine) plan() time.Duration {
-	stretch := e.straggle()
+// startStep begins a step and returns its duration; zero if there is no work.
+func (e *Engine) startStep() time.Duration {
+	factor := e.straggleFactor()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.batch.idle() {
 		return 0
 	}
 	if j := e.batch.costs.JitterShare; j > 0 {
-		stretch *= 1 + j*(2*e.dice.Float64()-1)
+		factor *= 1 + j*(2*e.rng.Float64()-1)
 	}
-	took := e.batch.step(stretch)
-	e.noteLoad()
-	return took
+	duration := e.batch.step(factor)
+	e.updateLoad()
+	return duration
 }
 
-// deliver ends a step: its words can be seen now.
-func (e *Engine) deliver() {
+// completeStep ends a step and makes its words visible.
+func (e *Engine) completeStep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.batch.finishStep()
 	for _, s := range e.batch.running {
 		if s.stream && s.produced > 0 {
-			poke(s.notify)
+			signal(s.notify)
 		}
 	}
-	for _, s := range e.batch.sweep() {
-		poke(s.notify)
+	for _, s := range e.batch.removeCompleted() {
+		signal(s.notify)
 	}
-	e.noteLoad()
+	e.updateLoad()
 }
 
-func poke(c chan struct{}) {
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -14,10 +14,10 @@
 func startEngine(t *testing.T, c Costs) *Engine {
 	t.Helper()
 	e := New(Config{
-		Costs:    c,
-		Serving:  Serving{Model: "m", Version: "1"},
+		Costs:          c,
+		Serving:        Serving{Model: "m", Version: "1"},
 		StraggleFactor: func() float64 { return 1 },
-		Weights:  NewWeightStore(1),
+		Weights:        NewWeightStore(1),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -41,9 +41,10 @@
 	}
 }
 
-// A caller gives up a long generation while others wait for a place in the
-// batch. If the place weren't freed, they would wait for nobody's answer.
-func TestCancelFreesThePlace(t *testing.T) {
+// A caller cancels a long generation while another sequence waits for a place
+// in the batch. If the place weren't freed, that sequence would wait for a
+// result that nobody reads.
+func TestCancelFreesPlaceInBatch(t *testing.T) {
 	e := startEngine(t, Costs{MaxBatch: 1, StepUS: 100})
 	long, err := e.Submit(targetapi.CompletionRequest{Prompt: "[ref:l]", MaxTokens: 1 << 30, Stream: true})
 	assert.NilError(t, err)
@@ -57,18 +58,18 @@
 	assert.Equal(t, e.Progress(long).Status, Cancelled)
 }
 
-func TestFullQueueTakesNothingIn(t *testing.T) {
-	e := New(Config{Costs: Costs{MaxQueue: 1}, StraggleFactor: func() float64 { return 1 }}) // nobody runs it
+func TestFullQueueRejectsRequest(t *testing.T) {
+	e := New(Config{Costs: Costs{MaxQueue: 1}, StraggleFactor: func() float64 { return 1 }}) // its loop isn't started
 	_, err := e.Submit(targetapi.CompletionRequest{Prompt: "a"})
 	assert.NilError(t, err)
 	_, err = e.Submit(targetapi.CompletionRequest{Prompt: "b"})
 	assert.ErrorIs(t, err, ErrQueueFull)
 }
 
-// An engine dies after it was ordered to serve another version, and comes back
-// as it was first started. Whoever remembers only having given the order would
-// send requests to the wrong version.
-func TestCrashedEngineServesWhatItServedAtFirst(t *testing.T) {
+// An engine crashes after it was told to serve another version, and restarts
+// with its initial model. A client that relies only on the earlier SetModel
+// call would send requests to the wrong version.
+func TestCrashedEngineServesInitialModel(t *testing.T) {
 	e := startEngine(t, Costs{ModelLoadMS: 1, AdapterLoadMS: 1})
 	ctx := context.Background()
 	assert.NilError(t, e.SetModel(ctx, targetapi.SetModelRequest{Model: "m", Version: "2", Role: "decode"}))
@@ -82,10 +83,11 @@
 	assert.DeepEqual(t, e.Serving(), Serving{Model: "m", Version: "1"})
 }
 
-// Cache events come late and some never come. A reader that takes the feed for
-// complete believes in blocks that are gone; the gap in the numbers tells.
-func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
-	f := feed{lag: time.Second, dropShare: 0.5, dice: rand.New(rand.NewPCG(1, 1))}
+// Cache events are delayed and some are lost. A reader that assumes that the
+// events are complete counts on blocks that were evicted; gaps in the sequence
+// numbers reveal the loss.
+func TestCacheEventsAreDelayedAndLost(t *testing.T) {
+	f := eventFeed{lag: time.Second, dropShare: 0.5, rng: rand.New(rand.NewPCG(1, 1))}
 	start := time.Now()
 	for i := range uint64(100) {
 		f.add(start, targetapi.BlockStored, []uint64{i})
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -8,17 +8,18 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// keepEvents bounds the feed; older events are gone, which a reader sees as a
-// gap in the sequence.
-const keepEvents = 4096
+// maxEvents is how many events are kept when old ones are discarded, which
+// happens at twice this number. A reader sees discarded events as a gap in the
+// sequence numbers.
+const maxEvents = 4096
 
-// feed is the engine's list of cache events. They are seen late, and some are
-// never seen: their sequence number is used up all the same.
-type feed struct {
+// eventFeed is the engine's list of cache events. Events become visible after a
+// delay, and some are never visible; these use up a sequence number too.
+type eventFeed struct {
 	lag       time.Duration
 	dropShare float64
-	dice      *rand.Rand
-	last      uint64
+	rng       *rand.Rand
+	lastSeq   uint64
 	events    []timedEvent
 }
 
@@ -28,21 +29,21 @@
 	event targetapi.CacheEvent
 }
 
-func (f *feed) add(now time.Time, kind targetapi.CacheEventKind, hashes []uint64) {
+func (f *eventFeed) add(now time.Time, kind targetapi.CacheEventKind, hashes []uint64) {
 	if kind != targetapi.AllBlocksCleared && len(hashes) == 0 {
 		return
 	}
-	f.last++
-	event := targetapi.CacheEvent{Seq: f.last, Kind: kind, Hashes: hexHashes(hashes)}
-	lost := f.dropShare > 0 && f.dice.Float64() < f.dropShare
+	f.lastSeq++
+	event := targetapi.CacheEvent{Seq: f.lastSeq, Kind: kind, Hashes: hexHashes(hashes)}
+	lost := f.dropShare > 0 && f.rng.Float64() < f.dropShare
 	f.events = append(f.events, timedEvent{at: now, lost: lost, event: event})
-	if len(f.events) > 2*keepEvents {
-		f.events = append(f.events[:0], f.events[len(f.events)-keepEvents:]...)
+	if len(f.events) > 2*maxEvents {
+		f.events = append(f.events[:0], f.events[len(f.events)-maxEvents:]...)
 	}
 }
 
-// after lists what may be seen now with a sequence number above seq.
-func (f *feed) after(now time.Time, seq uint64) targetapi.CacheEvents {
+// after returns the visible events whose sequence number is greater than seq.
+func (f *eventFeed) after(now time.Time, seq uint64) targetapi.CacheEvents {
 	answer := targetapi.CacheEvents{Events: []targetapi.CacheEvent{}, Next: seq}
 	for _, e := range f.events {
 		if e.event.Seq <= seq || e.at.After(now.Add(-f.lag)) {
--- a/internal/standin/engine/text.go
+++ b/internal/standin/engine/text.go
@@ -9,11 +9,11 @@
 )
 
 var (
-	refPattern  = regexp.MustCompile(`\[ref:([A-Za-z0-9_-]+)\]`)
-	answerStart = "Answer:"
+	refPattern   = regexp.MustCompile(`\[ref:([A-Za-z0-9_-]+)\]`)
+	answerMarker = "Answer:"
 )
 
-// LastRef is the last "[ref:R]" of a text; false if it has none.
+// LastRef returns R of the last "[ref:R]" in a text; false if there is none.
 func LastRef(text string) (string, bool) {
 	all := refPattern.FindAllStringSubmatch(text, -1)
 	if len(all) == 0 {
@@ -22,32 +22,34 @@
 	return all[len(all)-1][1], true
 }
 
-// continuation is what the model says to a prompt: words "ref:i" from next on.
-// It is deterministic, so that answers can be checked and a stream that was
-// cut can be resumed elsewhere from the words so far.
+// continuation is the output that the emulated model generates for a prompt:
+// the words "ref:i", starting with i = next. It is deterministic, so that answers
+// can be checked and an interrupted stream can be resumed at another target
+// from the words generated so far.
 type continuation struct {
 	ref  string
 	next int
-	// spaceFirst says that the first word is parted by a space from what the
-	// prompt already holds.
+	// spaceFirst means that a space separates the first word from the end of
+	// the prompt.
 	spaceFirst bool
 }
 
-func continuationOf(prompt string) continuation {
+func newContinuation(prompt string) continuation {
 	question, answer := prompt, ""
-	if at := strings.LastIndex(prompt, answerStart); at >= 0 {
-		question, answer = prompt[:at], prompt[at+len(answerStart):]
+	if index := strings.LastIndex(prompt, answerMarker); index >= 0 {
+		question, answer = prompt[:index], prompt[index+len(answerMarker):]
 	}
 	ref, found := LastRef(prompt)
 	if !found {
-		ref = hashRef(question)
+		ref = refFromHash(question)
 	}
-	next := wordsSoFar(ref, answer)
+	next := countContinued(ref, answer)
 	return continuation{ref: ref, next: next, spaceFirst: next > 0 && !endsInSpace(prompt)}
 }
 
-// wordsSoFar counts the words ref:0 ref:1 ... that the answer already holds.
-func wordsSoFar(ref, answer string) int {
+// countContinued counts the leading words ref:0 ref:1 ... that the answer
+// already contains.
+func countContinued(ref, answer string) int {
 	words := strings.Fields(answer)
 	for i, w := range words {
 		if w != ref+":"+strconv.Itoa(i) {
@@ -61,15 +63,15 @@
 	return s != "" && strings.TrimRight(s, " \t\r\n") != s
 }
 
-// hashRef names a prompt that has no reference of its own.
-func hashRef(question string) string {
+// refFromHash derives a reference for a prompt that contains none.
+func refFromHash(question string) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(question)) // a hash's Write never fails
 	return fmt.Sprintf("h%08x", h.Sum32())
 }
 
-// piece is the text of the word with the given place in the answer, with the
-// space before it: adding the pieces up gives the whole answer.
+// piece returns the word that was generated after the given number of words,
+// including any space before it. The concatenated pieces are the whole answer.
 func (c continuation) piece(produced int) string {
 	word := c.ref + ":" + strconv.Itoa(c.next+produced)
 	if produced > 0 || c.spaceFirst {
@@ -78,7 +80,8 @@
 	return word
 }
 
-// text joins the pieces from one place up to another.
+// text concatenates the pieces from index from up to, but not including, index
+// to.
 func (c continuation) text(from, to int) string {
 	var b strings.Builder
 	for i := from; i < to; i++ {
--- a/internal/standin/engine/text_test.go
+++ b/internal/standin/engine/text_test.go
@@ -18,18 +18,18 @@
 		{"fresh", "Sum up [ref:r-1]", "r-1:0 r-1:1"},
 		{"last reference counts", "[ref:a] [ref:b_2] Answer:", "b_2:0 b_2:1"},
 		{"resumed", "[ref:a]\nAnswer: a:0 a:1", " a:2 a:3"},
-		{"resumed behind a space", "[ref:a]\nAnswer: a:0 ", "a:1 a:2"},
+		{"resumed after a space", "[ref:a]\nAnswer: a:0 ", "a:1 a:2"},
 		{"foreign words do not count", "[ref:a] Answer: a:0 b:1", " a:1 a:2"},
 		{"last answer counts", "Answer: a:0 a:1 [ref:a] Answer:", "a:0 a:1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, continuationOf(c.prompt).text(0, 2), c.want)
+			assert.Equal(t, newContinuation(c.prompt).text(0, 2), c.want)
 		})
 	}
 }
 
-func TestPromptWithoutReferenceIsResumedToo(t *testing.T) {
-	whole := continuationOf("no reference Answer:").text(0, 4)
-	start := continuationOf("no reference Answer:").text(0, 2)
-	assert.Equal(t, start+continuationOf("no reference Answer:"+start).text(0, 2), whole)
+func TestPromptWithoutReferenceCanBeResumed(t *testing.T) {
+	whole := newContinuation("no reference Answer:").text(0, 4)
+	start := newContinuation("no reference Answer:").text(0, 2)
+	assert.Equal(t, start+newContinuation("no reference Answer:"+start).text(0, 2), whole)
 }
--- a/internal/standin/engine/weights.go
+++ b/internal/standin/engine/weights.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// WeightStore emulates the rate-limited store that models and adapters are
-// loaded from: a few loads go on at once, the others wait.
-type WeightStore struct{ places chan struct{} }
+// WeightStore emulates the store that models and adapters are loaded from. It
+// limits the number of concurrent loads; further loads wait.
+type WeightStore struct{ slots chan struct{} }
 
-// NewWeightStore builds a store for so many loads at once.
-func NewWeightStore(atOnce int) *WeightStore {
-	return &WeightStore{places: make(chan struct{}, atOnce)}
+// NewWeightStore creates a store that allows the given number of concurrent
+// loads.
+func NewWeightStore(maxConcurrent int) *WeightStore {
+	return &WeightStore{slots: make(chan struct{}, maxConcurrent)}
 }
 
-// load takes a place for the time that a load takes.
-func (w *WeightStore) load(ctx context.Context, took time.Duration) error {
+// load waits for a slot and occupies it for the given duration.
+func (w *WeightStore) load(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case w.places <- struct{}{}:
+	case w.slots <- struct{}{}:
 	}
-	defer func() { <-w.places }()
-	return pause(ctx, took)
+	defer func() { <-w.slots }()
+	return sleep(ctx, duration)
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault holds the faults of the stand-ins, which are switched on and
-// off while they run.
+// Package fault holds the faults that are injected into the stand-ins. They can
+// be set and cleared while the stand-ins run.
 package fault
 
 import (
@@ -8,38 +8,41 @@
 	"time"
 )
 
-// Scopes of the platform's services. A pool's scope is PoolScope, a target's
-// is TargetScope.
+// Scopes of the platform's services. PoolScope and TargetScope return those of
+// pools and targets.
 const (
 	ScopeTable   = "table"
 	ScopeObjects = "objects"
 	ScopeVMList  = "vm_list"
 )
 
-// PoolScope names all targets of a pool.
+// PoolScope returns the scope of all targets of a pool.
 func PoolScope(pool string) string { return "pool:" + pool }
 
-// TargetScope names one target by its IP:port.
+// TargetScope returns the scope of the target with the address IP:port.
 func TargetScope(address string) string { return "target:" + address }
 
-// Fault is what is wrong. The zero value is health.
+// Fault describes the faults to inject. The zero value injects none.
 type Fault struct {
 	// Down closes the listener and all connections.
 	Down bool `json:"down,omitempty"`
-	// Refuse answers 503 without running anything.
+	// Refuse answers every call with 503 without running it.
 	Refuse bool `json:"refuse,omitempty"`
-	// DelayMS is waited before a call runs.
+	// DelayMS is the delay in milliseconds before a call runs.
 	DelayMS int `json:"delay_ms,omitempty"`
-	// LoseAnswerShare of the calls take effect and get no answer: their
-	// connection is closed.
+	// LoseAnswerShare is the share of calls, from 0 to 1, that run but whose
+	// connection is closed without an answer.
 	LoseAnswerShare float64 `json:"lose_answer_share,omitempty"`
-	// StraggleFactor stretches the time that work takes; zero counts as 1.
+	// StraggleFactor multiplies the time that work takes; zero means 1.
 	StraggleFactor float64 `json:"straggle_factor,omitempty"`
-	// DropStreamAfterTokens cuts a stream behind so many tokens; zero never.
+	// DropStreamAfterTokens cuts a stream after this number of tokens; zero
+	// means never.
 	DropStreamAfterTokens int `json:"drop_stream_after_tokens,omitempty"`
-	// WrongIdentityShare of the answers carry another request's identity.
+	// WrongIdentityShare is the share of answers, from 0 to 1, that carry the ID
+	// of another request.
 	WrongIdentityShare float64 `json:"wrong_identity_share,omitempty"`
-	// CrashMarker in a request's body crashes the target that runs it.
+	// CrashMarker is a text that crashes the target that receives it in a
+	// request's body; empty means none.
 	CrashMarker string `json:"crash_marker,omitempty"`
 	// RestartMS is how long a crashed target stays down; zero means 1000.
 	RestartMS int `json:"restart_ms,omitempty"`
@@ -47,10 +50,10 @@
 
 const defaultRestart = time.Second
 
-// Delay is DelayMS as a duration.
+// Delay returns DelayMS as a duration.
 func (f Fault) Delay() time.Duration { return time.Duration(f.DelayMS) * time.Millisecond }
 
-// Restart is how long a crash lasts.
+// Restart returns how long a crashed target stays down.
 func (f Fault) Restart() time.Duration {
 	if f.RestartMS <= 0 {
 		return defaultRestart
@@ -58,7 +61,8 @@
 	return time.Duration(f.RestartMS) * time.Millisecond
 }
 
-// EffectiveStraggleFactor is by how much work is stretched, never below 1/1000.
+// EffectiveStraggleFactor returns the factor by which work is slowed down, at
+// least 1/1000.
 func (f Fault) EffectiveStraggleFactor() float64 {
 	if f.StraggleFactor == 0 {
 		return 1
@@ -66,21 +70,22 @@
 	return max(f.StraggleFactor, 0.001)
 }
 
-// join is what a target suffers from its own fault and its pool's together.
-func (f Fault) join(g Fault) Fault {
+// combine returns the combined effect of two faults, such as those of a target
+// and its pool.
+func (f Fault) combine(g Fault) Fault {
 	f.Down = f.Down || g.Down
 	f.Refuse = f.Refuse || g.Refuse
 	f.DelayMS += g.DelayMS
 	f.LoseAnswerShare = max(f.LoseAnswerShare, g.LoseAnswerShare)
 	f.StraggleFactor = f.EffectiveStraggleFactor() * g.EffectiveStraggleFactor()
-	f.DropStreamAfterTokens = firstOf(f.DropStreamAfterTokens, g.DropStreamAfterTokens)
+	f.DropStreamAfterTokens = firstNonZero(f.DropStreamAfterTokens, g.DropStreamAfterTokens)
 	f.WrongIdentityShare = max(f.WrongIdentityShare, g.WrongIdentityShare)
-	f.CrashMarker = firstOf(f.CrashMarker, g.CrashMarker)
-	f.RestartMS = firstOf(f.RestartMS, g.RestartMS)
+	f.CrashMarker = firstNonZero(f.CrashMarker, g.CrashMarker)
+	f.RestartMS = firstNonZero(f.RestartMS, g.RestartMS)
 	return f
 }
 
-func firstOf[T comparable](a, b T) T {
+func firstNonZero[T comparable](a, b T) T {
 	var zero T
 	if a != zero {
 		return a
@@ -88,30 +93,31 @@
 	return b
 }
 
-// Set holds the faults in force by scope, and the seeded dice that decide
-// which calls suffer. Use NewSet.
+// Set holds the faults in force by scope, and the seeded random generator that
+// decides which calls are affected. Create it with NewSet.
 type Set struct {
-	// changes lets one Put and its watchers end before the next begins: a
-	// watcher that read an older fault must not act behind one that read a
-	// newer, or a listener would stay closed though its fault was cleared. It
-	// is taken before mu and before the watchers' locks.
-	changes sync.Mutex
+	// putMu serializes calls of Put, including their watchers: if a watcher
+	// that read an older fault acted after one that read a newer fault, a
+	// listener would stay closed although its fault was cleared. It is taken
+	// before mu and before the watchers' locks.
+	putMu sync.Mutex
 
-	mu       sync.Mutex // guards all below; a leaf
+	mu       sync.Mutex // guards all fields below; no other lock is taken while it is held
 	faults   map[string]Fault
 	watchers []func()
-	dice     *rand.Rand
+	rng      *rand.Rand
 }
 
-// NewSet is a set without faults.
+// NewSet creates a set without faults.
 func NewSet(seed uint64) *Set {
-	return &Set{faults: map[string]Fault{}, dice: rand.New(rand.NewPCG(seed, seed))}
+	return &Set{faults: map[string]Fault{}, rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Put replaces the fault of a scope; the zero Fault clears it.
+// Put replaces the fault of a scope and calls the watchers. The zero Fault
+// clears it.
 func (s *Set) Put(scope string, f Fault) {
-	s.changes.Lock()
-	defer s.changes.Unlock()
+	s.putMu.Lock()
+	defer s.putMu.Unlock()
 	for _, watcher := range s.replace(scope, f) {
 		watcher()
 	}
@@ -127,27 +133,28 @@
 	return s.watchers
 }
 
-// Watch has f called after every Put. It must not Put itself.
+// Watch registers f to be called after every change by Put. f must not call
+// Put.
 func (s *Set) Watch(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchers = append(s.watchers, f)
 }
 
-// Combined joins the faults of the scopes.
+// Combined returns the combined faults of the scopes.
 func (s *Set) Combined(scopes ...string) Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var joined Fault
+	var combined Fault
 	for _, scope := range scopes {
 		if f, found := s.faults[scope]; found {
-			joined = joined.join(f)
+			combined = combined.combine(f)
 		}
 	}
-	return joined
+	return combined
 }
 
-// All copies the faults in force.
+// All returns a copy of the faults in force by scope.
 func (s *Set) All() map[string]Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,12 +165,12 @@
 	return all
 }
 
-// Sample throws the dice: true for the given share of calls.
+// Sample returns true for a random selection of calls of the given share.
 func (s *Set) Sample(share float64) bool {
 	if share <= 0 {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.dice.Float64() < share
+	return s.rng.Float64() < share
 }
--- a/internal/standin/fault/fault_test.go
+++ b/internal/standin/fault/fault_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFaultsOfPoolAndTargetAddUp(t *testing.T) {
+func TestFaultsOfPoolAndTargetAreCombined(t *testing.T) {
 	s := NewSet(1)
 	changes := 0
 	s.Watch(func() { changes++ })
@@ -29,7 +29,7 @@
 	assert.Equal(t, Fault{RestartMS: 20}.Restart(), 20*time.Millisecond)
 }
 
-func TestShareOfCallsSuffers(t *testing.T) {
+func TestSampleSelectsGivenShare(t *testing.T) {
 	s, again := NewSet(3), NewSet(3)
 	hits := 0
 	for range 10_000 {
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -176,7 +176,7 @@
 		return target.StraggleFactor(f.faults, p.Pool, address)
 	}
 	work := f.work(ctx, p, seed, straggle, shared)
-	t, err := target.Open(target.Config{Address: p.address(place), Pool: p.Pool, Faults: f.faults, ExecutionLog: f.ledger}, work)
+	t, err := target.Open(target.Config{Address: p.address(place), Pool: p.Pool, Faults: f.faults, Executions: f.ledger}, work)
 	if err != nil {
 		close(ready)
 		return err
@@ -194,11 +194,11 @@
 func (f *Fleet) work(ctx context.Context, p Pool, seed uint64, straggle func() float64, shared *service.SharedState) target.Handler {
 	if p.Kind == config.TargetEngine {
 		e := engine.New(engine.Config{
-			Costs:    p.Engine,
-			Serving:  engine.Serving{Model: p.Model, Version: p.Version, Role: p.Role},
-			Seed:     seed,
+			Costs:          p.Engine,
+			Serving:        engine.Serving{Model: p.Model, Version: p.Version, Role: p.Role},
+			Seed:           seed,
 			StraggleFactor: straggle,
-			Weights:  f.weights,
+			Weights:        f.weights,
 		})
 		f.engines.Go(func() { e.Run(ctx) })
 		return engine.Handler{Engine: e, Fence: target.NewFence(p.ChecksFencing)}
--- a/internal/standin/gate/gate.go
+++ b/internal/standin/gate/gate.go
@@ -1,10 +1,10 @@
-// Package gate serves HTTP on an address that can be really closed and opened
-// again, so that callers of a stand-in that is down see "connection refused".
+// Package gate serves HTTP on an address whose listener can be closed and opened
+// again, so that callers of a stand-in that is down get "connection refused".
 //
-// It builds on net/http, against the house style's fasthttp: a fasthttp
-// handler does not learn that its caller hung up, so an engine would go on
-// generating for nobody and cancelled work could not be told from finished
-// work. With net/http the request's context ends.
+// It uses net/http instead of fasthttp, which this project prefers elsewhere: a
+// fasthttp handler is not notified when its caller disconnects, so an engine
+// would go on generating words that nobody reads, and cancelled work could not
+// be distinguished from finished work. With net/http the request's context ends.
 package gate
 
 import (
@@ -16,44 +16,46 @@
 	"time"
 )
 
-// drainTime is how long Stop lets running calls finish.
-const drainTime = 5 * time.Second
+// drainTimeout is how long Stop waits for running calls to finish.
+const drainTimeout = 5 * time.Second
 
-// reopenPause is how long to wait before trying again to take an address that
-// is still held by connections that are just closing.
-const reopenPause = 10 * time.Millisecond
+// reopenDelay is the delay before listening is tried again on an address that is
+// still in use by closing connections.
+const reopenDelay = 10 * time.Millisecond
 
-// ErrClosed is the cause of the contexts of calls that were running when the
-// gate closed; a caller that hangs up leaves no such cause.
-var ErrClosed = errors.New("gate: closed while the call ran")
+// ErrClosed is the cancellation cause of the contexts of calls that were running
+// when the server closed. If the caller disconnects, the cause is another one.
+var ErrClosed = errors.New("gate: server closed while the call was running")
 
-// lifetimeKey finds the context of an open gate in a request's.
+// lifetimeKey is the key under which a request's context holds the context
+// that Lifetime returns.
 type lifetimeKey struct{}
 
-// Lifetime is the context of the open gate that the request's context came
-// from: it outlives the caller's connection and ends when the gate closes.
+// Lifetime returns the context of the server that serves the request with the
+// given context. It outlives the caller's connection and ends when the server
+// closes.
 func Lifetime(ctx context.Context) context.Context {
 	lifetime, found := ctx.Value(lifetimeKey{}).(context.Context)
 	if !found {
-		panic("gate: not a context of a request that a gate serves")
+		panic("gate: the context does not belong to a request of a RestartableServer")
 	}
 	return lifetime
 }
 
-// RestartableServer serves a handler on one address. Use Open.
+// RestartableServer serves a handler on one address. Create it with Open.
 type RestartableServer struct {
 	address string
 	handler http.Handler
 
-	mu      sync.Mutex // guards all below
-	server  *http.Server
-	end     context.CancelCauseFunc // ends the lifetime of the present server
-	down    bool                    // by order
-	crashed int                     // crashes whose restart is still to come
-	stopped bool
+	mu              sync.Mutex              // guards all fields below
+	server          *http.Server            // nil while closed
+	endLifetime     context.CancelCauseFunc // ends the lifetime context of server
+	down            bool                    // set by SetDown
+	pendingRestarts int                     // number of crashes whose restart time has not come yet
+	stopped         bool
 }
 
-// Open listens at the address and serves the handler.
+// Open listens on the address and serves the handler.
 func Open(address string, handler http.Handler) (*RestartableServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -64,10 +66,11 @@
 	return g, nil
 }
 
-// Address is where the gate listens while it is open.
+// Address returns the address on which the server listens while it is open.
 func (g *RestartableServer) Address() string { return g.address }
 
-// serve is called with g.mu held, or before the gate is shared.
+// serve starts an HTTP server on the listener. The caller holds g.mu, or no other
+// goroutine has access to g yet.
 func (g *RestartableServer) serve(listener net.Listener) {
 	lifetime, end := context.WithCancelCause(context.Background())
 	base := context.WithValue(lifetime, lifetimeKey{}, lifetime)
@@ -76,28 +79,29 @@
 		BaseContext: func(net.Listener) context.Context { return base },
 	}
 	g.server = server
-	g.end = end
+	g.endLifetime = end
 	go func() { _ = server.Serve(listener) }() // ends with ErrServerClosed
 }
 
-// SetDown closes the gate, or opens it again.
+// SetDown closes the listener and all connections, or opens the listener again.
 func (g *RestartableServer) SetDown(down bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.down = down
-	g.settle()
+	g.updateListener()
 }
 
-// Crash drops all connections at once and stays closed for the given time. It
-// is false and does nothing when the gate is closed already.
+// Crash closes the listener and all connections immediately, and opens the
+// listener again after the given time. If the server is already closed, Crash
+// does nothing and returns false.
 func (g *RestartableServer) Crash(restart time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.server == nil {
 		return false
 	}
-	g.crashed++
-	g.settle()
+	g.pendingRestarts++
+	g.updateListener()
 	time.AfterFunc(restart, g.restart)
 	return true
 }
@@ -105,35 +109,37 @@
 func (g *RestartableServer) restart() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.crashed--
-	g.settle()
+	g.pendingRestarts--
+	g.updateListener()
 }
 
-// IsOpen says whether the gate accepts connections.
+// IsOpen reports whether the server accepts connections.
 func (g *RestartableServer) IsOpen() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.server != nil
 }
 
-// settle brings the listener in line with what is wanted; g.mu is held.
-func (g *RestartableServer) settle() {
-	wanted := !g.down && g.crashed == 0 && !g.stopped
-	if !wanted && g.server != nil {
-		g.end(ErrClosed)     // before the connections, so that the cause stands
-		_ = g.server.Close() // closes the listener and all connections
+// updateListener opens or closes the listener according to down,
+// pendingRestarts and stopped. The caller holds g.mu.
+func (g *RestartableServer) updateListener() {
+	shouldServe := !g.down && g.pendingRestarts == 0 && !g.stopped
+	if !shouldServe && g.server != nil {
+		g.endLifetime(ErrClosed) // before closing connections, which would end the contexts with another cause
+		_ = g.server.Close()     // closes the listener and all connections
 		g.server = nil
 	}
-	if wanted && g.server == nil {
+	if shouldServe && g.server == nil {
 		g.reopen()
 	}
 }
 
-// reopen is called with g.mu held.
+// reopen listens on the address again, and schedules a retry if that fails. The
+// caller holds g.mu.
 func (g *RestartableServer) reopen() {
 	listener, err := net.Listen("tcp", g.address)
 	if err != nil {
-		time.AfterFunc(reopenPause, g.retry)
+		time.AfterFunc(reopenDelay, g.retry)
 		return
 	}
 	g.serve(listener)
@@ -142,21 +148,22 @@
 func (g *RestartableServer) retry() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.settle()
+	g.updateListener()
 }
 
-// Stop lets running calls finish for a while and closes for good.
+// Stop waits up to drainTimeout for running calls and closes the server
+// permanently.
 func (g *RestartableServer) Stop() error {
 	g.mu.Lock()
 	g.stopped = true
-	server, end := g.server, g.end
+	server, end := g.server, g.endLifetime
 	g.server = nil
 	g.mu.Unlock()
 	if server == nil {
 		return nil
 	}
 	defer end(ErrClosed)
-	ctx, cancel := context.WithTimeout(context.Background(), drainTime)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	err := server.Shutdown(ctx)
 	if errors.Is(err, context.DeadlineExceeded) {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,4 @@
-// Package service emulates a plain HTTP service, some of whose calls may not
-// be repeated.
+// Package service emulates an HTTP service whose calls need not be idempotent.
 package service
 
 import (
@@ -12,75 +11,77 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// maxEcho is the longest body that is answered as it is, in bytes; of a longer
-// one the hash is answered.
+// maxEcho is the maximum size in bytes of a body that is returned as it is; for
+// a longer one its hash is returned.
 const maxEcho = 64 << 10
 
-// bytesPerItem is how much of a body counts as one item of work.
+// bytesPerItem is the number of bytes of a body that count as one item of work.
 const bytesPerItem = 1 << 10
 
-// Answer is what every call gets.
+// Answer is the body of the answer to every call.
 type Answer struct {
 	Service string `json:"service"`
 	Path    string `json:"path"`
-	// Echo is the body as JSON; as a text, where it isn't JSON; or its hash.
+	// Echo is the request's body: as it is if it is valid JSON, otherwise as a
+	// JSON string, and its hash as a JSON string if it is longer than maxEcho.
 	Echo json.RawMessage `json:"echo"`
-	// Execution counts the executions of this Idempotency-Key at the service,
-	// those without a key together.
+	// Execution is the number of executions with this Idempotency-Key at the
+	// service, this one included. Calls without a key are counted together.
 	Execution int `json:"execution"`
 }
 
-// SharedState is what the targets of one service have in common: the data that
-// they work on. Use NewShared.
+// SharedState is the data that all targets of one service share. Create it with
+// NewSharedState.
 type SharedState struct {
 	fence *target.Fence
 
-	mu         sync.Mutex // guards executions; a leaf
+	mu         sync.Mutex // guards executions; no other lock is taken while it is held
 	executions map[string]int
 }
 
-// NewSharedState builds the data of a service.
+// NewSharedState creates the shared data of a service.
 func NewSharedState(checksFencing bool) *SharedState {
 	return &SharedState{fence: target.NewFence(checksFencing), executions: map[string]int{}}
 }
 
-func (s *SharedState) execute(key string) int {
+func (s *SharedState) countExecution(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.executions[key]++
 	return s.executions[key]
 }
 
-// Handler is one target of a service.
+// Handler handles the calls of one target of a service.
 type Handler struct {
 	Name   string
 	Server *stagepool.Server
 	Shared *SharedState
 }
 
-// Crash does nothing: the service's data is kept elsewhere.
+// Crash does nothing: the data is in SharedState, which survives a crash of a
+// target.
 func (Handler) Crash() {}
 
 // Handle runs one call of any method and path.
-func (w Handler) Handle(c *target.Call) {
-	if w.Server.HandleCommon(c) {
+func (h Handler) Handle(c *target.Call) {
+	if h.Server.HandleCommon(c) {
 		return
 	}
 	key := c.Request.Header.Get(targetapi.HeaderIdempotencyKey)
 	execution := 0
-	// The fence is asked when the call begins, not when it arrives: while it
-	// waits for its place one with a newer token may run.
-	begin := func() bool {
-		if !w.Shared.fence.Check(c, key) {
+	// The fencing token is checked when the call begins to run, not when it
+	// arrives: while it waits for a slot, a call with a newer token may run.
+	beforeRun := func() bool {
+		if !h.Shared.fence.Check(c, key) {
 			return false
 		}
-		execution = w.Shared.execute(key)
+		execution = h.Shared.countExecution(key)
 		return true
 	}
 	answer := func() any {
-		return Answer{Service: w.Name, Path: c.Request.URL.Path, Echo: echo(c.Body), Execution: execution}
+		return Answer{Service: h.Name, Path: c.Request.URL.Path, Echo: echo(c.Body), Execution: execution}
 	}
-	w.Server.Run(c, stagepool.Job{Items: len(c.Body) / bytesPerItem, BeforeRun: begin, IgnoreDisconnect: true, Answer: answer})
+	h.Server.Run(c, stagepool.Job{Items: len(c.Body) / bytesPerItem, BeforeRun: beforeRun, IgnoreDisconnect: true, Answer: answer})
 }
 
 func echo(body []byte) json.RawMessage {
--- a/internal/standin/stagepool/run.go
+++ b/internal/standin/stagepool/run.go
@@ -10,22 +10,23 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// Job is what a call asks of a server.
+// Job describes the work of one call at a server.
 type Job struct {
-	// Items adds to what the call costs.
+	// Items is the number of items that the call processes; each adds to its
+	// duration.
 	Items int
-	// BeforeRun, when set, decides whether a call that has its place runs. Where
-	// it says false it has answered.
+	// BeforeRun, if set, is called when the call has a slot. If it returns
+	// false, it has answered the call, which then does not run.
 	BeforeRun func() bool
-	// IgnoreDisconnect has a call that runs go on when its caller hangs up, as a
-	// booking does.
+	// IgnoreDisconnect makes a running call continue when its caller
+	// disconnects, as a booking does.
 	IgnoreDisconnect bool
-	// Answer makes the body of the answer.
+	// Answer returns the body of the answer.
 	Answer func() any
 }
 
-// Run takes a call through the server: it waits for a place, counts the
-// execution, spends its time and answers. A call that is given up while it
+// Run executes a call: it waits for a slot, records the execution, sleeps for
+// the duration of the work and answers. A call whose caller disconnects while it
 // waits has not run.
 func (s *Server) Run(c *target.Call, j Job) {
 	err := s.Acquire(c.Context())
@@ -65,7 +66,8 @@
 	return c.Context()
 }
 
-// HandleCommon answers the calls that all targets know, and is false for others.
+// HandleCommon answers the calls that all targets support. It returns false for
+// other calls.
 func (s *Server) HandleCommon(c *target.Call) bool {
 	if c.Request.Method != http.MethodGet || c.Request.URL.Path != targetapi.PathLoad {
 		return false
--- a/internal/standin/stagepool/server.go
+++ b/internal/standin/stagepool/server.go
@@ -1,5 +1,5 @@
-// Package stagepool emulates encoders, retrievers and rerankers, and gives
-// plain services the same bounded server with its queue.
+// Package stagepool emulates encoders, retrievers and rerankers. Its server with
+// limited concurrency and a queue is also used by package service.
 package stagepool
 
 import (
@@ -15,24 +15,30 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// Costs says what work takes at a target that is no engine. Zero values are
-// replaced by the defaults that are named beside each field.
+// Costs configures the capacity of a target that is not an engine, and the time
+// that its work takes. WithDefaults replaces zero values by the defaults named
+// at each field.
 type Costs struct {
-	// BaseUS is the fixed part of a call in microseconds; 2000.
+	// BaseUS is the fixed duration of a call in microseconds. Default: 2000.
 	BaseUS int `json:"base_us"`
-	// PerItemUS is what each item (a word, a document) adds; 0.
+	// PerItemUS is the time in microseconds that each item (a word, a
+	// document) adds. Default: 0.
 	PerItemUS int `json:"per_item_us"`
-	// JitterShare varies the time by up to this share, seeded; 0.
+	// JitterShare is the largest random deviation of the duration, as a share
+	// of it; the random generator is seeded. Default: 0.
 	JitterShare float64 `json:"jitter_share"`
-	// Concurrency is how many calls run at once; 8.
+	// Concurrency is the maximum number of running calls. Default: 8.
 	Concurrency int `json:"concurrency"`
-	// MaxQueue is how many wait at most; the next gets 429; 256.
+	// MaxQueue is the maximum number of waiting calls; further calls are
+	// answered with 429. Default: 256.
 	MaxQueue int `json:"max_queue"`
-	// LoadLagMS is how old the load reports are; 200. Negative means no lag.
+	// LoadLagMS is the delay of the load reports in milliseconds. Default: 200;
+	// negative: no delay.
 	LoadLagMS int `json:"load_lag_ms"`
 }
 
-// Check rejects values that no server can have. Field is put before each name.
+// Check reports invalid values to the checker; field is the prefix of the
+// names of the settings.
 func (c Costs) Check(checker *settings.Checker, field string) {
 	bounds.CheckCount(checker, field+"base_us", c.BaseUS)
 	bounds.CheckCount(checker, field+"per_item_us", c.PerItemUS)
@@ -41,7 +47,7 @@
 	bounds.CheckShare(checker, field+"jitter_share", c.JitterShare)
 }
 
-// WithDefaults fills in what was left out.
+// WithDefaults returns a copy in which defaults replace zero values.
 func (c Costs) WithDefaults() Costs {
 	bounds.OrDefault(&c.BaseUS, 2000)
 	bounds.OrDefault(&c.Concurrency, 8)
@@ -50,104 +56,106 @@
 	return c
 }
 
-// ErrQueueFull means that the call was not taken in.
+// ErrQueueFull means that the call was not accepted.
 var ErrQueueFull = errors.New("stagepool: queue is full")
 
-// Server runs a bounded number of calls at once; the others wait in order of
-// arrival. Use NewServer.
+// Server limits the number of concurrent calls; further calls wait in order of
+// arrival. Create it with NewServer.
 type Server struct {
-	costs    Costs
-	straggle func() float64
-	places   chan struct{}
-	load     *history.DelayedValue[targetapi.LoadReport]
+	costs          Costs
+	straggleFactor func() float64
+	slots          chan struct{}
+	load           *history.DelayedValue[targetapi.LoadReport]
 
-	mu      sync.Mutex // guards all below
-	dice    *rand.Rand
+	mu      sync.Mutex // guards all fields below
+	rng     *rand.Rand
 	running int
 	waiting int
 }
 
-// NewServer builds a server. The straggle factor is asked for at each call.
-func NewServer(costs Costs, seed uint64, straggle func() float64) *Server {
+// NewServer creates a server. stragglerFactor is called for each call and returns
+// the factor by which its work is slowed down.
+func NewServer(costs Costs, seed uint64, straggleFactor func() float64) *Server {
 	costs = costs.WithDefaults()
-	lag := max(0, time.Duration(costs.LoadLagMS)*time.Millisecond)
+	loadDelay := max(0, time.Duration(costs.LoadLagMS)*time.Millisecond)
 	return &Server{
-		costs:    costs,
-		straggle: straggle,
-		places:   make(chan struct{}, costs.Concurrency),
-		load:     history.New(lag, lag/8, targetapi.LoadReport{}),
-		dice:     rand.New(rand.NewPCG(seed, 2)),
+		costs:          costs,
+		straggleFactor: straggleFactor,
+		slots:          make(chan struct{}, costs.Concurrency),
+		load:           history.New(loadDelay, loadDelay/8, targetapi.LoadReport{}),
+		rng:            rand.New(rand.NewPCG(seed, 2)),
 	}
 }
 
-// Acquire waits for a place. The caller must Leave when it got one.
+// Acquire waits for a slot. If it succeeds, the caller must call Release.
 func (s *Server) Acquire(ctx context.Context) error {
-	if !s.queue() {
+	if !s.tryEnqueue() {
 		return ErrQueueFull
 	}
 	select {
 	case <-ctx.Done():
-		s.move(0, -1)
+		s.adjustCounts(0, -1)
 		return ctx.Err()
-	case s.places <- struct{}{}:
-		s.move(1, -1)
+	case s.slots <- struct{}{}:
+		s.adjustCounts(1, -1)
 		return nil
 	}
 }
 
-// Release gives the place back.
+// Release frees the slot.
 func (s *Server) Release() {
-	<-s.places
-	s.move(-1, 0)
+	<-s.slots
+	s.adjustCounts(-1, 0)
 }
 
-// SimulateWork takes the time that a call of so many items costs, and says what was
-// spent. It ends early with the context.
+// SimulateWork sleeps for the duration of a call with the given number of items,
+// and returns the time spent. It returns early when the context ends.
 func (s *Server) SimulateWork(ctx context.Context, items int) (time.Duration, error) {
 	cost := s.cost(items)
-	began := time.Now()
+	start := time.Now()
 	timer := time.NewTimer(cost)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-		return min(cost, time.Since(began)), ctx.Err()
+		return min(cost, time.Since(start)), ctx.Err()
 	case <-timer.C:
 		return cost, nil
 	}
 }
 
-// Load is the report as it is seen now, with its lag.
+// Load returns the load report with the configured delay.
 func (s *Server) Load() targetapi.LoadReport { return s.load.Delayed(time.Now()) }
 
 func (s *Server) cost(items int) time.Duration {
-	us := float64(s.costs.BaseUS+s.costs.PerItemUS*items) * s.straggle()
+	us := float64(s.costs.BaseUS+s.costs.PerItemUS*items) * s.straggleFactor()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	us *= 1 + s.costs.JitterShare*(2*s.dice.Float64()-1)
+	us *= 1 + s.costs.JitterShare*(2*s.rng.Float64()-1)
 	return time.Duration(us * float64(time.Microsecond))
 }
 
-func (s *Server) queue() bool {
+func (s *Server) tryEnqueue() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.waiting >= s.costs.MaxQueue {
 		return false
 	}
 	s.waiting++
-	s.noteLoad()
+	s.updateLoad()
 	return true
 }
 
-func (s *Server) move(running, waiting int) {
+func (s *Server) adjustCounts(running, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running += running
 	s.waiting += waiting
-	s.noteLoad()
+	s.updateLoad()
 }
 
-// noteLoad is called with s.mu held. The history's lock is taken inside it.
-func (s *Server) noteLoad() {
+// updateLoad computes a new load report. The caller holds s.mu; the lock of
+// s.load is taken inside it.
+func (s *Server) updateLoad() {
 	var r targetapi.LoadReport
 	r.Utilization = float64(s.running+s.waiting) / float64(s.costs.Concurrency)
 	r.Named.Running = float64(s.running)
--- a/internal/standin/stagepool/stages.go
+++ b/internal/standin/stagepool/stages.go
@@ -21,15 +21,15 @@
 	noRef          = "none"
 )
 
-// Encoder is a target that answers embedding calls.
+// Encoder is a target that serves the embeddings endpoint.
 type Encoder struct{ Server *Server }
 
-// Crash does nothing: an encoder keeps nothing.
+// Crash does nothing: an encoder has no state.
 func (Encoder) Crash() {}
 
 // Handle answers one call.
 func (e Encoder) Handle(c *target.Call) {
-	if e.Server.HandleCommon(c) || !isCall(c, targetapi.PathEmbeddings) {
+	if e.Server.HandleCommon(c) || !checkEndpoint(c, targetapi.PathEmbeddings) {
 		return
 	}
 	var r targetapi.EmbeddingRequest
@@ -49,23 +49,23 @@
 // Vector derives an embedding from a hash of the input.
 func Vector(input string) []float32 {
 	seed := hash(input)
-	dice := rand.New(rand.NewPCG(seed, seed))
+	rng := rand.New(rand.NewPCG(seed, seed))
 	vector := make([]float32, vectorLength)
 	for i := range vector {
-		vector[i] = dice.Float32()*2 - 1
+		vector[i] = rng.Float32()*2 - 1
 	}
 	return vector
 }
 
-// Retriever is a target that answers search calls.
+// Retriever is a target that serves the search endpoint.
 type Retriever struct{ Server *Server }
 
-// Crash does nothing: a retriever keeps nothing.
+// Crash does nothing: a retriever has no state.
 func (Retriever) Crash() {}
 
 // Handle answers one call.
 func (e Retriever) Handle(c *target.Call) {
-	if e.Server.HandleCommon(c) || !isCall(c, targetapi.PathSearch) {
+	if e.Server.HandleCommon(c) || !checkEndpoint(c, targetapi.PathSearch) {
 		return
 	}
 	var r targetapi.SearchRequest
@@ -78,7 +78,8 @@
 	}})
 }
 
-// Search makes up documents about the query's reference.
+// Search generates documents that contain the last reference of the query, or
+// noRef if it has none.
 func Search(r targetapi.SearchRequest) []targetapi.SearchResult {
 	bounds.OrDefault(&r.MaxResults, defaultResults)
 	ref, found := engine.LastRef(r.Query)
@@ -96,15 +97,15 @@
 	return results
 }
 
-// Reranker is a target that answers rerank calls.
+// Reranker is a target that serves the rerank endpoint.
 type Reranker struct{ Server *Server }
 
-// Crash does nothing: a reranker keeps nothing.
+// Crash does nothing: a reranker has no state.
 func (Reranker) Crash() {}
 
 // Handle answers one call.
 func (e Reranker) Handle(c *target.Call) {
-	if e.Server.HandleCommon(c) || !isCall(c, targetapi.PathRerank) {
+	if e.Server.HandleCommon(c) || !checkEndpoint(c, targetapi.PathRerank) {
 		return
 	}
 	var r targetapi.RerankRequest
@@ -121,7 +122,7 @@
 	results := make([]targetapi.RerankResult, 0, len(r.Documents))
 	for i, d := range r.Documents {
 		seed := hash(r.Query + "\x00" + d)
-		score := rand.New(rand.NewPCG(seed, seed)).Float64() // spreads like inputs apart
+		score := rand.New(rand.NewPCG(seed, seed)).Float64() // gives similar inputs unrelated scores
 		results = append(results, targetapi.RerankResult{Index: i, Score: score})
 	}
 	slices.SortFunc(results, func(a, b targetapi.RerankResult) int {
@@ -133,7 +134,7 @@
 	return results
 }
 
-func isCall(c *target.Call, path string) bool {
+func checkEndpoint(c *target.Call, path string) bool {
 	if c.Request.Method == http.MethodPost && c.Request.URL.Path == path {
 		return true
 	}
--- a/internal/standin/target/call.go
+++ b/internal/standin/target/call.go
@@ -15,7 +15,7 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// Call is one call of a target.
+// Call is one HTTP request to a target.
 type Call struct {
 	Request *http.Request
 	Body    []byte
@@ -26,32 +26,35 @@
 	identity string
 }
 
-// Identity is what the answer says of whose it is.
+// Identity returns the request ID that the answer carries. Under the fault
+// WrongIdentityShare it may be that of another request.
 func (c *Call) Identity() string { return c.identity }
 
-// Fault is what was wrong with the target when the call came.
+// Fault returns the fault that was in force at the target when the call
+// arrived.
 func (c *Call) Fault() fault.Fault { return c.fault }
 
-// Context ends when the caller hangs up, or when the target goes down.
+// Context ends when the caller disconnects or when the target goes down.
 func (c *Call) Context() context.Context { return c.Request.Context() }
 
-// Lifetime ends when the target goes down, whatever the caller does.
+// Lifetime ends when the target goes down, but not when the caller disconnects.
 func (c *Call) Lifetime() context.Context { return gate.Lifetime(c.Request.Context()) }
 
-// CallerLeft says that the caller gave the call up, and the target did not go
-// down under it.
+// CallerLeft reports whether the call ended because the caller disconnected,
+// not because the target went down.
 func (c *Call) CallerLeft() bool {
 	ctx := c.Request.Context()
 	return ctx.Err() != nil && !errors.Is(context.Cause(ctx), gate.ErrClosed)
 }
 
-// CloseConnection closes the connection without an answer.
+// CloseConnection closes the connection without an answer. It does not return.
 func (c *Call) CloseConnection() { abort() }
 
-// RecordStart counts an execution: from here on the call has run.
+// RecordStart records the start of an execution: from here on the call counts
+// as run.
 func (c *Call) RecordStart() *count.Running {
 	h := c.Request.Header
-	return c.target.ledger.Start(count.Execution{
+	return c.target.executionLog.Start(count.Execution{
 		Target:         c.target.Address(),
 		Pool:           c.target.pool,
 		RequestID:      h.Get(targetapi.HeaderRequestID),
@@ -64,8 +67,8 @@
 	})
 }
 
-// Decode reads the body as JSON. When it can't be it answers 400 and returns
-// false.
+// Decode decodes the body as JSON. If that fails, it answers with 400 and
+// returns false.
 func (c *Call) Decode(into any) bool {
 	err := json.Unmarshal(c.Body, into)
 	if err != nil {
@@ -74,27 +77,28 @@
 	return err == nil
 }
 
-// Refuse answers a call that did not run.
+// Refuse answers a call that has not run with an error.
 func (c *Call) Refuse(status int, slug, title, detail string) {
-	c.refuse(problem.New(status, slug, title, detail, problem.NotRun))
+	c.writeRefusal(problem.New(status, slug, title, detail, problem.NotRun))
 }
 
-// RefuseWithRetry answers a call that did not run and may come again soon.
+// RefuseWithRetry answers a call that has not run with an error and a
+// Retry-After of one second.
 func (c *Call) RefuseWithRetry(status int, slug, title string) {
-	c.refuse(problem.New(status, slug, title, "", problem.NotRun).WithRetryAfter(time.Second))
+	c.writeRefusal(problem.New(status, slug, title, "", problem.NotRun).WithRetryAfter(time.Second))
 }
 
-func (c *Call) refuse(p *problem.Problem) {
-	c.echo()
+func (c *Call) writeRefusal(p *problem.Problem) {
+	c.setIdentityHeader()
 	p.RequestID = c.Identity()
 	writeProblem(c.writer, p)
 }
 
-// Answer is what every answer of a target tells beside its body.
+// Answer is the metadata that accompanies the body of an answer.
 type Answer struct {
 	Load     targetapi.LoadReport
 	EngineUS int64
-	// Version is the version of the model; empty where there is none.
+	// Version is the version of the model; empty if there is none.
 	Version string
 }
 
@@ -102,35 +106,36 @@
 func (c *Call) JSON(a Answer, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // our own types can always be encoded
+		panic(err) // the targets' answer types can always be encoded
 	}
-	c.head(a)
+	c.setAnswerHeaders(a)
 	h := c.writer.Header()
 	h.Set(targetapi.HeaderEngineTime, strconv.FormatInt(a.EngineUS, 10))
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(raw)))
-	_, _ = c.writer.Write(raw) // a caller that is gone sees to itself
+	_, _ = c.writer.Write(raw) // nothing to do if the caller has disconnected
 }
 
-// PlainJSON answers a GET of the target's state without any identity.
+// PlainJSON answers a GET of the target's state, without request ID and load
+// headers.
 func (c *Call) PlainJSON(body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // our own types can always be encoded
+		panic(err) // the targets' answer types can always be encoded
 	}
 	c.writer.Header().Set("Content-Type", "application/json")
 	_, _ = c.writer.Write(raw)
 }
 
-// echo repeats the identity to the caller.
-func (c *Call) echo() {
+// setIdentityHeader sets the request ID of the answer.
+func (c *Call) setIdentityHeader() {
 	if c.identity != "" {
 		c.writer.Header().Set(targetapi.HeaderRequestID, c.identity)
 	}
 }
 
-func (c *Call) head(a Answer) {
-	c.echo()
+func (c *Call) setAnswerHeaders(a Answer) {
+	c.setIdentityHeader()
 	c.writer.Header().Set(targetapi.HeaderLoad, loadHeader(a.Load))
 	if a.Version != "" {
 		c.writer.Header().Set(targetapi.HeaderModelVersion, a.Version)
--- a/internal/standin/target/fencing.go
+++ b/internal/standin/target/fencing.go
@@ -8,23 +8,24 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// Fence remembers the highest fencing token seen for each of some names.
-// Targets that don't check tokens let everything pass. What was seen survives
-// a crash of the target, as a fence that forgets would be none.
+// Fence stores the highest fencing token seen for each name. Fences of targets
+// that don't check tokens accept every call. The tokens survive a crash of the
+// target; otherwise calls with old tokens would be accepted after a restart.
 type Fence struct {
 	checks bool
 
-	mu      sync.Mutex // guards highest; a leaf
+	mu      sync.Mutex // guards highest; no other lock is taken while it is held
 	highest map[string]uint64
 }
 
-// NewFence builds a fence that checks tokens, or one that ignores them.
+// NewFence creates a fence that checks tokens, or one that ignores them.
 func NewFence(checks bool) *Fence {
 	return &Fence{checks: checks, highest: map[string]uint64{}}
 }
 
-// Check is true unless the call carries an older token than was seen for the
-// name; then it has been answered with 409. A call without a token passes.
+// Check reports whether the call may run. If its token is lower than one seen
+// before for the name it answers with 409, if the token is malformed with 400,
+// and returns false. A call without a token may run.
 func (f *Fence) Check(c *Call, name string) bool {
 	text := c.Request.Header.Get(targetapi.HeaderFencingToken)
 	if !f.checks || text == "" {
@@ -35,15 +36,16 @@
 		c.Refuse(http.StatusBadRequest, "fencing-token", "Fencing token is no number", text)
 		return false
 	}
-	if f.raise(name, token) {
+	if f.advance(name, token) {
 		return true
 	}
 	c.Refuse(http.StatusConflict, "fenced", "Fencing token is old", text)
 	return false
 }
 
-// raise is false when a higher token was seen.
-func (f *Fence) raise(name string, token uint64) bool {
+// advance stores the token as the highest one seen for the name. It returns
+// false if a higher one was seen before.
+func (f *Fence) advance(name string, token uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if token < f.highest[name] {
--- a/internal/standin/target/stream.go
+++ b/internal/standin/target/stream.go
@@ -9,10 +9,10 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// Stream begins a stream of server-sent events. The time that it cost is sent
-// as a trailer, since it isn't known before.
+// Stream begins a stream of server-sent events. The engine time is sent as a
+// trailer, since it isn't known before the end.
 func (c *Call) Stream(a Answer) *Stream {
-	c.head(a)
+	c.setAnswerHeaders(a)
 	h := c.writer.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
@@ -22,25 +22,25 @@
 	return &Stream{writer: c.writer, flusher: flusher}
 }
 
-// Stream is an answer in events.
+// Stream is an answer in the form of server-sent events.
 type Stream struct {
 	writer  http.ResponseWriter
-	flusher http.Flusher // nil where the answer is lost anyway
+	flusher http.Flusher // nil if a fault discards the answer
 }
 
-// ErrCallerLeft means that the caller hung up.
-var ErrCallerLeft = errors.New("target: caller is gone")
+// ErrCallerLeft means that the caller has disconnected.
+var ErrCallerLeft = errors.New("target: caller disconnected")
 
-// Send writes one event at once.
+// Send writes one event and flushes it.
 func (s *Stream) Send(event any) error {
 	raw, err := json.Marshal(event)
 	if err != nil {
-		panic(err) // our own types can always be encoded
+		panic(err) // the targets' answer types can always be encoded
 	}
-	return s.data(raw)
+	return s.writeEvent(raw)
 }
 
-func (s *Stream) data(raw []byte) error {
+func (s *Stream) writeEvent(raw []byte) error {
 	framed := append(append([]byte("data: "), raw...), '\n', '\n')
 	if _, err := s.writer.Write(framed); err != nil {
 		return ErrCallerLeft
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// Finish ends the stream as it should end.
+// Finish ends the stream with the final [DONE] event and the engine time.
 func (s *Stream) Finish(engineUS int64) error {
 	s.writer.Header().Set(targetapi.HeaderEngineTime, strconv.FormatInt(engineUS, 10))
-	return s.data([]byte("[DONE]"))
+	return s.writeEvent([]byte("[DONE]"))
 }
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -1,5 +1,5 @@
 // Package target serves one emulated target over HTTP: it applies the faults
-// in force, counts executions and hands the call to what the target is.
+// in force, records executions and passes each call to the target's handler.
 package target
 
 import (
@@ -16,61 +16,62 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// maxBody bounds a request's body in bytes.
+// maxBody is the maximum size of a request's body in bytes.
 const maxBody = 16 << 20
 
-// Handler is what a target does with its calls.
+// Handler implements the calls of one kind of target.
 type Handler interface {
-	// Handle runs one call and answers it through the call.
+	// Handle runs one call and answers it through the methods of c.
 	Handle(c *Call)
-	// Crash forgets what a crash of the process would lose.
+	// Crash discards the state that a crash of the process would lose.
 	Crash()
 }
 
-// Target is one emulated target. Use Open.
+// Target is one emulated target. Create it with Open.
 type Target struct {
-	pool   string
-	work   Handler
-	faults *fault.Set
-	ledger *count.ExecutionLog
-	gate   *gate.RestartableServer
+	pool         string
+	handler      Handler
+	faults       *fault.Set
+	executionLog *count.ExecutionLog
+	gate         *gate.RestartableServer
 
-	mu           sync.Mutex // guards all below; a leaf
+	mu           sync.Mutex // guards all fields below; no other lock is taken while it is held
 	lastIdentity string
 }
 
-// Config says where a target listens and what it shares with the others.
+// Config holds the address of a target and the state that it shares with other
+// targets.
 type Config struct {
-	Address string
-	Pool    string
-	Faults  *fault.Set
-	ExecutionLog  *count.ExecutionLog
+	Address    string
+	Pool       string
+	Faults     *fault.Set
+	Executions *count.ExecutionLog
 }
 
-// Open serves the work on the target's address.
-func Open(c Config, work Handler) (*Target, error) {
-	t := &Target{pool: c.Pool, work: work, faults: c.Faults, ledger: c.ExecutionLog}
+// Open starts serving the handler on the target's address.
+func Open(c Config, handler Handler) (*Target, error) {
+	t := &Target{pool: c.Pool, handler: handler, faults: c.Faults, executionLog: c.Executions}
 	g, err := gate.Open(c.Address, http.HandlerFunc(t.serve))
 	if err != nil {
 		return nil, err
 	}
 	t.gate = g
-	c.Faults.Watch(t.settle)
+	c.Faults.Watch(t.applyFault)
 	return t, nil
 }
 
-// Address is where the target listens.
+// Address returns the address on which the target listens.
 func (t *Target) Address() string { return t.gate.Address() }
 
-// Stop lets running calls finish and closes for good.
+// Stop lets running calls finish and closes the target permanently.
 func (t *Target) Stop() error { return t.gate.Stop() }
 
-// settle opens or closes the listener after a change of faults. A target that
-// goes down loses what a crash would lose.
-func (t *Target) settle() {
+// applyFault opens or closes the listener after a change of faults. A target
+// that goes down loses its state as in a crash.
+func (t *Target) applyFault() {
 	down := t.fault().Down
 	if down && t.gate.IsOpen() {
-		defer t.work.Crash()
+		defer t.handler.Crash()
 	}
 	t.gate.SetDown(down)
 }
@@ -79,14 +80,15 @@
 	return t.faults.Combined(fault.PoolScope(t.pool), fault.TargetScope(t.Address()))
 }
 
-// StraggleFactor is the factor by which the target's work is stretched now.
+// StraggleFactor returns the factor by which the target's work is currently
+// slowed down.
 func StraggleFactor(faults *fault.Set, pool, address string) float64 {
 	return faults.Combined(fault.PoolScope(pool), fault.TargetScope(address)).EffectiveStraggleFactor()
 }
 
 func (t *Target) serve(w http.ResponseWriter, r *http.Request) {
-	// The whole body is read before anything runs: only then does the server
-	// watch the connection and end the context when the caller hangs up.
+	// The whole body is read before the call runs: only then does net/http
+	// watch the connection and end the context when the caller disconnects.
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
 		writeProblem(w, problem.New(http.StatusRequestEntityTooLarge, "body", "Body can't be read", err.Error(), problem.NotRun))
@@ -109,27 +111,29 @@
 		t.crash(c)
 	}
 	if t.faults.Sample(f.LoseAnswerShare) {
-		c.writer = &lostAnswer{header: http.Header{}}
+		c.writer = &discardWriter{header: http.Header{}}
 		defer abort()
 	}
-	t.work.Handle(c)
+	t.handler.Handle(c)
 }
 
-// crash counts the execution that brings the target down, and goes down.
+// crash records the execution that crashes the target, and takes the target
+// down.
 func (t *Target) crash(c *Call) {
 	c.RecordStart()
 	if t.gate.Crash(c.fault.Restart()) {
-		t.ledger.RecordCrash(t.pool)
-		t.work.Crash()
+		t.executionLog.RecordCrash(t.pool)
+		t.handler.Crash()
 	}
 	abort()
 }
 
-// abort closes the connection without an answer. Panicking with this value is
-// the server's own documented way to do so; nothing is broken.
+// abort closes the connection without an answer. Panicking with
+// http.ErrAbortHandler is the documented way to do so in net/http.
 func abort() { panic(http.ErrAbortHandler) }
 
-// wait is false when the caller hung up meanwhile.
+// wait waits for the duration. It returns false if the caller disconnects
+// first.
 func wait(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -144,7 +148,8 @@
 	}
 }
 
-// identity is the request's, but for the share that the fault mixes up.
+// identity returns the request ID to answer with: the request's own, except for
+// the share of calls that the fault gives another request's.
 func (t *Target) identity(r *http.Request, f fault.Fault) string {
 	own := r.Header.Get(targetapi.HeaderRequestID)
 	t.mu.Lock()
@@ -160,9 +165,9 @@
 	return other
 }
 
-// lostAnswer swallows an answer.
-type lostAnswer struct{ header http.Header }
+// discardWriter discards an answer.
+type discardWriter struct{ header http.Header }
 
-func (l *lostAnswer) Header() http.Header         { return l.header }
-func (l *lostAnswer) Write(p []byte) (int, error) { return len(p), nil }
-func (l *lostAnswer) WriteHeader(int)             {}
+func (w *discardWriter) Header() http.Header         { return w.header }
+func (w *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (w *discardWriter) WriteHeader(int)             {}
