--- a/internal/load/cli/cli_test.go
+++ b/internal/load/cli/cli_test.go
@@ -67,7 +67,7 @@
 	assert.NilError(t, err)
 	var s report.Summary
 	assert.NilError(t, json.Unmarshal(raw, &s))
-	assert.Assert(t, s.Requests > 0 && s.Answered == s.Requests && s.Doubled == 0, s.ResultLine())
+	assert.Assert(t, s.Requests > 0 && s.Answered == s.Requests && s.RanTwice == 0, s.ResultLine())
 	_, err = os.Stat(rows)
 	assert.NilError(t, err)
 }
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -176,7 +176,7 @@
 		return target.StraggleFactor(f.faults, p.Pool, address)
 	}
 	work := f.work(ctx, p, seed, straggle, shared)
-	t, err := target.Open(target.Config{Address: p.address(place), Pool: p.Pool, Faults: f.faults, ExecutionLog: f.ledger}, work)
+	t, err := target.Open(target.Config{Address: p.address(place), Pool: p.Pool, Faults: f.faults, Executions: f.ledger}, work)
 	if err != nil {
 		close(ready)
 		return err
