--- a/internal/standin/table/action.go
+++ b/internal/standin/table/action.go
@@ -6,11 +6,11 @@
 	"github.com/vanillagate/vanillagate/internal/standin/count"
 )
 
-// action is one checked write of a call.
+// action is one validated write, or one condition check, of a request.
 type action struct {
 	key       key
-	when      condition
-	tellOld   bool
+	condition condition
+	returnOld bool
 	checkOnly bool
 	put       Item // nil deletes
 }
@@ -23,8 +23,8 @@
 	if f != nil {
 		return action{}, f
 	}
-	when, f := r.guard.parse()
-	return action{key: k, when: when, tellOld: r.tellOld(), put: r.Item}, f
+	cond, f := r.guard.parse()
+	return action{key: k, condition: cond, returnOld: r.returnOld(), put: r.Item}, f
 }
 
 func keyAction(r *keyedAction, checkOnly bool) (action, *failure) {
@@ -35,11 +35,11 @@
 	if f != nil {
 		return action{}, f
 	}
-	when, f := r.guard.parse()
-	return action{key: k, when: when, tellOld: r.tellOld(), checkOnly: checkOnly}, f
+	cond, f := r.guard.parse()
+	return action{key: k, condition: cond, returnOld: r.returnOld(), checkOnly: checkOnly}, f
 }
 
-func (g guard) tellOld() bool { return g.ReturnValuesOnConditionCheckFailure == allOld }
+func (g guard) returnOld() bool { return g.ReturnValuesOnConditionCheckFailure == allOld }
 
 func (i transactItem) action() (action, *failure) {
 	switch {
@@ -53,23 +53,23 @@
 	return action{}, fail(codeValidation, "Only Put, Delete and ConditionCheck are supported by this stand-in")
 }
 
-// fingerprint is the same for the same request, in whatever order its bytes
-// name the attributes.
+// fingerprint returns a hash of the request that doesn't depend on the order in
+// which the client wrote the attributes.
 func (r transactRequest) fingerprint() string {
 	raw, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // it was decoded from JSON
+		panic(err) // unreachable: the request was decoded from JSON
 	}
 	return count.Fingerprint(raw)
 }
 
-// actions checks a transaction's form.
+// actions validates a transaction and returns its actions.
 func (r transactRequest) actions() ([]action, *failure) {
 	if len(r.TransactItems) == 0 || len(r.TransactItems) > maxActions {
 		return nil, fail(codeValidation, "Member must have length between 1 and %d, has %d", maxActions, len(r.TransactItems))
 	}
-	if len(r.ClientRequestToken) > maxToken {
-		return nil, fail(codeValidation, "ClientRequestToken must have length less than or equal to %d", maxToken)
+	if len(r.ClientRequestToken) > maxTokenLength {
+		return nil, fail(codeValidation, "ClientRequestToken must have length less than or equal to %d", maxTokenLength)
 	}
 	actions := make([]action, 0, len(r.TransactItems))
 	seen := map[key]bool{}
--- a/internal/standin/table/attribute.go
+++ b/internal/standin/table/attribute.go
@@ -9,8 +9,8 @@
 	"math/big"
 )
 
-// Attribute is one attribute value, of one of the types string, number and
-// binary; another type is kept as it came and compares with nothing.
+// Attribute is an attribute value of type string, number or binary. A value of
+// another type is stored unchanged and can't be compared.
 type Attribute struct {
 	S *string `json:"S,omitempty"`
 	N *string `json:"N,omitempty"`
@@ -19,9 +19,10 @@
 	other json.RawMessage
 }
 
+// plainAttribute has no MarshalJSON and UnmarshalJSON, which avoids recursion.
 type plainAttribute Attribute
 
-// UnmarshalJSON reads the protocol's form.
+// UnmarshalJSON decodes the protocol's JSON form.
 func (a *Attribute) UnmarshalJSON(raw []byte) error {
 	if err := json.Unmarshal(raw, (*plainAttribute)(a)); err != nil {
 		return err
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// MarshalJSON writes the protocol's form.
+// MarshalJSON encodes the protocol's JSON form.
 func (a Attribute) MarshalJSON() ([]byte, error) {
 	if a.other != nil {
 		return a.other, nil
@@ -40,7 +41,8 @@
 	return json.Marshal(plainAttribute(a))
 }
 
-// compare is false where the types differ or have no order.
+// compare returns the order of a and b, and false if their types differ or have
+// no order.
 func (a Attribute) compare(b Attribute) (int, bool) {
 	switch {
 	case a.S != nil && b.S != nil:
@@ -62,7 +64,7 @@
 	return x.Cmp(y), true
 }
 
-// Item is a row by attribute names.
+// Item is a row: its attributes by name.
 type Item map[string]Attribute
 
 // Names of the key attributes.
@@ -71,10 +73,11 @@
 	attributeSort      = "sk"
 )
 
-// key is a row's place.
+// key is the primary key of a row.
 type key struct{ partition, sort string }
 
-// keyOf is false when a key attribute is missing, empty or not a string.
+// keyOf returns the primary key of an item, and false if a key attribute is
+// missing, empty or not a string.
 func keyOf(i Item) (key, bool) {
 	p, s := i[attributePartition].S, i[attributeSort].S
 	if p == nil || s == nil || *p == "" || *s == "" {
@@ -83,7 +86,8 @@
 	return key{partition: *p, sort: *s}, true
 }
 
-// size is about what the service reckons: names and values in bytes.
+// size approximates the item size that the real service computes: the bytes of
+// names and values.
 func (i Item) size() int {
 	total := 0
 	for name, a := range i {
--- a/internal/standin/table/condition.go
+++ b/internal/standin/table/condition.go
@@ -6,25 +6,26 @@
 	"strings"
 )
 
-// condition is a parsed expression.
+// condition is a parsed condition expression.
 type condition interface {
 	holds(Item) bool
 }
 
-// placeholders are what #names and :values of an expression stand for.
+// placeholders holds what the #names and :values of an expression stand for.
 type placeholders struct {
 	names  map[string]string
 	values map[string]Attribute
 }
 
+// existence is attribute_exists or attribute_not_exists.
 type existence struct {
-	name   string
-	wanted bool
+	name      string
+	mustExist bool
 }
 
 func (c existence) holds(i Item) bool {
 	_, found := i[c.name]
-	return found == c.wanted
+	return found == c.mustExist
 }
 
 type comparison struct {
@@ -53,61 +54,62 @@
 		return order <= 0
 	case ">":
 		return order > 0
-	default: // the parser lets only ">=" remain
+	default: // ">=": the parser accepts no other operator
 		return order >= 0
 	}
 }
 
-type beginning struct {
+// prefixMatch is begins_with.
+type prefixMatch struct {
 	name  string
 	value Attribute
 }
 
-func (c beginning) holds(i Item) bool {
+func (c prefixMatch) holds(i Item) bool {
 	a := i[c.name]
 	return a.S != nil && c.value.S != nil && strings.HasPrefix(*a.S, *c.value.S)
 }
 
-type both struct{ left, right condition }
+type andCondition struct{ left, right condition }
 
-func (c both) holds(i Item) bool { return c.left.holds(i) && c.right.holds(i) }
+func (c andCondition) holds(i Item) bool { return c.left.holds(i) && c.right.holds(i) }
 
-type either struct{ left, right condition }
+type orCondition struct{ left, right condition }
 
-func (c either) holds(i Item) bool { return c.left.holds(i) || c.right.holds(i) }
+func (c orCondition) holds(i Item) bool { return c.left.holds(i) || c.right.holds(i) }
 
-type negation struct{ inner condition }
+type notCondition struct{ inner condition }
 
-func (c negation) holds(i Item) bool { return !c.inner.holds(i) }
+func (c notCondition) holds(i Item) bool { return !c.inner.holds(i) }
 
-type always struct{}
+type alwaysTrue struct{}
 
-func (always) holds(Item) bool { return true }
+func (alwaysTrue) holds(Item) bool { return true }
 
 var tokenPattern = regexp.MustCompile(`\s*(<>|<=|>=|[=<>(),]|[:#]?[A-Za-z_][A-Za-z0-9_.-]*|\S)`)
 
 // parser reads an expression by recursive descent.
 type parser struct {
-	tokens []string
-	at     int
-	known  placeholders
-	used   map[string]bool // placeholders met
+	tokens       []string
+	at           int
+	placeholders placeholders
+	used         map[string]bool // placeholders that occur in the expression
 }
 
-// parse reads an expression; the empty one always holds. Like the real service
-// it wants every placeholder to be used.
+// parse parses an expression; an empty one always holds. Like the real service,
+// it returns an error if a placeholder isn't used.
 func parse(expression string, known placeholders) (condition, error) {
-	p := &parser{known: known, used: map[string]bool{}}
-	c, err := p.whole(expression)
+	p := &parser{placeholders: known, used: map[string]bool{}}
+	c, err := p.parseAll(expression)
 	if err != nil {
 		return nil, err
 	}
-	return c, p.unused()
+	return c, p.checkAllUsed()
 }
 
-func (p *parser) whole(expression string) (condition, error) {
+func (p *parser) parseAll(expression string) (condition, error) {
 	if strings.TrimSpace(expression) == "" {
-		return always{}, nil
+		return alwaysTrue{}, nil
 	}
 	for _, m := range tokenPattern.FindAllStringSubmatch(expression, -1) {
 		p.tokens = append(p.tokens, m[1])
@@ -122,13 +124,13 @@
 	return c, nil
 }
 
-func (p *parser) unused() error {
-	for name := range p.known.names {
+func (p *parser) checkAllUsed() error {
+	for name := range p.placeholders.names {
 		if !p.used[name] {
 			return fmt.Errorf("value provided in ExpressionAttributeNames unused in expressions: keys: {%s}", name)
 		}
 	}
-	for name := range p.known.values {
+	for name := range p.placeholders.values {
 		if !p.used[name] {
 			return fmt.Errorf("value provided in ExpressionAttributeValues unused in expressions: keys: {%s}", name)
 		}
@@ -151,7 +153,8 @@
 	return t
 }
 
-func (p *parser) skip(word string) bool {
+// accept consumes the next token if it is the given word, in any case.
+func (p *parser) accept(word string) bool {
 	if !strings.EqualFold(p.peek(), word) {
 		return false
 	}
@@ -160,7 +163,7 @@
 }
 
 func (p *parser) expect(word string) error {
-	if !p.skip(word) {
+	if !p.accept(word) {
 		return p.unexpected()
 	}
 	return nil
@@ -172,30 +175,30 @@
 
 func (p *parser) disjunction() (condition, error) {
 	left, err := p.conjunction()
-	for err == nil && p.skip("OR") {
+	for err == nil && p.accept("OR") {
 		var right condition
 		right, err = p.conjunction()
-		left = either{left, right}
+		left = orCondition{left, right}
 	}
 	return left, err
 }
 
 func (p *parser) conjunction() (condition, error) {
 	left, err := p.factor()
-	for err == nil && p.skip("AND") {
+	for err == nil && p.accept("AND") {
 		var right condition
 		right, err = p.factor()
-		left = both{left, right}
+		left = andCondition{left, right}
 	}
 	return left, err
 }
 
 func (p *parser) factor() (condition, error) {
-	if p.skip("NOT") {
+	if p.accept("NOT") {
 		inner, err := p.factor()
-		return negation{inner}, err
+		return notCondition{inner}, err
 	}
-	if p.skip("(") {
+	if p.accept("(") {
 		inner, err := p.disjunction()
 		if err != nil {
 			return nil, err
@@ -203,17 +206,17 @@
 		return inner, p.expect(")")
 	}
 	switch {
-	case p.skip("attribute_exists"):
+	case p.accept("attribute_exists"):
 		return p.existence(true)
-	case p.skip("attribute_not_exists"):
+	case p.accept("attribute_not_exists"):
 		return p.existence(false)
-	case p.skip("begins_with"):
-		return p.beginning()
+	case p.accept("begins_with"):
+		return p.prefixMatch()
 	}
 	return p.comparison()
 }
 
-func (p *parser) existence(wanted bool) (condition, error) {
+func (p *parser) existence(mustExist bool) (condition, error) {
 	if err := p.expect("("); err != nil {
 		return nil, err
 	}
@@ -221,10 +224,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return existence{name: name, wanted: wanted}, p.expect(")")
+	return existence{name: name, mustExist: mustExist}, p.expect(")")
 }
 
-func (p *parser) beginning() (condition, error) {
+func (p *parser) prefixMatch() (condition, error) {
 	if err := p.expect("("); err != nil {
 		return nil, err
 	}
@@ -239,7 +242,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return beginning{name: name, value: value}, p.expect(")")
+	return prefixMatch{name: name, value: value}, p.expect(")")
 }
 
 func (p *parser) comparison() (condition, error) {
@@ -262,7 +265,7 @@
 func (p *parser) name() (string, error) {
 	t := p.peek()
 	if strings.HasPrefix(t, "#") {
-		name, found := p.known.names[t]
+		name, found := p.placeholders.names[t]
 		if !found {
 			return "", fmt.Errorf("an expression attribute name used in the document path is not defined; attribute name: %s", t)
 		}
@@ -282,7 +285,7 @@
 	if !strings.HasPrefix(t, ":") {
 		return Attribute{}, p.unexpected()
 	}
-	value, found := p.known.values[t]
+	value, found := p.placeholders.values[t]
 	if !found {
 		return Attribute{}, fmt.Errorf("an expression attribute value used in expression is not defined; attribute value: %s", t)
 	}
--- a/internal/standin/table/condition_test.go
+++ b/internal/standin/table/condition_test.go
@@ -10,7 +10,7 @@
 func num(s string) Attribute { return Attribute{N: &s} }
 
 func TestConditions(t *testing.T) {
-	standing := Item{"pk": str("p"), "sk": str("s"), "ver": num("10")}
+	existing := Item{"pk": str("p"), "sk": str("s"), "ver": num("10")}
 	for _, c := range []struct {
 		expression string
 		value      *Attribute
@@ -19,15 +19,15 @@
 	}{
 		{"", nil, nil, true},
 		{"attribute_not_exists(pk)", nil, nil, true},
-		{"attribute_not_exists(pk)", nil, standing, false},
-		{"attribute_exists(pk)", nil, standing, true},
-		{"ver = :v", ptr(num("10.0")), standing, true},
-		{"ver = :v", ptr(str("10")), standing, false},
+		{"attribute_not_exists(pk)", nil, existing, false},
+		{"attribute_exists(pk)", nil, existing, true},
+		{"ver = :v", ptr(num("10.0")), existing, true},
+		{"ver = :v", ptr(str("10")), existing, false},
 		{"ver = :v", ptr(num("10")), nil, false},
-		{"ver > :v", ptr(num("9")), standing, true},
-		{"NOT ver > :v", ptr(num("9")), standing, false},
-		{"attribute_not_exists(pk) OR (ver = :v AND sk <> :v)", ptr(num("10")), standing, true},
-		{"begins_with(sk, :v)", ptr(str("s")), standing, true},
+		{"ver > :v", ptr(num("9")), existing, true},
+		{"NOT ver > :v", ptr(num("9")), existing, false},
+		{"attribute_not_exists(pk) OR (ver = :v AND sk <> :v)", ptr(num("10")), existing, true},
+		{"begins_with(sk, :v)", ptr(str("s")), existing, true},
 	} {
 		known := placeholders{values: map[string]Attribute{}}
 		if c.value != nil {
--- a/internal/standin/table/http.go
+++ b/internal/standin/table/http.go
@@ -13,17 +13,18 @@
 	"github.com/vanillagate/vanillagate/internal/standin/outage"
 )
 
-const maxBody = 16 << 20
+const maxBodyBytes = 16 << 20
 
-// Handler speaks the protocol over HTTP and suffers the table's faults.
+// Handler serves the protocol over HTTP and injects the faults that are set for
+// the table.
 type Handler struct {
 	Table  *Table
 	Faults *fault.Set
-	// Latency is what a call takes without any fault.
+	// Latency is the duration of a call when no fault is set.
 	Latency time.Duration
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP handles one API call.
 func (h Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f := h.Faults.Combined(fault.ScopeTable)
 	if f.Refuse {
@@ -33,60 +34,62 @@
 		return
 	}
 	outage.Wait(f, h.Latency)
-	status, answer := h.call(r)
+	status, answer := h.dispatch(r)
 	if h.Faults.Sample(f.LoseAnswerShare) {
-		h.Table.lostAnswer()
+		h.Table.countLostAnswer()
 		outage.Abort()
 	}
 	write(w, status, answer)
 }
 
-func (t *Table) lostAnswer() {
+func (t *Table) countLostAnswer() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.stats.LostAnswers++
 }
 
-func (h Handler) call(r *http.Request) (int, any) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+func (h Handler) dispatch(r *http.Request) (int, any) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
-		return failed(fail(codeSerialization, "%s", err))
+		return failureResponse(fail(codeSerialization, "%s", err))
 	}
 	name, found := strings.CutPrefix(r.Header.Get("X-Amz-Target"), targetPrefix)
 	if !found || r.Method != http.MethodPost {
-		return failed(fail(codeUnknownCall, "No X-Amz-Target of this service"))
+		return failureResponse(fail(codeUnknownOperation, "No X-Amz-Target of this service"))
 	}
 	switch name {
 	case "GetItem":
-		return run(body, h.Table.get)
+		return decodeAndRun(body, h.Table.get)
 	case "PutItem":
-		return run(body, h.Table.put)
+		return decodeAndRun(body, h.Table.put)
 	case "Query":
-		return run(body, h.Table.query)
+		return decodeAndRun(body, h.Table.query)
 	case "TransactWriteItems":
-		return run(body, h.Table.transact)
+		return decodeAndRun(body, h.Table.transact)
 	}
-	return failed(fail(codeUnknownCall, "%s is not supported by this stand-in", name))
+	return failureResponse(fail(codeUnknownOperation, "%s is not supported by this stand-in", name))
 }
 
-func run[Request, Answer any](body []byte, call func(Request) (Answer, *failure)) (int, any) {
+// decodeAndRun decodes the body and passes it to call. It returns the HTTP
+// status and the body of the answer.
+func decodeAndRun[Request, Answer any](body []byte, call func(Request) (Answer, *failure)) (int, any) {
 	var r Request
 	if err := json.Unmarshal(body, &r); err != nil {
-		return failed(fail(codeSerialization, "%s", err))
+		return failureResponse(fail(codeSerialization, "%s", err))
 	}
 	answer, f := call(r)
 	if f != nil {
-		return failed(f)
+		return failureResponse(f)
 	}
 	return http.StatusOK, answer
 }
 
-func failed(f *failure) (int, any) { return f.status, f }
+func failureResponse(f *failure) (int, any) { return f.status, f }
 
 func write(w http.ResponseWriter, status int, answer any) {
 	raw, err := json.Marshal(answer)
 	if err != nil {
-		panic(err) // our own types can always be encoded
+		panic(err) // unreachable: all answer types can be encoded
 	}
 	w.Header().Set("Content-Type", contentType)
 	w.Header().Set("X-Amz-Crc32", strconv.FormatUint(uint64(crc32.ChecksumIEEE(raw)), 10))
--- a/internal/standin/table/keycondition.go
+++ b/internal/standin/table/keycondition.go
@@ -2,42 +2,44 @@
 
 import "errors"
 
-// keyRange is a key condition: one partition, and a range of its sort keys.
+// keyRange is a parsed key condition: a partition and a range of its sort keys.
 type keyRange struct {
 	partition string
-	// from is where the range starts; a row there need not be in it.
-	from string
-	// sorts holds for the rows of the range, which lie side by side.
-	sorts condition
+	// start is the sort key at which to start reading. The row there may lie outside
+	// the range, as with "sk > :s".
+	start string
+	// sortCondition holds for the rows of the range, which are contiguous in sort
+	// order.
+	sortCondition condition
 }
 
 var (
-	errNoPartition = errors.New("query condition missed key schema element: pk")
-	errNotKey      = errors.New("query key condition not supported")
-	errTwice       = errors.New("KeyConditionExpressions must only contain one condition per key")
+	errNoPartition          = errors.New("query condition missed key schema element: pk")
+	errUnsupportedCondition = errors.New("query key condition not supported")
+	errDuplicateCondition   = errors.New("KeyConditionExpressions must only contain one condition per key")
 )
 
-// keyRangeOf reads "pk = :p", alone or with one condition of the sort key.
+// keyRangeOf accepts "pk = :p", alone or with one condition on the sort key.
 func keyRangeOf(c condition) (keyRange, error) {
 	parts := []condition{c}
-	if b, ok := c.(both); ok {
+	if b, ok := c.(andCondition); ok {
 		parts = []condition{b.left, b.right}
 	}
-	r := keyRange{sorts: always{}}
-	sorted := false
+	r := keyRange{sortCondition: alwaysTrue{}}
+	hasSortCondition := false
 	for _, part := range parts {
 		if partition, ok := partitionOf(part); ok && r.partition == "" {
 			r.partition = partition
 			continue
 		}
-		if sorted {
-			return keyRange{}, errTwice
+		if hasSortCondition {
+			return keyRange{}, errDuplicateCondition
 		}
-		from, err := startOf(part)
+		start, err := rangeStart(part)
 		if err != nil {
 			return keyRange{}, err
 		}
-		r.from, r.sorts, sorted = from, part, true
+		r.start, r.sortCondition, hasSortCondition = start, part, true
 	}
 	if r.partition == "" {
 		return keyRange{}, errNoPartition
@@ -45,6 +47,8 @@
 	return r, nil
 }
 
+// partitionOf returns the partition that "pk = :p" selects, and false for any
+// other condition.
 func partitionOf(c condition) (string, bool) {
 	e, ok := c.(comparison)
 	if !ok || e.name != attributePartition || e.operator != "=" || e.value.S == nil {
@@ -53,22 +57,23 @@
 	return *e.value.S, true
 }
 
-// startOf is where the rows of a condition of the sort key start.
-func startOf(c condition) (string, error) {
+// rangeStart returns the sort key at which to start reading the rows that meet a
+// condition on the sort key.
+func rangeStart(c condition) (string, error) {
 	switch c := c.(type) {
 	case comparison:
 		if c.name != attributeSort || c.value.S == nil || c.operator == "<>" {
-			return "", errNotKey
+			return "", errUnsupportedCondition
 		}
 		if c.operator == "<" || c.operator == "<=" {
 			return "", nil
 		}
 		return *c.value.S, nil
-	case beginning:
+	case prefixMatch:
 		if c.name != attributeSort || c.value.S == nil {
-			return "", errNotKey
+			return "", errUnsupportedCondition
 		}
 		return *c.value.S, nil
 	}
-	return "", errNotKey
+	return "", errUnsupportedCondition
 }
--- a/internal/standin/table/protocol.go
+++ b/internal/standin/table/protocol.go
@@ -6,37 +6,37 @@
 	"strings"
 )
 
-// Name is the one table's name.
+// Name is the name of the only table.
 const Name = "vanillagate"
 
-// Limits of the real service.
+// Limits of the real service, and constants of its protocol.
 const (
-	maxActions   = 100
-	maxItem      = 400 << 10
-	maxPage      = 1 << 20
-	maxToken     = 36
-	typePrefix   = "com.amazonaws.dynamodb.v20120810#"
-	targetPrefix = "DynamoDB_20120810."
-	contentType  = "application/x-amz-json-1.0"
-	allOld       = "ALL_OLD"
+	maxActions     = 100
+	maxItemBytes   = 400 << 10
+	maxPageBytes   = 1 << 20
+	maxTokenLength = 36
+	typePrefix     = "com.amazonaws.dynamodb.v20120810#"
+	targetPrefix   = "DynamoDB_20120810."
+	contentType    = "application/x-amz-json-1.0"
+	allOld         = "ALL_OLD"
 )
 
-// Codes of errors, and of the reasons of a cancelled transaction.
+// Error codes, and codes of the reasons why a transaction was cancelled.
 const (
-	codeValidation      = "ValidationException"
-	codeNoTable         = "ResourceNotFoundException"
-	codeThrottled       = "ProvisionedThroughputExceededException"
-	codeCondition       = "ConditionalCheckFailedException"
-	codeCancelled       = "TransactionCanceledException"
-	codeTokenMismatch   = "IdempotentParameterMismatchException"
-	codeUnknownCall     = "UnknownOperationException"
-	codeSerialization   = "SerializationException"
-	codeUnavailable     = "InternalServerError"
-	reasonNone          = "None"
-	reasonConditionFail = "ConditionalCheckFailed"
+	codeValidation       = "ValidationException"
+	codeNoTable          = "ResourceNotFoundException"
+	codeThrottled        = "ProvisionedThroughputExceededException"
+	codeCondition        = "ConditionalCheckFailedException"
+	codeCancelled        = "TransactionCanceledException"
+	codeTokenMismatch    = "IdempotentParameterMismatchException"
+	codeUnknownOperation = "UnknownOperationException"
+	codeSerialization    = "SerializationException"
+	codeUnavailable      = "InternalServerError"
+	reasonNone           = "None"
+	reasonConditionFail  = "ConditionalCheckFailed"
 )
 
-// failure is an error answer of the protocol.
+// failure is an error response of the protocol.
 type failure struct {
 	Type    string   `json:"__type"`
 	Message string   `json:"message"`
@@ -46,7 +46,7 @@
 	status int
 }
 
-// reason says what one action of a cancelled transaction met.
+// reason is the result of one action of a cancelled transaction.
 type reason struct {
 	Code    string `json:"Code"`
 	Message string `json:"Message,omitempty"`
@@ -67,7 +67,7 @@
 	Item Item `json:"Item,omitempty"`
 }
 
-// guard is the condition that every kind of write may carry.
+// guard holds the condition fields that every kind of write may have.
 type guard struct {
 	ConditionExpression                 string
 	ExpressionAttributeNames            map[string]string
@@ -139,7 +139,8 @@
 	return nil
 }
 
-// checkKey reads a Key, which holds nothing but the key attributes.
+// checkKey validates the Key of a request, which must hold the key attributes and
+// no others.
 func checkKey(i Item) (key, *failure) {
 	k, ok := keyOf(i)
 	if !ok || len(i) != 2 {
@@ -148,7 +149,7 @@
 	return k, nil
 }
 
-// checkItem reads the key of an item to put.
+// checkItem validates an item to put and returns its key.
 func checkItem(i Item) (key, *failure) {
 	k, ok := keyOf(i)
 	if !ok {
@@ -162,12 +163,14 @@
 			return key{}, fail(codeValidation, "A value provided cannot be converted into a number: %s", name)
 		}
 	}
-	if i.size() > maxItem {
+	if i.size() > maxItemBytes {
 		return key{}, fail(codeValidation, "Item size has exceeded the maximum allowed size")
 	}
 	return k, nil
 }
 
+// cancelled returns the error of a transaction of which at least one condition
+// failed; reasons has one entry per action.
 func cancelled(reasons []reason) *failure {
 	codes := make([]string, len(reasons))
 	for i, r := range reasons {
--- a/internal/standin/table/sdk_test.go
+++ b/internal/standin/table/sdk_test.go
@@ -121,7 +121,7 @@
 	assert.Equal(t, len(f.get(t, "p", "2")), 4)
 }
 
-func TestQueryGoesOnBehindAKey(t *testing.T) {
+func TestQueryContinuesAfterKey(t *testing.T) {
 	f := open(t, Rates{})
 	for _, sk := range []string{"04", "02", "05", "01", "03"} {
 		assert.NilError(t, f.commit("", insert("p", sk)))
@@ -144,16 +144,17 @@
 	assert.DeepEqual(t, found, []string{"02", "03", "04", "05"})
 }
 
-// The answer to a transaction is lost after it took effect, and the client
-// sends the same transaction again under the same token. If it were run a
-// second time its own first effect would look like somebody else's conflict.
-func TestLostAnswerAndTheSameTokenAgain(t *testing.T) {
+// The response to a transaction is lost after the transaction was applied, and the
+// client retries it with the same token. If it were applied again, its condition
+// would fail on the row that it wrote itself, which looks like a conflict with
+// another writer.
+func TestRetryWithSameTokenAfterLostAnswer(t *testing.T) {
 	f := open(t, Rates{})
 	f.faults.Put(fault.ScopeTable, fault.Fault{LoseAnswerShare: 1})
 	assert.Assert(t, f.commit("token-1", insert("p", "1")) != nil)
 	f.faults.Put(fault.ScopeTable, fault.Fault{})
 	assert.Equal(t, len(f.get(t, "p", "1")), 4)
-	for range 5 { // the client names the attributes in any order
+	for range 5 { // the client writes the attributes in random order
 		assert.NilError(t, f.commit("token-1", insert("p", "1")))
 	}
 	var mismatch *types.IdempotentParameterMismatchException
@@ -162,14 +163,14 @@
 }
 
 func TestTooManyWritesAreThrottled(t *testing.T) {
-	f := open(t, Rates{WritesPerSecond: 0.5}) // not even one fits
+	f := open(t, Rates{WritesPerSecond: 0.5}) // less than the cost of one write
 	var throttled *types.ProvisionedThroughputExceededException
 	assert.Assert(t, errors.As(f.commit("", insert("p", "1")), &throttled))
 	assert.Equal(t, f.table.Stats().ThrottledWrites, int64(1))
 	assert.Equal(t, f.table.Stats().Rows, 0)
 }
 
-func TestRateIsHeldOverTime(t *testing.T) {
+func TestRateLimitOverTime(t *testing.T) {
 	b := newBucket(10)
 	start := time.Now()
 	taken := 0
@@ -178,10 +179,10 @@
 			taken++
 		}
 	}
-	assert.Assert(t, taken >= 39 && taken <= 40, taken) // one second's worth, and 3 s of refill
+	assert.Assert(t, taken >= 39 && taken <= 40, taken) // capacity of one second plus 3 s of refill
 }
 
-func TestPutConflictTellsWhatStands(t *testing.T) {
+func TestPutConflictReturnsExistingItem(t *testing.T) {
 	f := open(t, Rates{})
 	in := &dynamodb.PutItemInput{
 		TableName: aws.String(Name), Item: row("p", "1", 1),
--- a/internal/standin/table/table.go
+++ b/internal/standin/table/table.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// tokenLife is how long a ClientRequestToken is remembered.
-const tokenLife = 10 * time.Minute
+// tokenTTL is how long a ClientRequestToken stays valid.
+const tokenTTL = 10 * time.Minute
 
-// Rates bound what the table takes. Zero values are replaced by 400 writes
-// and 2000 reads a second.
+// Rates limits the table's throughput. Zero values mean 400 writes and 2000 reads
+// per second.
 type Rates struct {
 	WritesPerSecond float64
 	ReadsPerSecond  float64
-	// ByItem counts each row of a transaction as a write of its own; else a
-	// transaction counts as one.
+	// ByItem counts each row of a transaction as one write. Otherwise the whole
+	// transaction counts as one write.
 	ByItem bool
 }
 
 const (
-	defaultWrites = 400
-	defaultReads  = 2000
+	defaultWritesPerSecond = 400
+	defaultReadsPerSecond  = 2000
 )
 
-// Stats counts what the table did.
+// Stats holds the operation counters of a table.
 type Stats struct {
 	Reads int64 `json:"reads"`
-	// EventualReads are the reads that did not ask for consistency. Here they
-	// get the latest row all the same; the real service may give an old one.
+	// EventualReads counts the reads without ConsistentRead. This table returns
+	// the latest row for them too; the real service may return a stale one.
 	EventualReads   int64 `json:"eventual_reads"`
-	Writes          int64 `json:"writes"` // calls, a transaction is one
+	Writes          int64 `json:"writes"` // calls; a transaction counts as one
 	WrittenItems    int64 `json:"written_items"`
 	ThrottledReads  int64 `json:"throttled_reads"`
 	ThrottledWrites int64 `json:"throttled_writes"`
@@ -39,43 +39,43 @@
 	Rows            int   `json:"rows"`
 }
 
-// Table is the emulated table. Use New.
+// Table is an emulated table. Create it with New.
 type Table struct {
 	byItem bool
 
-	mu     sync.Mutex // guards all below; a leaf
-	rows   rows
-	tokens map[string]spent
-	swept  time.Time // when old tokens were last thrown away
-	writes bucket
-	reads  bucket
-	stats  Stats
+	mu        sync.Mutex // guards all fields below; no other lock is taken while it is held
+	rows      rows
+	tokens    map[string]usedToken
+	lastSweep time.Time // when expired tokens were last removed
+	writes    bucket
+	reads     bucket
+	stats     Stats
 }
 
-// spent is a token of a transaction that took effect.
-type spent struct {
+// usedToken records the client token of a transaction that was applied.
+type usedToken struct {
 	fingerprint string
-	at          time.Time
+	usedAt      time.Time
 }
 
-// New builds an empty table.
+// New returns an empty table.
 func New(rates Rates) *Table {
 	if rates.WritesPerSecond == 0 {
-		rates.WritesPerSecond = defaultWrites
+		rates.WritesPerSecond = defaultWritesPerSecond
 	}
 	if rates.ReadsPerSecond == 0 {
-		rates.ReadsPerSecond = defaultReads
+		rates.ReadsPerSecond = defaultReadsPerSecond
 	}
 	return &Table{
 		byItem: rates.ByItem,
 		rows:   newRows(),
-		tokens: map[string]spent{},
+		tokens: map[string]usedToken{},
 		writes: newBucket(rates.WritesPerSecond),
 		reads:  newBucket(rates.ReadsPerSecond),
 	}
 }
 
-// Stats tells what the table did so far.
+// Stats returns the counters since the start.
 func (t *Table) Stats() Stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,28 +84,29 @@
 	return s
 }
 
-// bucket is a token bucket that holds one second's worth.
+// bucket is a token bucket whose capacity is one second of its rate.
 type bucket struct {
-	rate float64
-	left float64
-	at   time.Time
+	rate      float64
+	available float64
+	at        time.Time
 }
 
-func newBucket(rate float64) bucket { return bucket{rate: rate, left: rate} }
+func newBucket(rate float64) bucket { return bucket{rate: rate, available: rate} }
 
 func (b *bucket) take(now time.Time, n float64) bool {
 	if !b.at.IsZero() {
-		b.left = min(b.rate, b.left+b.rate*now.Sub(b.at).Seconds())
+		b.available = min(b.rate, b.available+b.rate*now.Sub(b.at).Seconds())
 	}
 	b.at = now
-	if b.left < n {
+	if b.available < n {
 		return false
 	}
-	b.left -= n
+	b.available -= n
 	return true
 }
 
-// takeRead is called with t.mu held.
+// takeRead counts a read, or returns an error if the read rate is exceeded.
+// t.mu must be held.
 func (t *Table) takeRead(consistent bool) *failure {
 	if !t.reads.take(time.Now(), 1) {
 		t.stats.ThrottledReads++
@@ -118,7 +119,8 @@
 	return nil
 }
 
-// takeWrite is called with t.mu held.
+// takeWrite counts a write of so many items, or returns an error if the write rate
+// is exceeded. t.mu must be held.
 func (t *Table) takeWrite(items int) *failure {
 	cost := 1
 	if t.byItem {
@@ -202,7 +204,7 @@
 	return keys, nil
 }
 
-// put is a PutItem.
+// put implements PutItem.
 func (t *Table) put(r putRequest) (emptyAnswer, *failure) {
 	a, f := putAction(&r)
 	if f != nil {
@@ -223,8 +225,8 @@
 	return emptyAnswer{}, nil
 }
 
-// transact is a TransactWriteItems. A token that was spent on the same
-// request within its life succeeds without a second effect.
+// transact implements TransactWriteItems. A request that repeats the token and
+// content of an applied one within tokenTTL succeeds without being applied again.
 func (t *Table) transact(r transactRequest) (emptyAnswer, *failure) {
 	actions, f := r.actions()
 	if f != nil {
@@ -236,8 +238,8 @@
 		return emptyAnswer{}, f
 	}
 	fingerprint := r.fingerprint()
-	if was, found := t.token(r.ClientRequestToken); found {
-		if was.fingerprint != fingerprint {
+	if used, found := t.findToken(r.ClientRequestToken); found {
+		if used.fingerprint != fingerprint {
 			return emptyAnswer{}, fail(codeTokenMismatch, "The request uses the same client token as a previous, but non-identical request")
 		}
 		return emptyAnswer{}, nil
@@ -248,35 +250,37 @@
 	for _, a := range actions {
 		t.apply(a)
 	}
-	t.spend(r.ClientRequestToken, spent{fingerprint: fingerprint, at: time.Now()})
+	t.rememberToken(r.ClientRequestToken, usedToken{fingerprint: fingerprint, usedAt: time.Now()})
 	return emptyAnswer{}, nil
 }
 
-// spend is called with t.mu held. Once in a token's life it throws old ones
-// away: the usual clients send a new one with each transaction.
-func (t *Table) spend(token string, s spent) {
+// rememberToken stores the token of an applied transaction. Once per tokenTTL it
+// also removes the expired tokens, since clients usually send a new token with
+// each transaction. t.mu must be held.
+func (t *Table) rememberToken(token string, s usedToken) {
 	if token == "" {
 		return
 	}
 	t.tokens[token] = s
-	if s.at.Sub(t.swept) < tokenLife {
+	if s.usedAt.Sub(t.lastSweep) < tokenTTL {
 		return
 	}
-	t.swept = s.at
-	maps.DeleteFunc(t.tokens, func(_ string, old spent) bool { return s.at.Sub(old.at) > tokenLife })
+	t.lastSweep = s.usedAt
+	maps.DeleteFunc(t.tokens, func(_ string, old usedToken) bool { return s.usedAt.Sub(old.usedAt) > tokenTTL })
 }
 
-// token is called with t.mu held.
-func (t *Table) token(token string) (spent, bool) {
-	was, found := t.tokens[token]
-	if found && time.Since(was.at) > tokenLife {
+// findToken returns the record of a token that hasn't expired. t.mu must be held.
+func (t *Table) findToken(token string) (usedToken, bool) {
+	used, found := t.tokens[token]
+	if found && time.Since(used.usedAt) > tokenTTL {
 		delete(t.tokens, token)
-		return spent{}, false
+		return usedToken{}, false
 	}
-	return was, found
+	return used, found
 }
 
-// checkAll is called with t.mu held.
+// checkAll checks the conditions of all actions and returns an error if any fails.
+// t.mu must be held.
 func (t *Table) checkAll(actions []action) *failure {
 	reasons := make([]reason, len(actions))
 	failed := false
@@ -291,20 +295,20 @@
 	return cancelled(reasons)
 }
 
-// check is called with t.mu held.
+// check checks the condition of one action. t.mu must be held.
 func (t *Table) check(a action) reason {
-	standing := t.rows.items[a.key]
-	if a.when.holds(standing) {
+	existing := t.rows.items[a.key]
+	if a.condition.holds(existing) {
 		return reason{Code: reasonNone}
 	}
 	failed := reason{Code: reasonConditionFail, Message: "The conditional request failed"}
-	if a.tellOld {
-		failed.Item = standing
+	if a.returnOld {
+		failed.Item = existing
 	}
 	return failed
 }
 
-// apply is called with t.mu held.
+// apply performs an action whose condition has been checked. t.mu must be held.
 func (t *Table) apply(a action) {
 	switch {
 	case a.checkOnly:
