--- a/internal/standin/objects/chunked.go
+++ b/internal/standin/objects/chunked.go
@@ -9,45 +9,46 @@
 )
 
 // chunkReader decodes the aws-chunked encoding, "size;signature CRLF bytes
-// CRLF", and leaves signatures and trailers unread.
+// CRLF". It ignores signatures and trailers.
 type chunkReader struct {
-	lines *bufio.Reader
-	left  int64
-	ended bool
+	reader    *bufio.Reader
+	remaining int64
+	done      bool
 }
 
-var errChunk = errors.New("objects: malformed chunk")
+var errMalformedChunk = errors.New("objects: malformed chunk")
 
-// Read is io.Reader's.
+// Read implements io.Reader.
 func (c *chunkReader) Read(p []byte) (int, error) {
-	if c.ended {
+	if c.done {
 		return 0, io.EOF
 	}
-	if c.left == 0 {
-		if err := c.header(); err != nil {
+	if c.remaining == 0 {
+		if err := c.readHeader(); err != nil {
 			return 0, err
 		}
 		return 0, nil
 	}
-	n, err := c.lines.Read(p[:min(int64(len(p)), c.left)])
-	c.left -= int64(n)
-	if c.left == 0 && err == nil {
-		_, err = c.lines.Discard(len("\r\n"))
+	n, err := c.reader.Read(p[:min(int64(len(p)), c.remaining)])
+	c.remaining -= int64(n)
+	if c.remaining == 0 && err == nil {
+		_, err = c.reader.Discard(len("\r\n"))
 	}
 	return n, err
 }
 
-func (c *chunkReader) header() error {
-	line, err := c.lines.ReadString('\n')
+// readHeader reads the line that starts a chunk. The last chunk has size 0.
+func (c *chunkReader) readHeader() error {
+	line, err := c.reader.ReadString('\n')
 	if err != nil {
 		return err
 	}
 	size, _, _ := strings.Cut(strings.TrimSpace(line), ";")
-	left, err := strconv.ParseInt(size, 16, 64)
-	if err != nil || left < 0 {
-		return errChunk
+	remaining, err := strconv.ParseInt(size, 16, 64)
+	if err != nil || remaining < 0 {
+		return errMalformedChunk
 	}
-	c.left = left
-	c.ended = left == 0
+	c.remaining = remaining
+	c.done = remaining == 0
 	return nil
 }
--- a/internal/standin/objects/objects.go
+++ b/internal/standin/objects/objects.go
@@ -1,11 +1,11 @@
 // Package objects emulates the platform's object store: GET, HEAD, PUT and
-// DELETE of whole objects in the S3 path style.
+// DELETE of whole objects with S3 path-style addresses.
 package objects
 
 import (
 	"bufio"
 	"bytes"
-	"crypto/md5" // an ETag of this protocol is an MD5, not a protection
+	"crypto/md5" // S3 ETags are MD5 sums; they aren't used for security
 	"encoding/base64"
 	"encoding/binary"
 	"encoding/hex"
@@ -23,25 +23,25 @@
 )
 
 const (
-	// Bucket is the one bucket's name.
-	Bucket    = "vanillagate"
-	maxObject = 64 << 20
+	// Bucket is the name of the only bucket.
+	Bucket         = "vanillagate"
+	maxObjectBytes = 64 << 20
 )
 
-// Store holds the objects. Use New.
+// Store holds the objects in memory. Create it with New.
 type Store struct {
 	faults  *fault.Set
 	latency time.Duration
 
-	mu      sync.Mutex // guards objects; a leaf
+	mu      sync.Mutex // guards objects; no other lock is taken while it is held
 	objects map[string]object
 }
 
 type object struct {
-	body []byte
-	etag string
-	crc  string // base64 of the big-endian CRC-32
-	at   time.Time
+	body     []byte
+	etag     string
+	crc      string // base64 of the big-endian CRC-32
+	modified time.Time
 }
 
 const headerCRC = "X-Amz-Checksum-Crc32"
@@ -50,20 +50,20 @@
 	sum := md5.Sum(body)
 	crc := binary.BigEndian.AppendUint32(nil, crc32.ChecksumIEEE(body))
 	return object{
-		body: body,
-		etag: `"` + hex.EncodeToString(sum[:]) + `"`,
-		crc:  base64.StdEncoding.EncodeToString(crc),
-		at:   time.Now(),
+		body:     body,
+		etag:     `"` + hex.EncodeToString(sum[:]) + `"`,
+		crc:      base64.StdEncoding.EncodeToString(crc),
+		modified: time.Now(),
 	}
 }
 
-// New builds an empty store whose calls take the latency.
+// New returns an empty store. Each call takes the given latency.
 func New(faults *fault.Set, latency time.Duration) *Store {
 	return &Store{faults: faults, latency: latency, objects: map[string]object{}}
 }
 
-// problemXML is the protocol's error answer.
-type problemXML struct {
+// errorXML is the protocol's error response.
+type errorXML struct {
 	XMLName xml.Name `xml:"Error"`
 	Code    string   `xml:"Code"`
 	Message string   `xml:"Message"`
@@ -73,18 +73,18 @@
 }
 
 var (
-	errNoKey        = &problemXML{Code: "NoSuchKey", Message: "The specified key does not exist.", status: 404}
-	errNoBucket     = &problemXML{Code: "NoSuchBucket", Message: "The specified bucket does not exist.", status: 404}
-	errPrecondition = &problemXML{Code: "PreconditionFailed", Message: "At least one of the pre-conditions you specified did not hold", status: 412}
-	errNotModified  = &problemXML{Code: "NotModified", status: 304}
-	errTooLarge     = &problemXML{Code: "EntityTooLarge", Message: "Your proposed upload exceeds the maximum allowed size", status: 400}
-	errIncomplete   = &problemXML{Code: "IncompleteBody", Message: "The body could not be read", status: 400}
-	errDigest       = &problemXML{Code: "BadDigest", Message: "The checksum you specified did not match what we received.", status: 400}
-	errMethod       = &problemXML{Code: "MethodNotAllowed", Message: "The specified method is not allowed against this resource.", status: 405}
-	errSlowDown     = &problemXML{Code: "SlowDown", Message: "Please reduce your request rate.", status: 503}
+	errNoKey        = &errorXML{Code: "NoSuchKey", Message: "The specified key does not exist.", status: 404}
+	errNoBucket     = &errorXML{Code: "NoSuchBucket", Message: "The specified bucket does not exist.", status: 404}
+	errPrecondition = &errorXML{Code: "PreconditionFailed", Message: "At least one of the pre-conditions you specified did not hold", status: 412}
+	errNotModified  = &errorXML{Code: "NotModified", status: 304}
+	errTooLarge     = &errorXML{Code: "EntityTooLarge", Message: "Your proposed upload exceeds the maximum allowed size", status: 400}
+	errIncomplete   = &errorXML{Code: "IncompleteBody", Message: "The body could not be read", status: 400}
+	errDigest       = &errorXML{Code: "BadDigest", Message: "The checksum you specified did not match what we received.", status: 400}
+	errMethod       = &errorXML{Code: "MethodNotAllowed", Message: "The specified method is not allowed against this resource.", status: 405}
+	errSlowDown     = &errorXML{Code: "SlowDown", Message: "Please reduce your request rate.", status: 503}
 )
 
-// ServeHTTP answers one call.
+// ServeHTTP handles one API call, with the faults that are set for the store.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f := s.faults.Combined(fault.ScopeObjects)
 	if f.Refuse {
@@ -92,7 +92,7 @@
 		return
 	}
 	outage.Wait(f, s.latency)
-	found, problem := s.call(r)
+	found, problem := s.dispatch(r)
 	if s.faults.Sample(f.LoseAnswerShare) {
 		outage.Abort()
 	}
@@ -103,7 +103,7 @@
 	writeObject(w, r, found)
 }
 
-func (s *Store) call(r *http.Request) (object, *problemXML) {
+func (s *Store) dispatch(r *http.Request) (object, *errorXML) {
 	bucket, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	if bucket != Bucket {
 		return object{}, errNoBucket
@@ -122,7 +122,7 @@
 	return object{}, errMethod
 }
 
-func (s *Store) get(name string, h http.Header) (object, *problemXML) {
+func (s *Store) get(name string, h http.Header) (object, *errorXML) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	found, exists := s.objects[name]
@@ -138,51 +138,52 @@
 	return found, nil
 }
 
-func (s *Store) put(name string, r *http.Request) (object, *problemXML) {
+func (s *Store) put(name string, r *http.Request) (object, *errorXML) {
 	body, problem := readBody(r)
 	if problem != nil {
 		return object{}, problem
 	}
 	stored := newObject(body)
-	if told := r.Header.Get(headerCRC); told != "" && told != stored.crc {
+	if declared := r.Header.Get(headerCRC); declared != "" && declared != stored.crc {
 		return object{}, errDigest
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	standing, exists := s.objects[name]
+	existing, exists := s.objects[name]
 	if m := r.Header.Get("If-Match"); m != "" && !exists {
 		return object{}, errNoKey
-	} else if m != "" && !matches(m, standing, exists) {
+	} else if m != "" && !matches(m, existing, exists) {
 		return object{}, errPrecondition
 	}
-	if m := r.Header.Get("If-None-Match"); m != "" && matches(m, standing, exists) {
+	if m := r.Header.Get("If-None-Match"); m != "" && matches(m, existing, exists) {
 		return object{}, errPrecondition
 	}
 	s.objects[name] = stored
 	return object{etag: stored.etag, crc: stored.crc}, nil
 }
 
-func (s *Store) remove(name string) (object, *problemXML) {
+func (s *Store) remove(name string) (object, *errorXML) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.objects, name)
 	return object{}, nil
 }
 
+// matches tells whether the object exists and has the wanted ETag, or any for "*".
 func matches(wanted string, o object, exists bool) bool {
 	return exists && (wanted == "*" || strings.Trim(wanted, `"`) == strings.Trim(o.etag, `"`))
 }
 
-func readBody(r *http.Request) ([]byte, *problemXML) {
-	var from io.Reader = io.LimitReader(r.Body, maxObject+1)
+func readBody(r *http.Request) ([]byte, *errorXML) {
+	var source io.Reader = io.LimitReader(r.Body, maxObjectBytes+1)
 	if strings.Contains(r.Header.Get("Content-Encoding"), "aws-chunked") {
-		from = &chunkReader{lines: bufio.NewReader(from)}
+		source = &chunkReader{reader: bufio.NewReader(source)}
 	}
-	body, err := io.ReadAll(from)
+	body, err := io.ReadAll(source)
 	if err != nil {
 		return nil, errIncomplete
 	}
-	if len(body) > maxObject {
+	if len(body) > maxObjectBytes {
 		return nil, errTooLarge
 	}
 	return body, nil
@@ -201,14 +202,14 @@
 	case http.MethodPut:
 		w.WriteHeader(http.StatusOK)
 	default:
-		w.Header().Set("Last-Modified", o.at.UTC().Format(http.TimeFormat))
+		w.Header().Set("Last-Modified", o.modified.UTC().Format(http.TimeFormat))
 		w.Header().Set("Content-Type", "application/octet-stream")
 		w.Header().Set("Content-Length", strconv.Itoa(len(o.body)))
 		_, _ = io.Copy(w, bytes.NewReader(o.body))
 	}
 }
 
-func writeError(w http.ResponseWriter, r *http.Request, p *problemXML) {
+func writeError(w http.ResponseWriter, r *http.Request, p *errorXML) {
 	w.Header().Set("Content-Type", "application/xml")
 	w.WriteHeader(p.status)
 	if r.Method == http.MethodHead || p.status == http.StatusNotModified {
@@ -216,7 +217,7 @@
 	}
 	raw, err := xml.Marshal(p)
 	if err != nil {
-		panic(err) // our own type can always be encoded
+		panic(err) // unreachable: the type can be encoded
 	}
 	_, _ = w.Write(append([]byte(xml.Header), raw...))
 }
--- a/internal/standin/objects/sdk_test.go
+++ b/internal/standin/objects/sdk_test.go
@@ -56,7 +56,7 @@
 	return string(body), err
 }
 
-func code(err error) string {
+func errorCode(err error) string {
 	var api smithy.APIError
 	if errors.As(err, &api) {
 		return api.ErrorCode()
@@ -64,7 +64,7 @@
 	return ""
 }
 
-func TestObjectsAreKeptWhole(t *testing.T) {
+func TestPutAndGetObject(t *testing.T) {
 	c, _ := open(t)
 	_, err := get(c, "snapshots/1")
 	var noKey *types.NoSuchKey
@@ -84,18 +84,18 @@
 	first, err := put(c, "a", "1", "", "*")
 	assert.NilError(t, err)
 	_, err = put(c, "a", "2", "", "*")
-	assert.Equal(t, code(err), "PreconditionFailed")
+	assert.Equal(t, errorCode(err), "PreconditionFailed")
 	_, err = put(c, "a", "2", *first.ETag, "")
 	assert.NilError(t, err)
 	_, err = put(c, "a", "3", *first.ETag, "")
-	assert.Equal(t, code(err), "PreconditionFailed")
+	assert.Equal(t, errorCode(err), "PreconditionFailed")
 	body, err := get(c, "a")
 	assert.NilError(t, err)
 	assert.Equal(t, body, "2")
 }
 
-// The store takes an object and the answer is lost: the writer sees an error
-// though the object is there.
+// The response to a PUT is lost after the object was stored: the client gets an
+// error although the object exists.
 func TestLostAnswer(t *testing.T) {
 	c, faults := open(t)
 	faults.Put(fault.ScopeObjects, fault.Fault{LoseAnswerShare: 1})
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -1,6 +1,6 @@
-// Package vmlist emulates the platform's VM list in the form of the
-// Prometheus HTTP service discovery. What it serves is old: it shows the truth
-// as it was a while ago.
+// Package vmlist emulates the platform's VM list, in the format of Prometheus HTTP
+// service discovery. The served list lags: changes appear in it only
+// after a configured delay.
 package vmlist
 
 import (
@@ -18,14 +18,14 @@
 	"github.com/vanillagate/vanillagate/internal/standin/outage"
 )
 
-// States of a row. A VM that is set to StateGone leaves the list.
+// States of a VM. Setting StateGone removes the VM from the list.
 const (
 	StateLive    = "live"
 	StateLeaving = "leaving"
 	StateGone    = "gone"
 )
 
-// Labels describe one VM.
+// Labels describes a VM.
 type Labels struct {
 	Role        string `json:"role"`
 	Pool        string `json:"pool,omitempty"`
@@ -35,21 +35,23 @@
 	PeerAddress string `json:"peer_address,omitempty"`
 }
 
-// Row is one group of the list; ours hold one address each.
+// Row is a target group of the service discovery format. This list puts one address
+// in each.
 type Row struct {
 	Targets []string `json:"targets"`
 	Labels  Labels   `json:"labels"`
 }
 
-// List is the VM list. Use New.
+// List is an emulated VM list. Create it with New.
 type List struct {
 	faults *fault.Set
 	rows   *history.DelayedValue[[]Row]
 
-	mu sync.Mutex // orders changes of the truth; taken before the history's
+	mu sync.Mutex // serializes changes of rows; taken before the lock of rows
 }
 
-// New builds a list that first shows the rows without any lag.
+// New returns a list that serves the initial rows at once, and later changes after
+// the lag.
 func New(faults *fault.Set, lag time.Duration, rows []Row) *List {
 	return &List{faults: faults, rows: history.New(lag, 0, rows)}
 }
@@ -57,33 +59,33 @@
 // Latest is the list without its lag.
 func (l *List) Latest() []Row { return l.rows.Latest() }
 
-// Replace sets the truth.
+// Replace sets the rows, which are served after the lag.
 func (l *List) Replace(rows []Row) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rows.Set(time.Now(), rows)
 }
 
-// SetState changes the state of one VM; false if there is none of the
-// address.
+// SetState changes the state of the VM with the given address. It returns false if
+// there is none.
 func (l *List) SetState(address, state string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	rows := slices.Clone(l.rows.Latest())
-	at := slices.IndexFunc(rows, func(r Row) bool { return slices.Contains(r.Targets, address) })
-	if at < 0 {
+	index := slices.IndexFunc(rows, func(r Row) bool { return slices.Contains(r.Targets, address) })
+	if index < 0 {
 		return false
 	}
 	if state == StateGone {
-		rows = slices.Delete(rows, at, at+1)
+		rows = slices.Delete(rows, index, index+1)
 	} else {
-		rows[at].Labels.State = state
+		rows[index].Labels.State = state
 	}
 	l.rows.Set(time.Now(), rows)
 	return true
 }
 
-// ServeHTTP answers with what is seen now.
+// ServeHTTP serves the rows as they were before the lag.
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f := l.faults.Combined(fault.ScopeVMList)
 	if f.Refuse {
@@ -96,11 +98,11 @@
 	}
 	raw, err := json.Marshal(l.rows.Delayed(time.Now()))
 	if err != nil {
-		panic(err) // our own type can always be encoded
+		panic(err) // unreachable: the type can be encoded
 	}
-	tag := tagOf(raw)
-	w.Header().Set("ETag", tag)
-	if r.Header.Get("If-None-Match") == tag {
+	etag := etagOf(raw)
+	w.Header().Set("ETag", etag)
+	if r.Header.Get("If-None-Match") == etag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
@@ -108,8 +110,8 @@
 	_, _ = w.Write(raw)
 }
 
-// tagOf is the entity tag of what is served.
-func tagOf(raw []byte) string {
+// etagOf returns the ETag of a response body.
+func etagOf(raw []byte) string {
 	sum := sha256.Sum256(raw)
 	return strconv.Quote(hex.EncodeToString(sum[:8]))
 }
