--- a/internal/standin/fleet/control.go
+++ b/internal/standin/fleet/control.go
@@ -13,7 +13,7 @@
 	"github.com/vanillagate/vanillagate/internal/standin/vmlist"
 )
 
-// FaultRequest is the body of PUT /faults: it replaces the scope's fault.
+// FaultRequest is the body of PUT /faults, which replaces the fault of a scope.
 type FaultRequest struct {
 	// Scope is "table", "objects", "vm_list", "pool:NAME" or "target:IP:PORT".
 	Scope string      `json:"scope"`
@@ -27,7 +27,7 @@
 	State string `json:"state"`
 }
 
-// Counts answers GET /counts.
+// Counts is the response body of GET /counts.
 type Counts struct {
 	Executions []count.Execution `json:"executions"`
 }
@@ -49,16 +49,16 @@
 }
 
 func (f *Fleet) getCounts(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, Counts{Executions: f.ledger.Executions()})
+	writeJSON(w, Counts{Executions: f.executionLog.Executions()})
 }
 
 func (f *Fleet) resetCounts(w http.ResponseWriter, _ *http.Request) {
-	f.ledger.Reset()
+	f.executionLog.Reset()
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (f *Fleet) getSummary(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, f.ledger.Summary())
+	writeJSON(w, f.executionLog.Summary())
 }
 
 func (f *Fleet) getFaults(w http.ResponseWriter, _ *http.Request) {
@@ -66,21 +66,22 @@
 }
 
 func (f *Fleet) putFault(w http.ResponseWriter, r *http.Request) {
-	var order FaultRequest
-	if !decode(w, r, &order) {
+	var request FaultRequest
+	if !decode(w, r, &request) {
 		return
 	}
-	if !f.knows(order.Scope) {
-		writeProblem(w, http.StatusNotFound, "This process has no such scope: "+order.Scope)
+	if !f.hasScope(request.Scope) {
+		writeProblem(w, http.StatusNotFound, "This process has no such scope: "+request.Scope)
 		return
 	}
-	f.faults.Put(order.Scope, order.Fault)
-	f.log.Info("fault replaced", zap.String("scope", order.Scope), zap.Any("fault", order.Fault))
+	f.faults.Put(request.Scope, request.Fault)
+	f.log.Info("fault replaced", zap.String("scope", request.Scope), zap.Any("fault", request.Fault))
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// knows keeps a misspelt scope from passing as a fault that does nothing.
-func (f *Fleet) knows(scope string) bool {
+// hasScope tells whether this process hosts the scope. A misspelled scope is
+// rejected, since its fault would silently have no effect.
+func (f *Fleet) hasScope(scope string) bool {
 	switch scope {
 	case fault.ScopeTable, fault.ScopeObjects, fault.ScopeVMList:
 		return f.vms != nil
@@ -116,17 +117,17 @@
 }
 
 func (f *Fleet) postState(w http.ResponseWriter, r *http.Request) {
-	var order StateRequest
-	if !decode(w, r, &order) {
+	var request StateRequest
+	if !decode(w, r, &request) {
 		return
 	}
 	states := []string{vmlist.StateLive, vmlist.StateLeaving, vmlist.StateGone}
-	if !contains(states, order.State) {
+	if !contains(states, request.State) {
 		writeProblem(w, http.StatusBadRequest, "state must be one of "+strings.Join(states, ", "))
 		return
 	}
-	if !f.vms.SetState(order.Address, order.State) {
-		writeProblem(w, http.StatusNotFound, "No VM has the address "+order.Address)
+	if !f.vms.SetState(request.Address, request.State) {
+		writeProblem(w, http.StatusNotFound, "No VM has the address "+request.Address)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -155,10 +156,10 @@
 	w.Header().Set("Content-Type", problem.ContentType)
 	w.WriteHeader(status)
 	p := problem.New(status, "control", http.StatusText(status), detail, problem.NotRun)
-	_ = json.NewEncoder(w).Encode(p) // a caller that is gone sees to itself
+	_ = json.NewEncoder(w).Encode(p) // fails only if the client has disconnected
 }
 
 func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(body) // a caller that is gone sees to itself
+	_ = json.NewEncoder(w).Encode(body) // fails only if the client has disconnected
 }
--- a/internal/standin/fleet/file.go
+++ b/internal/standin/fleet/file.go
@@ -1,5 +1,5 @@
-// Package fleet hosts a whole emulated deployment, or parts of it, in one
-// process as a fleet file describes it.
+// Package fleet runs the emulated deployment that a fleet file describes, or parts
+// of it, in one process.
 package fleet
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/vanillagate/vanillagate/internal/standin/stagepool"
 )
 
-// defaultRegion is the region of rows that name none.
+// defaultRegion is the region of entries and pools that name none.
 const defaultRegion = "r1"
 
 // File describes a deployment. Addresses are IP:port; port 0 is allowed and
@@ -27,26 +27,26 @@
 	Table   string `json:"table"`
 	Objects string `json:"objects"`
 	VMList  string `json:"vm_list"`
-	// VMListLagMS is how old the served VM list is.
+	// VMListLagMS is the delay after which a change appears in the served VM list.
 	VMListLagMS int    `json:"vm_list_lag_ms"`
 	Control     string `json:"control"`
-	// TableWritesPerSecond and TableReadsPerSecond bound the table; zero means
-	// 400 and 2000.
+	// TableWritesPerSecond and TableReadsPerSecond limit the table's throughput;
+	// zero means 400 and 2000.
 	TableWritesPerSecond float64 `json:"table_writes_per_second"`
 	TableReadsPerSecond  float64 `json:"table_reads_per_second"`
-	// TableRateByItem counts each row of a transaction against the rate; else
-	// a transaction counts as one write.
+	// TableRateByItem counts each row of a transaction as one write. Otherwise the
+	// whole transaction counts as one write.
 	TableRateByItem bool `json:"table_rate_by_item"`
-	// StoreLatencyMS is what a call of the table or object store takes.
+	// StoreLatencyMS is the duration of a call to the table or the object store.
 	StoreLatencyMS int `json:"store_latency_ms"`
-	// WeightLoads is how many models and adapters are loaded from the weight
-	// store at once; zero means 2.
+	// WeightLoads is the number of models and adapters that can be loaded from the
+	// weight store concurrently; zero means 2.
 	WeightLoads int     `json:"weight_loads"`
 	Entries     []Entry `json:"entries"`
 	Pools       []Pool  `json:"pools"`
 }
 
-// Entry is an entry VM that stands in the VM list from the start.
+// Entry is an entry VM that is in the VM list from the start.
 type Entry struct {
 	Address     string `json:"address"`
 	PeerAddress string `json:"peer_address"`
@@ -54,7 +54,7 @@
 	Region      string `json:"region"`
 }
 
-// Pool is a pool of targets at successive ports, whose zones are given in turn.
+// Pool is a pool of targets on consecutive ports. The zones are assigned round-robin.
 type Pool struct {
 	Pool         string            `json:"pool"`
 	Kind         config.TargetKind `json:"kind"`
@@ -65,14 +65,14 @@
 	Count        int               `json:"count"`
 	Zones        []string          `json:"zones"`
 	Region       string            `json:"region"`
-	// ChecksFencing has the targets refuse old fencing tokens.
+	// ChecksFencing makes the targets refuse outdated fencing tokens.
 	ChecksFencing bool            `json:"checks_fencing"`
 	Engine        engine.Costs    `json:"engine"`
 	Service       stagepool.Costs `json:"service"`
 }
 
-// ReadFile reads and checks a fleet file. A field that isn't known is an
-// error: a misspelt one would otherwise be left at its default unnoticed.
+// ReadFile reads and validates a fleet file. An unknown field is an error, since a
+// misspelled field would otherwise silently keep its default.
 func ReadFile(path string) (File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -87,10 +87,10 @@
 	return f, f.Check()
 }
 
-// maxMillis bounds lags and latencies: an hour.
+// maxMillis is the maximum of lags and latencies: one hour.
 const maxMillis = 3_600_000
 
-// Check names everything that is wrong with the file at once.
+// Check returns an error that lists all invalid fields of the file.
 func (f File) Check() error {
 	var c settings.Checker
 	c.Address("file:table", f.Table)
@@ -127,33 +127,33 @@
 	}
 }
 
-// address is that of the target with the given place in the pool.
-func (p Pool) address(place int) string {
+// address returns the address of the target with the given index in the pool.
+func (p Pool) address(index int) string {
 	first, err := netip.ParseAddrPort(p.FirstAddress)
 	if err != nil {
-		panic(err) // Check let it pass
+		panic(err) // unreachable: Check has validated the address
 	}
 	if first.Port() == 0 {
 		return p.FirstAddress
 	}
-	return netip.AddrPortFrom(first.Addr(), first.Port()+uint16(place)).String()
+	return netip.AddrPortFrom(first.Addr(), first.Port()+uint16(index)).String()
 }
 
-func (p Pool) zone(place int) string { return p.Zones[place%len(p.Zones)] }
+func (p Pool) zone(index int) string { return p.Zones[index%len(p.Zones)] }
 
-func regionOr(region string) string {
+func regionOrDefault(region string) string {
 	if region == "" {
 		return defaultRegion
 	}
 	return region
 }
 
-// seedFor gives each target its own dice.
-func (f File) seedFor(pool, place int) uint64 {
-	return f.Seed*1_000_003 + uint64(pool)*1_009 + uint64(place)
+// seedFor derives a different random seed for each target.
+func (f File) seedFor(pool, index int) uint64 {
+	return f.Seed*1_000_003 + uint64(pool)*1_009 + uint64(index)
 }
 
-func (p Pool) name(place int) string { return p.Pool + "-" + strconv.Itoa(place) }
+func (p Pool) name(index int) string { return p.Pool + "-" + strconv.Itoa(index) }
 
 const defaultWeightLoads = 2
 
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -23,7 +23,7 @@
 	"github.com/vanillagate/vanillagate/internal/standin/vmlist"
 )
 
-// Parts says what of the file a process hosts.
+// Parts selects the parts of the file that a process hosts.
 type Parts struct {
 	Platform bool
 	Targets  bool
@@ -33,18 +33,18 @@
 	Addresses []string
 }
 
-// Fleet is a running deployment. Use Open.
+// Fleet is a running deployment. Create it with Open.
 type Fleet struct {
-	// Where the parts listen; empty where a part isn't hosted.
+	// Addresses of the listeners; empty if the part isn't hosted.
 	Table, Objects, VMList, Control string
-	// Targets are the listening targets by pool.
+	// Targets holds the addresses of the hosted targets by pool.
 	Targets map[string][]string
 
-	log    *zap.Logger
-	faults *fault.Set
-	ledger *count.ExecutionLog
-	table  *table.Table
-	vms    *vmlist.List
+	log          *zap.Logger
+	faults       *fault.Set
+	executionLog *count.ExecutionLog
+	table        *table.Table
+	vms          *vmlist.List
 
 	weights *engine.WeightStore
 	cancel  context.CancelFunc
@@ -52,16 +52,17 @@
 	stops   []func() error
 }
 
-// Open starts the parts of the file. On an error nothing is left running.
+// Open starts the selected parts of the file. If it returns an error, everything
+// that it started has been stopped.
 func Open(f File, parts Parts, log *zap.Logger) (*Fleet, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	fleet := &Fleet{
-		Targets: map[string][]string{},
-		log:     log,
-		faults:  fault.NewSet(f.Seed),
-		ledger:  &count.ExecutionLog{},
-		weights: engine.NewWeightStore(f.weightLoads()),
-		cancel:  cancel,
+		Targets:      map[string][]string{},
+		log:          log,
+		faults:       fault.NewSet(f.Seed),
+		executionLog: &count.ExecutionLog{},
+		weights:      engine.NewWeightStore(f.weightLoads()),
+		cancel:       cancel,
 	}
 	if err := fleet.open(ctx, f, parts); err != nil {
 		return nil, errors.Join(err, fleet.Stop())
@@ -97,7 +98,8 @@
 	return g, nil
 }
 
-// listenWithFaults closes the listener while the scope's fault says down.
+// listenWithFaults starts a listener that is closed while the scope's fault has
+// Down set.
 func (f *Fleet) listenWithFaults(address, scope string, handler http.Handler) (string, error) {
 	g, err := f.listen(address, handler)
 	if err != nil {
@@ -114,7 +116,7 @@
 		ReadsPerSecond:  file.TableReadsPerSecond,
 		ByItem:          file.TableRateByItem,
 	})
-	f.vms = vmlist.New(f.faults, time.Duration(file.VMListLagMS)*time.Millisecond, f.rows(file))
+	f.vms = vmlist.New(f.faults, time.Duration(file.VMListLagMS)*time.Millisecond, f.initialVMRows(file))
 	var err error
 	handler := table.Handler{Table: f.table, Faults: f.faults, Latency: latency}
 	if f.Table, err = f.listenWithFaults(file.Table, fault.ScopeTable, handler); err != nil {
@@ -127,23 +129,24 @@
 	return err
 }
 
-// rows is the first truth of the VM list. Targets that this process hosts
-// stand with the address that they really have.
-func (f *Fleet) rows(file File) []vmlist.Row {
+// initialVMRows returns the initial rows of the VM list. If this process hosts all
+// targets of a pool, their actual addresses are used, since port 0 in the file
+// stands for any free port.
+func (f *Fleet) initialVMRows(file File) []vmlist.Row {
 	rows := []vmlist.Row{}
 	for _, e := range file.Entries {
 		rows = append(rows, vmlist.Row{Targets: []string{e.Address}, Labels: vmlist.Labels{
-			Role: "entry", Zone: e.Zone, Region: regionOr(e.Region), State: vmlist.StateLive, PeerAddress: e.PeerAddress,
+			Role: "entry", Zone: e.Zone, Region: regionOrDefault(e.Region), State: vmlist.StateLive, PeerAddress: e.PeerAddress,
 		}})
 	}
 	for _, p := range file.Pools {
-		for place := range p.Count {
-			address := p.address(place)
+		for index := range p.Count {
+			address := p.address(index)
 			if hosted := f.Targets[p.Pool]; len(hosted) == p.Count {
-				address = hosted[place]
+				address = hosted[index]
 			}
 			rows = append(rows, vmlist.Row{Targets: []string{address}, Labels: vmlist.Labels{
-				Role: "target", Pool: p.Pool, Zone: p.zone(place), Region: regionOr(p.Region), State: vmlist.StateLive,
+				Role: "target", Pool: p.Pool, Zone: p.zone(index), Region: regionOrDefault(p.Region), State: vmlist.StateLive,
 			}})
 		}
 	}
@@ -151,16 +154,16 @@
 }
 
 func (f *Fleet) openPools(ctx context.Context, file File, parts Parts) error {
-	for number, p := range file.Pools {
+	for poolIndex, p := range file.Pools {
 		if len(parts.Pools) > 0 && !slices.Contains(parts.Pools, p.Pool) {
 			continue
 		}
 		shared := service.NewSharedState(p.ChecksFencing)
-		for place := range p.Count {
-			if len(parts.Addresses) > 0 && !slices.Contains(parts.Addresses, p.address(place)) {
+		for index := range p.Count {
+			if len(parts.Addresses) > 0 && !slices.Contains(parts.Addresses, p.address(index)) {
 				continue
 			}
-			if err := f.openTarget(ctx, p, place, file.seedFor(number, place), shared); err != nil {
+			if err := f.openTarget(ctx, p, index, file.seedFor(poolIndex, index), shared); err != nil {
 				return err
 			}
 		}
@@ -168,15 +171,15 @@
 	return nil
 }
 
-func (f *Fleet) openTarget(ctx context.Context, p Pool, place int, seed uint64, shared *service.SharedState) error {
-	var address string // set before any call can come, below
+func (f *Fleet) openTarget(ctx context.Context, p Pool, index int, seed uint64, shared *service.SharedState) error {
+	var address string // set before ready is closed
 	ready := make(chan struct{})
-	straggle := func() float64 {
+	straggleFactor := func() float64 {
 		<-ready
 		return target.StraggleFactor(f.faults, p.Pool, address)
 	}
-	work := f.work(ctx, p, seed, straggle, shared)
-	t, err := target.Open(target.Config{Address: p.address(place), Pool: p.Pool, Faults: f.faults, ExecutionLog: f.ledger}, work)
+	handler := f.newHandler(ctx, p, seed, straggleFactor, shared)
+	t, err := target.Open(target.Config{Address: p.address(index), Pool: p.Pool, Faults: f.faults, ExecutionLog: f.executionLog}, handler)
 	if err != nil {
 		close(ready)
 		return err
@@ -185,25 +188,25 @@
 	close(ready)
 	f.stops = append(f.stops, t.Stop)
 	f.Targets[p.Pool] = append(f.Targets[p.Pool], address)
-	f.log.Debug("target listens", zap.String("target", p.name(place)), zap.String("address", address))
+	f.log.Debug("target listens", zap.String("target", p.name(index)), zap.String("address", address))
 	return nil
 }
 
-// work builds what the pool's targets are. An engine's loop runs until ctx
-// ends.
-func (f *Fleet) work(ctx context.Context, p Pool, seed uint64, straggle func() float64, shared *service.SharedState) target.Handler {
+// newHandler returns the request handler of a target of the pool. For an engine, it
+// also starts the engine's loop, which runs until ctx ends.
+func (f *Fleet) newHandler(ctx context.Context, p Pool, seed uint64, straggleFactor func() float64, shared *service.SharedState) target.Handler {
 	if p.Kind == config.TargetEngine {
 		e := engine.New(engine.Config{
-			Costs:    p.Engine,
-			Serving:  engine.Serving{Model: p.Model, Version: p.Version, Role: p.Role},
-			Seed:     seed,
-			StraggleFactor: straggle,
-			Weights:  f.weights,
+			Costs:          p.Engine,
+			Serving:        engine.Serving{Model: p.Model, Version: p.Version, Role: p.Role},
+			Seed:           seed,
+			StraggleFactor: straggleFactor,
+			Weights:        f.weights,
 		})
 		f.engines.Go(func() { e.Run(ctx) })
 		return engine.Handler{Engine: e, Fence: target.NewFence(p.ChecksFencing)}
 	}
-	server := stagepool.NewServer(p.Service, seed, straggle)
+	server := stagepool.NewServer(p.Service, seed, straggleFactor)
 	switch p.Kind {
 	case config.TargetEncoder:
 		return stagepool.Encoder{Server: server}
@@ -211,12 +214,12 @@
 		return stagepool.Retriever{Server: server}
 	case config.TargetReranker:
 		return stagepool.Reranker{Server: server}
-	default: // Check let only services remain
+	default: // service: Check accepts no other kind
 		return service.Handler{Name: p.Pool, Server: server, Shared: shared}
 	}
 }
 
-// Stop lets running calls finish and ends everything.
+// Stop waits for running calls, then stops all listeners and engines.
 func (f *Fleet) Stop() error {
 	errs := make([]error, len(f.stops))
 	var all sync.WaitGroup
--- a/internal/standin/fleet/fleet_test.go
+++ b/internal/standin/fleet/fleet_test.go
@@ -28,7 +28,8 @@
 
 const anyPort = "127.0.0.1:0"
 
-// client keeps no connections, so that each call sees the listener as it is.
+// client doesn't reuse connections, so that each call depends on the current state
+// of the listener.
 var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 func start(t *testing.T, change func(*File)) *Fleet {
@@ -58,9 +59,9 @@
 	return f
 }
 
-type header map[string]string
+type headers map[string]string
 
-func do(ctx context.Context, method, url string, body any, h header) (*http.Response, error) {
+func do(ctx context.Context, method, url string, body any, h headers) (*http.Response, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
@@ -75,7 +76,7 @@
 	return client.Do(r)
 }
 
-func call[T any](t *testing.T, method, url string, body any, h header) (int, T) {
+func call[T any](t *testing.T, method, url string, body any, h headers) (int, T) {
 	t.Helper()
 	var answer T
 	response, err := do(context.Background(), method, url, body, h)
@@ -95,7 +96,7 @@
 	assert.Equal(t, status, http.StatusNoContent)
 }
 
-func (f *Fleet) counted(t *testing.T) []count.Execution {
+func (f *Fleet) executions(t *testing.T) []count.Execution {
 	t.Helper()
 	_, counts := call[Counts](t, "GET", "http://"+f.Control+"/counts", nil, nil)
 	return counts.Executions
@@ -115,8 +116,8 @@
 	return "http://" + f.Targets["llm"][target] + targetapi.PathCompletions
 }
 
-// words reads a stream to its end; whole says that it ended as it should.
-func words(t *testing.T, url string, r targetapi.CompletionRequest) (text string, whole bool) {
+// readStream reads a stream to its end; whole tells whether it ended with [DONE].
+func readStream(t *testing.T, url string, r targetapi.CompletionRequest) (text string, whole bool) {
 	t.Helper()
 	r.Stream = true
 	response, err := do(context.Background(), "POST", url, r, nil)
@@ -140,7 +141,7 @@
 func TestFourStages(t *testing.T) {
 	f := start(t, nil)
 	at := func(pool, path string) string { return "http://" + f.Targets[pool][0] + path }
-	h := header{targetapi.HeaderRequestID: "r/s/1", targetapi.HeaderCustomer: "granite"}
+	h := headers{targetapi.HeaderRequestID: "r/s/1", targetapi.HeaderCustomer: "granite"}
 	_, vector := call[targetapi.EmbeddingAnswer](t, "POST", at("encoder", targetapi.PathEmbeddings), targetapi.EmbeddingRequest{Input: "q [ref:R]"}, h)
 	assert.DeepEqual(t, vector.Data[0].Embedding, stagepool.Vector("q [ref:R]"))
 	_, found := call[targetapi.SearchAnswer](t, "POST", at("retriever", targetapi.PathSearch), targetapi.SearchRequest{Query: "q [ref:R]", MaxResults: 3}, h)
@@ -153,20 +154,20 @@
 	_, text := call[targetapi.Completion](t, "POST", completions(f, 0), targetapi.CompletionRequest{Model: "m1", Prompt: "q [ref:R] Answer:", MaxTokens: 3}, h)
 	assert.Equal(t, text.Choices[0].Text, "R:0 R:1 R:2")
 	assert.Equal(t, text.ID, "cmpl-r/s/1")
-	executions := f.counted(t)
+	executions := f.executions(t)
 	assert.Equal(t, len(executions), 4)
 	for _, e := range executions {
 		assert.Assert(t, e.Finished && e.EngineUS > 0 && e.RequestID == "r/s/1" && e.Customer == "granite", "%+v", e)
 	}
 }
 
-// A caller hangs up while an engine generates for it, once on a stream and
-// once before a whole answer. If the engine didn't notice, it would spend its
-// batch on nobody's words.
-func TestHangingUpCancels(t *testing.T) {
+// A caller disconnects while an engine generates its answer, once with streaming and
+// once without. If the engine didn't notice, it would go on generating tokens that
+// nobody receives.
+func TestDisconnectCancelsExecution(t *testing.T) {
 	f := start(t, nil)
 	for _, stream := range []bool{true, false} {
-		ctx, hangUp := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
@@ -176,34 +177,34 @@
 				_ = response.Body.Close()
 			}
 		}()
-		waitUntil(t, "the execution to start", func() bool { return len(f.counted(t)) == 1 })
-		hangUp()
+		waitUntil(t, "the execution to start", func() bool { return len(f.executions(t)) == 1 })
+		disconnect()
 		<-ended
 		waitUntil(t, "the execution to be cancelled", func() bool {
-			return f.counted(t)[0].Cancelled
+			return f.executions(t)[0].Cancelled
 		})
 		_, _ = call[struct{}](t, "POST", "http://"+f.Control+"/counts/reset", nil, nil)
-		assert.Equal(t, len(f.counted(t)), 0)
+		assert.Equal(t, len(f.executions(t)), 0)
 	}
 	_, load := call[targetapi.LoadReport](t, "GET", "http://"+f.Targets["llm"][0]+targetapi.PathLoad, nil, nil)
 	assert.Equal(t, load.Named.Running, 0.0)
 }
 
-// A request crashes the engine that runs it, and takes an innocent one that
-// runs beside it along. Callers see their connections drop and then refused
-// until the engine is back.
-func TestMarkedRequestCrashesItsTarget(t *testing.T) {
+// A request with the crash marker crashes its engine, so that another request in
+// progress on the engine fails too. Callers see their connections close, and new
+// connections are refused until the engine has restarted.
+func TestCrashMarkerCrashesTarget(t *testing.T) {
 	f := start(t, nil)
 	f.setFault(t, fault.PoolScope("llm"), fault.Fault{CrashMarker: "[crash]", RestartMS: 1500})
-	innocent := make(chan error, 1)
+	other := make(chan error, 1)
 	go func() {
 		_, err := do(context.Background(), "POST", completions(f, 0), targetapi.CompletionRequest{Prompt: "[ref:i]", MaxTokens: 1 << 30}, nil)
-		innocent <- err
+		other <- err
 	}()
-	waitUntil(t, "the innocent to run", func() bool { return len(f.counted(t)) == 1 })
+	waitUntil(t, "the other request to run", func() bool { return len(f.executions(t)) == 1 })
 	_, err := do(context.Background(), "POST", completions(f, 0), targetapi.CompletionRequest{Prompt: "[crash] [ref:c]", MaxTokens: 1}, nil)
 	assert.Assert(t, err != nil)
-	assert.Assert(t, <-innocent != nil)
+	assert.Assert(t, <-other != nil)
 	_, err = do(context.Background(), "GET", "http://"+f.Targets["llm"][0]+targetapi.PathHealth, nil, nil)
 	assert.Assert(t, errors.Is(err, syscall.ECONNREFUSED), "%v", err)
 	waitUntil(t, "the engine to come back", func() bool {
@@ -214,34 +215,34 @@
 	assert.Equal(t, summary["llm"].Crashes, 1)
 	assert.Equal(t, summary["llm"].Executions, 2)
 	assert.Equal(t, summary["llm"].Finished, 0)
-	assert.Equal(t, summary["llm"].Cancelled, 0) // the caller did not hang up
+	assert.Equal(t, summary["llm"].Cancelled, 0) // the caller did not disconnect
 }
 
-// A stream is cut in the middle. Whoever resumes it on another engine with
-// the words so far must get the rest, as if nothing had happened.
-func TestCutStreamIsResumedElsewhere(t *testing.T) {
+// A stream breaks in the middle. Resuming it on another engine with the text received
+// so far must yield exactly the rest of the text.
+func TestInterruptedStreamIsResumedOnAnotherTarget(t *testing.T) {
 	f := start(t, nil)
 	f.setFault(t, fault.TargetScope(f.Targets["llm"][0]), fault.Fault{DropStreamAfterTokens: 2})
 	prompt := "question [ref:R] Answer:"
-	got, whole := words(t, completions(f, 0), targetapi.CompletionRequest{Prompt: prompt, MaxTokens: 5})
+	got, whole := readStream(t, completions(f, 0), targetapi.CompletionRequest{Prompt: prompt, MaxTokens: 5})
 	assert.Equal(t, got, "R:0 R:1")
 	assert.Assert(t, !whole)
-	rest, whole := words(t, completions(f, 1), targetapi.CompletionRequest{Prompt: prompt + got, MaxTokens: 3})
+	rest, whole := readStream(t, completions(f, 1), targetapi.CompletionRequest{Prompt: prompt + got, MaxTokens: 3})
 	assert.Equal(t, got+rest, "R:0 R:1 R:2 R:3 R:4")
 	assert.Assert(t, whole)
 }
 
-// A booking is made and its answer lost. The caller can't tell, but the count
-// at the target can.
+// A service executes a booking and its answer is lost. The caller can't tell whether
+// it was executed, but the target's execution log must show it.
 func TestLostAnswerOfAServiceIsCountedAsRun(t *testing.T) {
 	f := start(t, nil)
 	url := "http://" + f.Targets["booking"][0] + "/hold/7"
-	h := header{targetapi.HeaderIdempotencyKey: "k"}
+	h := headers{targetapi.HeaderIdempotencyKey: "k"}
 	f.setFault(t, fault.PoolScope("booking"), fault.Fault{LoseAnswerShare: 1})
 	_, err := do(context.Background(), "PUT", url, "seven", h)
 	assert.Assert(t, err != nil)
 	f.setFault(t, fault.PoolScope("booking"), fault.Fault{})
-	executions := f.counted(t)
+	executions := f.executions(t)
 	assert.Equal(t, len(executions), 1)
 	assert.Assert(t, executions[0].Finished && executions[0].IdempotencyKey == "k")
 	_, again := call[service.Answer](t, "PUT", url, "seven", h)
@@ -250,9 +251,9 @@
 	assert.Equal(t, string(again.Echo), `"seven"`)
 }
 
-// A claimant that was paused wakes up and sends its call under an old fencing
-// token, to another target of the service than the one that ran the newer. If
-// it ran, the booking would be made twice.
+// A lock holder that was paused resumes and sends its call with an outdated fencing
+// token, to another target of the service than the one that executed the call with
+// the newer token. If it were executed, the booking would be made twice.
 func TestOldFencingTokenIsRefused(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		f := start(t, func(file *File) {
@@ -260,38 +261,38 @@
 				file.Pools[i].ChecksFencing = checks
 			}
 		})
-		refusal := http.StatusOK
+		wantStatus := http.StatusOK
 		if checks {
-			refusal = http.StatusConflict
+			wantStatus = http.StatusConflict
 		}
 		send := func(target int, key, token string) int {
-			h := header{targetapi.HeaderIdempotencyKey: key, targetapi.HeaderFencingToken: token}
+			h := headers{targetapi.HeaderIdempotencyKey: key, targetapi.HeaderFencingToken: token}
 			status, _ := call[json.RawMessage](t, "POST", "http://"+f.Targets["booking"][target]+"/", "x", h)
 			return status
 		}
 		assert.Equal(t, send(0, "k", "5"), http.StatusOK)
-		assert.Equal(t, send(1, "k", "4"), refusal)
+		assert.Equal(t, send(1, "k", "4"), wantStatus)
 		assert.Equal(t, send(1, "other", "4"), http.StatusOK)
-		order := func(version, token string) int {
+		setModel := func(version, token string) int {
 			status, _ := call[json.RawMessage](t, "POST", "http://"+f.Targets["llm"][0]+targetapi.PathSetModel,
-				targetapi.SetModelRequest{Model: "m1", Version: version}, header{targetapi.HeaderFencingToken: token})
+				targetapi.SetModelRequest{Model: "m1", Version: version}, headers{targetapi.HeaderFencingToken: token})
 			return status
 		}
-		assert.Equal(t, order("2", "9"), http.StatusOK)
-		assert.Equal(t, order("1", "8"), refusal)
+		assert.Equal(t, setModel("2", "9"), http.StatusOK)
+		assert.Equal(t, setModel("1", "8"), wantStatus)
 		_, models := call[targetapi.ModelList](t, "GET", "http://"+f.Targets["llm"][0]+targetapi.PathModels, nil, nil)
 		assert.Equal(t, models.Data[0].Version == "2", checks)
 	}
 }
 
-// A target mixes up whose answer it sends. Only the identity in the answer
-// tells.
+// A target returns the answer of another request. The caller can detect this only by
+// the request ID in the answer.
 func TestWrongIdentity(t *testing.T) {
 	f := start(t, nil)
 	f.setFault(t, fault.PoolScope("encoder"), fault.Fault{WrongIdentityShare: 1})
 	for _, id := range []string{"r1/e/1", "r2/e/1", "r2/e/1"} {
 		response, err := do(context.Background(), "POST", "http://"+f.Targets["encoder"][0]+targetapi.PathEmbeddings,
-			targetapi.EmbeddingRequest{Input: "x"}, header{targetapi.HeaderRequestID: id})
+			targetapi.EmbeddingRequest{Input: "x"}, headers{targetapi.HeaderRequestID: id})
 		assert.NilError(t, err)
 		assert.NilError(t, response.Body.Close())
 		assert.Assert(t, response.Header.Get(targetapi.HeaderRequestID) != id)
@@ -318,8 +319,8 @@
 	}
 }
 
-// A VM is announced as leaving, and the list goes on showing it as live for a
-// while.
+// A VM changes to leaving, then to gone. The served list must show the change only
+// after the lag.
 func TestVMListLags(t *testing.T) {
 	f := start(t, func(file *File) { file.VMListLagMS = 300 })
 	target := f.Targets["llm"][1]
@@ -345,7 +346,7 @@
 	assert.Assert(t, time.Since(began) >= 300*time.Millisecond)
 }
 
-func TestControlRefusesWhatItDoesNotKnow(t *testing.T) {
+func TestControlRejectsUnknownScopesAndStates(t *testing.T) {
 	f := start(t, nil)
 	for _, c := range []struct {
 		method, path string
@@ -362,9 +363,9 @@
 	}
 }
 
-// The parts of a deployment are hosted by two processes: the targets by one,
-// so that it can be killed, and the rest by another.
-func TestPartsAreHostedApart(t *testing.T) {
+// Two processes host the parts of a deployment, one the targets, so that it can be
+// killed on its own, and another the rest.
+func TestPartsInSeparateProcesses(t *testing.T) {
 	file := File{
 		Seed: 1, Table: anyPort, Objects: anyPort, VMList: anyPort, Control: anyPort,
 		Pools: []Pool{
--- a/internal/standin/program/edge.go
+++ b/internal/standin/program/edge.go
@@ -22,7 +22,7 @@
 	flagRequire  = "require-attainment"
 )
 
-// edgeCommand plays a small deployment of the users' platform.
+// edgeCommand emulates a small deployment of the users' platform.
 func edgeCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "edge",
@@ -34,39 +34,40 @@
 			&cli.DurationFlag{Name: flagDuration, Value: 10 * time.Second, Usage: "`TIME` of load"},
 			&cli.FloatFlag{Name: flagRequire, Usage: "fail below this `SHARE` of requests answered whole and in time"},
 		},
-		Action: playEdge,
+		Action: runEdge,
 	}
 }
 
 const (
-	// edgeAddresses are the VMs' addresses, on this machine only.
-	edgeAddresses = "127.77.0.%d"
-	// edgePatience bounds the wait for the VMs to be ready.
-	edgePatience = 20 * time.Second
-	// acquaintance is how long the VMs take to know each other.
-	acquaintance = 2 * time.Second
-	readyPoll    = 50 * time.Millisecond
+	// edgeAddressFormat is the format of the VMs' loopback addresses.
+	edgeAddressFormat = "127.77.0.%d"
+	// readyTimeout is how long to wait for the VMs to become ready.
+	readyTimeout = 20 * time.Second
+	// discoveryTime is how long to wait for the VMs to discover each other.
+	discoveryTime     = 2 * time.Second
+	readyPollInterval = 50 * time.Millisecond
 )
 
-func playEdge(ctx context.Context, cmd *cli.Command) error {
+func runEdge(ctx context.Context, cmd *cli.Command) error {
 	var c settings.Checker
 	c.NotEmpty(flagFolder, cmd.String(flagFolder))
 	c.IntBetween(flagVMs, cmd.Int(flagVMs), 1, 50)
 	if err := c.Err(); err != nil {
 		return err
 	}
-	tally, err := playSite(ctx, cmd)
+	tally, err := runSite(ctx, cmd)
 	if err != nil {
-		return &failure{err}
+		return &runError{err}
 	}
 	_, err = fmt.Fprintln(cmd.Root().Writer, tally)
 	if err == nil && tally.Attainment() < cmd.Float(flagRequire) {
-		return &failure{fmt.Errorf("attainment is below %v", cmd.Float(flagRequire))}
+		return &runError{fmt.Errorf("attainment is below %v", cmd.Float(flagRequire))}
 	}
 	return err
 }
 
-func playSite(ctx context.Context, cmd *cli.Command) (standin.Tally, error) {
+// runSite starts the site, waits for the VMs to become ready, and sends the load.
+func runSite(ctx context.Context, cmd *cli.Command) (standin.Tally, error) {
 	if err := os.MkdirAll(cmd.String(flagFolder), 0o755); err != nil {
 		return standin.Tally{}, eris.Wrap(err, "folder")
 	}
@@ -75,19 +76,19 @@
 		return standin.Tally{}, eris.Wrap(err, "stand-ins")
 	}
 	defer site.Close()
-	vms, err := site.WriteVMSettings(cmd.String(flagFolder), edgeAddresses, cmd.Int(flagVMs))
+	vms, err := site.WriteVMSettings(cmd.String(flagFolder), edgeAddressFormat, cmd.Int(flagVMs))
 	if err != nil {
 		return standin.Tally{}, eris.Wrap(err, "settings")
 	}
-	limit := time.Now().Add(edgePatience)
+	limit := time.Now().Add(readyTimeout)
 	for _, vm := range vms {
 		for !vm.IsReady() {
-			if time.Now().After(limit) || !wait.For(ctx, readyPoll) {
+			if time.Now().After(limit) || !wait.For(ctx, readyPollInterval) {
 				return standin.Tally{}, eris.Errorf("%s isn't ready", vm.Name)
 			}
 		}
 	}
-	wait.For(ctx, acquaintance)
+	wait.For(ctx, discoveryTime)
 	callers := &standin.Callers{Site: site, VMs: vms, PerSecond: cmd.Float(flagRate)}
 	return callers.Run(ctx, cmd.Duration(flagDuration)), nil
 }
--- a/internal/standin/program/program.go
+++ b/internal/standin/program/program.go
@@ -1,4 +1,4 @@
-// Package program is the command line of vgstandin.
+// Package program implements the command line of vgstandin.
 package program
 
 import (
@@ -25,11 +25,11 @@
 	flagLog     = "log-level"
 )
 
-// Exit codes of the program, beside 0.
+// Exit codes of the program other than 0.
 const (
-	// ExitFailed means that something went wrong while it ran.
+	// ExitFailed means that an error occurred while running.
 	ExitFailed = 1
-	// ExitUsage means that the command line or the fleet file can't be used.
+	// ExitUsage means that the command line or the fleet file is invalid.
 	ExitUsage = 2
 )
 
@@ -40,9 +40,8 @@
 Exit codes: 0 after SIGTERM or SIGINT, 1 when something failed, 2 when the
 command line or the fleet file can't be used.`
 
-// Run parses the arguments, the first of which is the program's name, serves
-// until ctx ends, and returns the exit code. What went wrong is written to
-// stderr.
+// Run parses the arguments, of which the first is the program's name, serves until
+// ctx ends, and returns the exit code. Errors are written to stderr.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	command := Command()
 	command.Writer = stdout
@@ -51,28 +50,28 @@
 	if err == nil {
 		return 0
 	}
-	_, _ = fmt.Fprintln(stderr, "vgstandin:", err) // there is nowhere else to say it
-	var failed *failure
+	_, _ = fmt.Fprintln(stderr, "vgstandin:", err) // a failed write to stderr can't be reported
+	var failed *runError
 	if errors.As(err, &failed) {
 		return ExitFailed
 	}
 	return ExitUsage
 }
 
-// failure is an error of running, as opposed to one of usage.
-type failure struct{ error }
+// runError is an error that occurred while running, as opposed to a usage error.
+type runError struct{ error }
 
-// Unwrap gives the error itself.
-func (f *failure) Unwrap() error { return f.error }
+// Unwrap returns the wrapped error.
+func (f *runError) Unwrap() error { return f.error }
 
-// Command is the whole command line.
+// Command returns the root command with all subcommands.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:        "vgstandin",
 		Usage:       "emulate what vanillagate meets outside, for tests and experiments",
 		Version:     buildinfo.Version,
 		Description: description,
-		// The caller of Run says how the process ends.
+		// The default handler exits the process; Run returns the exit code instead.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		Action:         noCommand,
 		Commands: []*cli.Command{
@@ -80,26 +79,26 @@
 				Name:   "fleet",
 				Usage:  "host the platform and all targets of a fleet file",
 				Flags:  commonFlags(),
-				Action: run(func(*cli.Command) fleet.Parts { return fleet.Parts{Platform: true, Targets: true} }),
+				Action: runFleet(func(*cli.Command) fleet.Parts { return fleet.Parts{Platform: true, Targets: true} }),
 			},
 			{
 				Name:   "platform",
 				Usage:  "host the table service, the object store and the VM list of a fleet file",
 				Flags:  commonFlags(),
-				Action: run(func(*cli.Command) fleet.Parts { return fleet.Parts{Platform: true} }),
+				Action: runFleet(func(*cli.Command) fleet.Parts { return fleet.Parts{Platform: true} }),
 			},
 			{
 				Name:   "targets",
 				Usage:  "host the targets of a fleet file, or some of them",
 				Flags:  append(commonFlags(), targetFlags()...),
-				Action: run(targetParts),
+				Action: runFleet(targetParts),
 			},
 			edgeCommand(),
 		},
 	}
 }
 
-// noCommand is run when no subcommand was named.
+// noCommand runs when the arguments name no known subcommand.
 func noCommand(_ context.Context, cmd *cli.Command) error {
 	if name := cmd.Args().First(); name != "" {
 		return fmt.Errorf("unknown command %q; known are fleet, platform, targets and edge", name)
@@ -126,9 +125,10 @@
 	return fleet.Parts{Targets: true, Pools: cmd.StringSlice(flagPool), Addresses: cmd.StringSlice(flagTarget)}
 }
 
-func run(parts func(*cli.Command) fleet.Parts) cli.ActionFunc {
+// runFleet returns the action of a command that hosts the given parts.
+func runFleet(parts func(*cli.Command) fleet.Parts) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		file, err := read(cmd)
+		file, err := readFile(cmd)
 		if err != nil {
 			return err
 		}
@@ -137,14 +137,14 @@
 			return eris.Wrap(err, "logger")
 		}
 		if err := host(ctx, file, parts(cmd), logging.WithComponent(log, "standin")); err != nil {
-			return &failure{err}
+			return &runError{err}
 		}
 		return nil
 	}
 }
 
-// read checks the flags and reads the file.
-func read(cmd *cli.Command) (fleet.File, error) {
+// readFile validates the flags and reads the fleet file.
+func readFile(cmd *cli.Command) (fleet.File, error) {
 	var c settings.Checker
 	c.NotEmpty(flagFile, cmd.String(flagFile))
 	c.OneOf(flagLog, cmd.String(flagLog), "debug", "info", "warn", "error")
@@ -167,7 +167,7 @@
 	return file, nil
 }
 
-// host serves until the context ends.
+// host runs the selected parts of the fleet until the context ends.
 func host(ctx context.Context, file fleet.File, parts fleet.Parts, log *zap.Logger) error {
 	f, err := fleet.Open(file, parts, log)
 	if err != nil {
--- a/internal/standin/program/program_test.go
+++ b/internal/standin/program/program_test.go
@@ -15,7 +15,8 @@
 	"github.com/vanillagate/vanillagate/internal/standin/fleet"
 )
 
-func write(t *testing.T, file any) string {
+// writeFile writes a fleet file and returns its path.
+func writeFile(t *testing.T, file any) string {
 	t.Helper()
 	raw, err := json.Marshal(file)
 	assert.NilError(t, err)
@@ -35,26 +36,26 @@
 	wrong := good
 	wrong.Pools = []fleet.Pool{{Pool: "llm", Kind: "engin", FirstAddress: "127.0.0.1:65535", Count: 2}}
 	for _, c := range []struct {
-		args string
-		want int
-		says []string
+		args           string
+		want           int
+		stderrContains []string
 	}{
-		{"fleet --file " + write(t, good), 0, nil}, // the context has ended already
+		{"fleet --file " + writeFile(t, good), 0, nil}, // the context has ended already
 		{"--help", 0, nil},
 		{"--version", 0, nil},
-		{"fleet --file " + write(t, busy), ExitFailed, []string{"address already in use"}},
+		{"fleet --file " + writeFile(t, busy), ExitFailed, []string{"address already in use"}},
 		{"fleat", ExitUsage, []string{"unknown command"}},
 		{"fleet --fill x", ExitUsage, []string{"-fill"}},
 		{"targets --log-level loud --target 1", ExitUsage, []string{"--file=", "--log-level=\"loud\"", "--target=\"1\""}},
-		{"platform --file " + write(t, wrong), ExitUsage, []string{"pools[0].kind=\"engin\"", "zones", "no port is above 65535"}},
-		{"platform --file " + write(t, map[string]int{"sead": 1}), ExitUsage, []string{"unknown field", "sead"}},
+		{"platform --file " + writeFile(t, wrong), ExitUsage, []string{"pools[0].kind=\"engin\"", "zones", "no port is above 65535"}},
+		{"platform --file " + writeFile(t, map[string]int{"sead": 1}), ExitUsage, []string{"unknown field", "sead"}},
 	} {
 		ended, end := context.WithCancel(context.Background())
 		end()
 		var out, errors bytes.Buffer
 		args := append([]string{"vgstandin"}, strings.Fields(c.args)...)
 		assert.Equal(t, Run(ended, args, &out, &errors), c.want, "%s: %s", c.args, errors.String())
-		for _, s := range c.says {
+		for _, s := range c.stderrContains {
 			assert.Assert(t, strings.Contains(errors.String(), s), "%s: %s", c.args, errors.String())
 		}
 	}
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -1,6 +1,6 @@
 // Package vmlist emulates the platform's VM list, in the format of Prometheus HTTP
-// service discovery. The served list lags: changes appear in it only
-// after a configured delay.
+// service discovery. The served list lags: a change appears in it
+// only after a configured delay.
 package vmlist
 
 import (
