--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -85,7 +85,7 @@
 	return true
 }
 
-// ServeHTTP serves the rows as they were before the lag.
+// ServeHTTP serves the rows as they were one lag ago.
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f := l.faults.Combined(fault.ScopeVMList)
 	if f.Refuse {
