--- a/internal/load/arrival/arrival_test.go
+++ b/internal/load/arrival/arrival_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSameSeedSameTimes(t *testing.T) {
+func TestSameSeedGivesSameTimes(t *testing.T) {
 	p := Steady{PerSecond: 100}
 	first := SampleTimes(p, 10*time.Second, 7)
 	assert.DeepEqual(t, first, SampleTimes(p, 10*time.Second, 7))
@@ -18,7 +18,7 @@
 	assert.Equal(t, len(SampleTimes(Steady{}, time.Second, 1)), 0)
 }
 
-// countBetween counts the times in a window.
+// countBetween counts the times from from (inclusive) to to (exclusive).
 func countBetween(times []time.Duration, from, to time.Duration) float64 {
 	count := 0
 	for _, at := range times {
@@ -29,7 +29,7 @@
 	return float64(count)
 }
 
-func TestCountsFollowThePattern(t *testing.T) {
+func TestArrivalCountsMatchPattern(t *testing.T) {
 	cases := []struct {
 		name     string
 		pattern  Pattern
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestRateStaysBelowHighest(t *testing.T) {
+func TestRateNeverExceedsMaxRate(t *testing.T) {
 	patterns := []Pattern{
 		Steady{PerSecond: 3},
 		Bursts{Base: 10, Peak: 2, Period: time.Second, Duration: time.Second / 2},
--- a/internal/load/caller/call.go
+++ b/internal/load/caller/call.go
@@ -1,7 +1,8 @@
-// Package caller behaves like a program of the users: it asks the system which
-// addresses to use, keeps the answer for as long as it was told, connects
-// there itself, and goes on to another address where one fails, always under
-// the same idempotency key and within its own deadline.
+// Package caller implements a client that behaves like a customer's program. It
+// fetches the list of entry VM addresses, caches it for the TTL in the response,
+// connects to these addresses directly, and retries at another address after a
+// failure. All tries of a request carry the same idempotency key and end at the
+// request's deadline.
 package caller
 
 import (
@@ -11,7 +12,7 @@
 	"github.com/vanillagate/vanillagate/internal/problem"
 )
 
-// Kind is the shape of a call.
+// Kind is the type of a call.
 type Kind string
 
 // The kinds of calls.
@@ -24,79 +25,80 @@
 // Call is one request of a customer.
 type Call struct {
 	Kind Kind
-	// Customer is only carried into the Result.
+	// Customer is not sent; it is copied into the Result.
 	Customer string
-	// BearerKey proves which customer calls.
+	// BearerKey authenticates the customer.
 	BearerKey string
 	// IdempotencyKey is the same on every try.
 	IdempotencyKey string
-	// Ref names the request within its input, so that an answer can be told
-	// from another request's.
+	// Ref is a marker in the input that the answer repeats, so that answers to
+	// other requests are detected.
 	Ref string
 	// Pipeline is the pipeline's name; unused by services.
 	Pipeline string
-	// Input is the text in front of the mark of Ref.
+	// Input is the text before the Ref marker.
 	Input string
-	// MaxTokens is how many words the answer must have.
+	// MaxTokens is the number of words that the answer must have.
 	MaxTokens int
-	// Service, Method and Path name the call of a plain service.
+	// Service, Method and Path are set for calls of a plain service only.
 	Service, Method, Path string
 	// NonIdempotent calls must run at most once.
 	NonIdempotent bool
-	// Poison says that the request crashes the targets that run it, so that
-	// nobody can answer it.
+	// Poison is true if the request crashes every target that runs it, so that
+	// it can't be answered.
 	Poison bool
-	// Scheduled is when the request should have been sent. Its latency and
-	// deadline count from here, also when the load tool itself is late.
+	// Scheduled is when the request is due to be sent. Latency and deadline are
+	// measured from here, even if the load tool sends it late.
 	Scheduled time.Time
-	// Timeout is how long the caller has, from Scheduled.
+	// Timeout is the time limit of the whole request, from Scheduled.
 	Timeout time.Duration
 }
 
-// Deadline is when the answer stops being of use.
+// Deadline is Scheduled plus Timeout.
 func (c Call) Deadline() time.Time { return c.Scheduled.Add(c.Timeout) }
 
-// Outcome is how a request ended for its caller.
+// Outcome is the final result of a request as its caller sees it.
 type Outcome string
 
 // The outcomes.
 const (
-	// Answered is a whole answer to the caller's own request.
+	// Answered means a complete answer that belongs to the request.
 	Answered Outcome = "answered"
-	// Refused is a clear error from the system.
+	// Refused means an explicit error response from the system.
 	Refused Outcome = "refused"
-	// Lost is neither a whole answer nor a clear error.
+	// Lost means neither a complete answer nor an explicit error.
 	Lost Outcome = "lost"
 )
 
-// Result is what a caller knows when its request has ended.
+// Result describes a completed request as its caller saw it.
 type Result struct {
 	Call Call
-	// ScheduledOffset is Call.Scheduled since the start of the run.
+	// ScheduledOffset is the time from the start of the run to Call.Scheduled.
 	ScheduledOffset time.Duration
 	Outcome         Outcome
-	// Finding tells what was wrong with an answer that is not whole. It is
-	// empty when there was no answer.
+	// Finding is the result of checking the answer. It is empty if there was no
+	// answer.
 	Finding check.Finding
-	// Execution is the error's word on whether the request ran.
+	// Execution is the error's statement on whether the request ran.
 	Execution problem.Execution
-	// RequestIDs are the identities that the system gave to the tries.
+	// RequestIDs are the request IDs that the system assigned to the tries.
 	RequestIDs []string
-	// RefusedRequestID is the identity of the try that the error speaks of.
+	// RefusedRequestID is the request ID of the try that the error refers to.
 	RefusedRequestID string
 	Status           int
 	Tries            int
-	// Latency counts from Call.Scheduled.
+	// Latency is measured from Call.Scheduled.
 	Latency time.Duration
-	// FirstToken counts from Call.Scheduled; zero without a stream.
+	// FirstToken is the time to the first token, from Call.Scheduled; zero for
+	// calls that aren't streamed.
 	FirstToken time.Duration
-	// SendDelay is how long after Call.Scheduled the first try was sent.
+	// SendDelay is the time from Call.Scheduled to the sending of the first try.
 	SendDelay time.Duration
-	// Detail tells what went wrong, in words.
+	// Detail is a description of the failure.
 	Detail string
 }
 
-// InTime says whether the answer was whole and came before the deadline.
+// InTime reports whether the answer was complete and arrived by the deadline.
 func (r Result) InTime() bool {
 	return r.Outcome == Answered && r.Latency <= r.Call.Timeout
 }
--- a/internal/load/caller/caller.go
+++ b/internal/load/caller/caller.go
@@ -9,78 +9,82 @@
 	"github.com/vanillagate/vanillagate/internal/load/check"
 )
 
-// defaultGrace is how long a caller still listens after its deadline, so that a
-// late answer can be told from a lost one.
+// defaultGrace is how long a caller still waits after its deadline, to
+// distinguish late answers from lost ones.
 const defaultGrace = time.Second
 
 // Caller sends requests to the system. It is safe for concurrent use.
 type Caller struct {
 	conns *connections
-	// hasty serves first tries, where the caller has a limit for them.
-	hasty *connections
-	dir   *directory
-	grace time.Duration
+	// firstTryConns is used for the first try of each request. It differs from
+	// conns if WithFirstTryShare is set.
+	firstTryConns *connections
+	dir           *directory
+	gracePeriod   time.Duration
 }
 
 // Option changes a Caller.
 type Option func(*Caller)
 
-// WithFirstTryShare has the caller go to another address when the first one has
-// sent nothing for this share of the time it had. Later tries wait to the end:
-// a caller that gave up on each of several slow VMs would get no answer at all.
-// Zero means that the first one waits to the end too.
+// WithFirstTryShare makes the first try fail, so that another address is tried,
+// once the connection has received nothing for this share of the time left.
+// Later tries wait until the deadline: a caller that gave up on each of several
+// slow VMs would get no answer at all. Zero disables the limit.
 func WithFirstTryShare(share float64) Option {
-	return func(c *Caller) { c.hasty = newConnections(share) }
+	return func(c *Caller) { c.firstTryConns = newConnections(share) }
 }
 
-// New is a caller that knows some first addresses, tried in this order.
-func New(firstEntries []string, options ...Option) *Caller {
+// New returns a caller that fetches the list of entry VMs from the initial
+// addresses, which it tries in this order.
+func New(initialAddresses []string, options ...Option) *Caller {
 	conns := newConnections(0)
-	c := &Caller{conns: conns, hasty: conns, dir: newDirectory(firstEntries, conns), grace: defaultGrace}
+	c := &Caller{conns: conns, firstTryConns: conns, dir: newDirectory(initialAddresses, conns), gracePeriod: defaultGrace}
 	for _, option := range options {
 		option(c)
 	}
 	return c
 }
 
-// NewPinned is a caller that uses one address only and asks nobody.
+// NewPinned returns a caller that uses a single address and never fetches the
+// list of entry VMs.
 func NewPinned(address string) *Caller {
 	c := New(nil)
-	c.dir.keep(EntriesAnswer{Entries: []Entry{{Address: address}}, TTLMS: math.MaxInt32}, time.Now())
+	c.dir.cache(EntriesAnswer{Entries: []Entry{{Address: address}}, TTLMS: math.MaxInt32}, time.Now())
 	return c
 }
 
-// Close lets go of idle connections.
+// Close closes the idle connections.
 func (c *Caller) Close() {
 	c.conns.close()
-	c.hasty.close()
+	c.firstTryConns.close()
 }
 
-// Do sends a request until it has a final answer or its time is over.
+// Do sends a request and retries it until it has a final answer or its deadline
+// passes.
 func (c *Caller) Do(ctx context.Context, call Call) Result {
 	result := Result{Call: call, Outcome: Lost, SendDelay: time.Since(call.Scheduled)}
 	tried := map[string]int{}
 	for ctx.Err() == nil && time.Now().Before(call.Deadline()) {
-		address, err := c.dir.choose(tried, time.Now())
+		address, err := c.dir.chooseAddress(tried, time.Now())
 		if err != nil {
 			result.Detail = err.Error()
-			pause(ctx, backoff(len(tried)+1, randomJitter()))
+			sleep(ctx, backoff(len(tried)+1, randomJitter()))
 			continue
 		}
 		tried[address]++
 		result.Tries++
 		got := c.send(c.connsFor(result.Tries), address, call, result.Tries)
-		result.take(address, got)
-		step := next(got, result.Tries, time.Until(call.Deadline()), randomJitter())
-		if step.failed {
-			c.dir.fail(address, time.Now())
+		result.record(address, got)
+		decision := decideRetry(got, result.Tries, time.Until(call.Deadline()), randomJitter())
+		if decision.avoidAddress {
+			c.dir.recordFailure(address, time.Now())
 		} else {
-			c.dir.answered(address)
+			c.dir.recordSuccess(address)
 		}
-		if !step.again {
+		if !decision.retry {
 			break
 		}
-		pause(ctx, step.wait)
+		sleep(ctx, decision.wait)
 	}
 	if result.Latency == 0 {
 		result.Latency = time.Since(call.Scheduled)
@@ -90,13 +94,15 @@
 
 func (c *Caller) connsFor(try int) *connections {
 	if try == 1 {
-		return c.hasty
+		return c.firstTryConns
 	}
 	return c.conns
 }
 
-// take replaces what an earlier try said: the last word counts.
-func (r *Result) take(address string, got answer) {
+// record overwrites the result of earlier tries with that of the last one.
+// Request IDs accumulate, and the time of a first token stays until a later try
+// has one.
+func (r *Result) record(address string, got answer) {
 	now := time.Now()
 	r.Latency = now.Sub(r.Call.Scheduled)
 	r.Status = got.status
@@ -115,12 +121,12 @@
 	case got.err != nil:
 		r.Detail = address + ": " + got.err.Error()
 	default:
-		r.judge(got)
+		r.checkAnswer(got)
 	}
 }
 
-func (r *Result) judge(got answer) {
-	r.Finding = findingOf(r.Call, got)
+func (r *Result) checkAnswer(got answer) {
+	r.Finding = checkOutput(r.Call, got)
 	if r.Finding == check.Complete {
 		r.Outcome = Answered
 		return
@@ -128,7 +134,7 @@
 	r.Detail = "answer is " + string(r.Finding)
 }
 
-func findingOf(call Call, got answer) check.Finding {
+func checkOutput(call Call, got answer) check.Finding {
 	if call.Kind == KindService {
 		return check.ServiceAnswer(call.Ref, got.output)
 	}
@@ -150,7 +156,7 @@
 	Note string `json:"note"`
 }
 
-func pause(ctx context.Context, wait time.Duration) {
+func sleep(ctx context.Context, wait time.Duration) {
 	if wait <= 0 {
 		return
 	}
--- a/internal/load/caller/caller_test.go
+++ b/internal/load/caller/caller_test.go
@@ -13,38 +13,38 @@
 )
 
 func TestEachKindOfCallIsAnswered(t *testing.T) {
-	entry := startFake(t)
+	entry := startFakeEntry(t)
 	c := New([]string{entry.address})
 	defer c.Close()
 	for _, kind := range []Kind{KindPipeline, KindStream, KindService} {
-		got := c.Do(context.Background(), callOf(kind))
+		got := c.Do(context.Background(), newCall(kind))
 		assert.Equal(t, got.Outcome, Answered, "%s: %s", kind, got.Detail)
 		assert.Assert(t, got.InTime())
 		assert.DeepEqual(t, got.RequestIDs, []string{"r-" + entry.address})
 	}
 }
 
-// An entry VM dies between two requests of a caller that still holds its
-// address. Without going on to another address the user's program would get a
-// refused connection in place of a quote.
-func TestRefusedConnectionGoesToAnotherEntry(t *testing.T) {
-	dead, alive := startFake(t), startFake(t)
-	dead.entries = []Entry{{Address: dead.address, Zone: "a"}, {Address: alive.address, Zone: "b"}}
-	c := New([]string{dead.address})
+// An entry VM dies between two requests of a caller that has its address cached.
+// The caller must retry at another address instead of failing with a refused
+// connection.
+func TestRefusedConnectionIsRetriedAtAnotherEntry(t *testing.T) {
+	stopped, alive := startFakeEntry(t), startFakeEntry(t)
+	stopped.entries = []Entry{{Address: stopped.address, Zone: "a"}, {Address: alive.address, Zone: "b"}}
+	c := New([]string{stopped.address})
 	defer c.Close()
-	assert.Equal(t, c.Do(context.Background(), callOf(KindService)).Outcome, Answered)
-	dead.stop()
+	assert.Equal(t, c.Do(context.Background(), newCall(KindService)).Outcome, Answered)
+	stopped.stop()
 
-	got := c.Do(context.Background(), callOf(KindService))
+	got := c.Do(context.Background(), newCall(KindService))
 	assert.Equal(t, got.Outcome, Answered, got.Detail)
-	assert.DeepEqual(t, alive.seen(), []string{"key-1"})
+	assert.DeepEqual(t, alive.receivedKeys(), []string{"key-1"})
 }
 
 // The connection breaks after the request was forwarded, so the caller can't
-// know whether it ran. It asks elsewhere under the same key; under another key
-// the booking would run twice.
-func TestLostAnswerIsAskedForUnderTheSameKey(t *testing.T) {
-	first, second := startFake(t), startFake(t)
+// know whether it ran. It must retry with the same idempotency key; with another
+// key the request would run twice.
+func TestLostAnswerIsRetriedWithTheSameKey(t *testing.T) {
+	first, second := startFakeEntry(t), startFakeEntry(t)
 	between, err := relay.Listen("127.0.0.1:0", first.address)
 	assert.NilError(t, err)
 	defer between.Close()
@@ -53,43 +53,43 @@
 	defer c.Close()
 	between.SetFaults(relay.Faults{LoseAnswer: true})
 
-	got := c.Do(context.Background(), callOf(KindService))
+	got := c.Do(context.Background(), newCall(KindService))
 	assert.Equal(t, got.Outcome, Answered, got.Detail)
 	assert.Equal(t, got.Tries, 2)
-	assert.DeepEqual(t, first.seen(), []string{"key-1"})
-	assert.DeepEqual(t, second.seen(), []string{"key-1"})
+	assert.DeepEqual(t, first.receivedKeys(), []string{"key-1"})
+	assert.DeepEqual(t, second.receivedKeys(), []string{"key-1"})
 }
 
-func TestLeavingEntryIsPassedOver(t *testing.T) {
-	leaving, alive := startFake(t), startFake(t)
-	leaving.refuse = problem.New(503, "leaving", "Leaving", "", problem.NotRun).WithRetryAfter(time.Minute)
-	leaving.entries = []Entry{{Address: leaving.address, Zone: "a"}, {Address: alive.address, Zone: "b"}}
-	c := New([]string{leaving.address})
+func TestEntryShuttingDownIsRetriedElsewhere(t *testing.T) {
+	shuttingDown, alive := startFakeEntry(t), startFakeEntry(t)
+	shuttingDown.refuse = problem.New(503, "leaving", "Leaving", "", problem.NotRun).WithRetryAfter(time.Minute)
+	shuttingDown.entries = []Entry{{Address: shuttingDown.address, Zone: "a"}, {Address: alive.address, Zone: "b"}}
+	c := New([]string{shuttingDown.address})
 	defer c.Close()
-	got := c.Do(context.Background(), callOf(KindPipeline))
+	got := c.Do(context.Background(), newCall(KindPipeline))
 	assert.Equal(t, got.Outcome, Answered, got.Detail)
 	assert.Equal(t, got.Tries, 2)
 }
 
-func TestClearErrorIsFinal(t *testing.T) {
-	entry := startFake(t)
+func TestFinalErrorIsNotRetried(t *testing.T) {
+	entry := startFakeEntry(t)
 	entry.refuse = problem.New(429, "rate", "Too many requests", "", problem.NotRun).WithRetryAfter(time.Second)
 	c := New([]string{entry.address})
 	defer c.Close()
-	got := c.Do(context.Background(), callOf(KindPipeline))
+	got := c.Do(context.Background(), newCall(KindPipeline))
 	assert.Equal(t, got.Outcome, Refused)
 	assert.Equal(t, got.Execution, problem.NotRun)
 	assert.Equal(t, got.Tries, 1)
 }
 
-// A stream that just stops looks like a short answer to a program that does
-// not wait for the end mark. The reader of a level summary would miss its end.
-func TestStreamWithoutItsEndIsNoAnswer(t *testing.T) {
-	entry := startFake(t)
+// A truncated stream must not count as an answer: without a check for [DONE] it
+// would look like a short but complete one.
+func TestTruncatedStreamIsLost(t *testing.T) {
+	entry := startFakeEntry(t)
 	entry.streamWords = 3
 	c := New([]string{entry.address})
 	defer c.Close()
-	call := callOf(KindStream)
+	call := newCall(KindStream)
 	call.Timeout = 300 * time.Millisecond
 	got := c.Do(context.Background(), call)
 	assert.Equal(t, got.Outcome, Lost)
@@ -103,25 +103,25 @@
 	assert.Assert(t, got.Finding != check.Complete)
 }
 
-// The whole system is unreachable. The caller gives up at its own deadline and
-// the request counts as lost, since nobody told it anything.
-func TestNobodyAnswers(t *testing.T) {
-	entry := startFake(t)
+// The whole system is unreachable. The caller gives up at its deadline and the
+// request counts as lost, since there was no response.
+func TestUnreachableSystemLosesRequest(t *testing.T) {
+	entry := startFakeEntry(t)
 	entry.stop()
 	c := New([]string{entry.address})
 	defer c.Close()
-	call := callOf(KindPipeline)
+	call := newCall(KindPipeline)
 	call.Timeout = 200 * time.Millisecond
 	got := c.Do(context.Background(), call)
 	assert.Equal(t, got.Outcome, Lost)
 	assert.Assert(t, got.Detail != "")
 }
 
-// The path to an entry VM is cut one way: it takes the request and its answer
-// never comes back. A caller with a limit for its first try still gets its answer
-// from another VM, within its own deadline.
-func TestFrozenEntryIsLeftInTime(t *testing.T) {
-	frozen, alive := startFake(t), startFake(t)
+// The network path from an entry VM is cut in one direction: the VM receives the
+// request but its answer never arrives. A caller with a limit for its first try
+// must still get an answer from another VM within its deadline.
+func TestFirstTryLimitLeavesSilentEntry(t *testing.T) {
+	frozen, alive := startFakeEntry(t), startFakeEntry(t)
 	between, err := relay.Listen("127.0.0.1:0", frozen.address)
 	assert.NilError(t, err)
 	defer between.Close()
@@ -129,30 +129,31 @@
 	between.SetFaults(relay.Faults{FreezeToCaller: true})
 	for _, kind := range []Kind{KindPipeline, KindStream} {
 		c := New([]string{frozen.address}, WithFirstTryShare(0.05))
-		got := c.Do(context.Background(), callOf(kind))
+		got := c.Do(context.Background(), newCall(kind))
 		c.Close()
 		assert.Equal(t, got.Outcome, Answered, got.Detail)
 		assert.Equal(t, got.Tries, 2)
 	}
 }
 
-// A path is cut after a stream has begun. The caller has some words and would
-// wait for the rest until its deadline; it asks for the whole answer elsewhere.
-func TestStreamThatStopsIsLeftInTime(t *testing.T) {
-	stopping, alive := startFake(t), startFake(t)
+// The network path is cut in the middle of a stream. Instead of waiting for the
+// rest until its deadline, the caller must request the whole answer from another
+// VM.
+func TestFirstTryLimitLeavesStalledStream(t *testing.T) {
+	stopping, alive := startFakeEntry(t), startFakeEntry(t)
 	stopping.streamWords = 2
 	stopping.hold = make(chan struct{})
 	defer close(stopping.hold)
 	stopping.entries = []Entry{{Address: stopping.address, Zone: "a"}, {Address: alive.address, Zone: "b"}}
 	c := New([]string{stopping.address}, WithFirstTryShare(0.05))
 	defer c.Close()
-	got := c.Do(context.Background(), callOf(KindStream))
+	got := c.Do(context.Background(), newCall(KindStream))
 	assert.Equal(t, got.Outcome, Answered, got.Detail)
 	assert.Equal(t, got.Tries, 2)
 }
 
-func TestNext(t *testing.T) {
-	leaving := problem.New(503, "x", "x", "", problem.NotRun).WithRetryAfter(100 * time.Millisecond)
+func TestDecideRetry(t *testing.T) {
+	shuttingDown := problem.New(503, "x", "x", "", problem.NotRun).WithRetryAfter(100 * time.Millisecond)
 	running := problem.New(409, "x", "x", "", problem.Unknown).WithRetryAfter(50 * time.Millisecond)
 	final := problem.New(504, "x", "x", "", problem.Ran)
 	broken := context.DeadlineExceeded
@@ -161,45 +162,45 @@
 		got   answer
 		tries int
 		left  time.Duration
-		want  move
+		want  retryDecision
 	}{
-		{"answered", answer{ended: true}, 1, time.Second, move{}},
-		{"final error", answer{problem: final}, 1, time.Second, move{}},
-		{"503 goes elsewhere at once", answer{problem: leaving}, 1, time.Second, move{again: true}},
-		{"second 503 waits", answer{problem: leaving}, 2, time.Second, move{again: true, wait: 100 * time.Millisecond}},
-		{"503 without time to wait", answer{problem: leaving}, 2, 50 * time.Millisecond, move{wait: 100 * time.Millisecond}},
-		{"409 waits", answer{problem: running}, 1, time.Second, move{again: true, wait: 50 * time.Millisecond}},
-		{"refused goes elsewhere", answer{err: broken, refusedConnection: true}, 1, time.Second, move{again: true, failed: true}},
-		{"broken goes elsewhere", answer{err: broken}, 1, time.Second, move{again: true, failed: true}},
-		{"no time left", answer{err: broken}, 1, 0, move{failed: true}},
-		{"too many tries", answer{err: broken}, mostTries, time.Second, move{failed: true}},
+		{"answered", answer{ended: true}, 1, time.Second, retryDecision{}},
+		{"final error", answer{problem: final}, 1, time.Second, retryDecision{}},
+		{"first 503 is retried at once", answer{problem: shuttingDown}, 1, time.Second, retryDecision{retry: true}},
+		{"second 503 waits", answer{problem: shuttingDown}, 2, time.Second, retryDecision{retry: true, wait: 100 * time.Millisecond}},
+		{"503 without time to wait", answer{problem: shuttingDown}, 2, 50 * time.Millisecond, retryDecision{wait: 100 * time.Millisecond}},
+		{"409 waits", answer{problem: running}, 1, time.Second, retryDecision{retry: true, wait: 50 * time.Millisecond}},
+		{"refused connection is retried at once", answer{err: broken, refusedConnection: true}, 1, time.Second, retryDecision{retry: true, avoidAddress: true}},
+		{"broken connection is retried", answer{err: broken}, 1, time.Second, retryDecision{retry: true, avoidAddress: true}},
+		{"no time left", answer{err: broken}, 1, 0, retryDecision{avoidAddress: true}},
+		{"too many tries", answer{err: broken}, maxTries, time.Second, retryDecision{avoidAddress: true}},
 	}
 	for _, c := range cases {
-		assert.Equal(t, next(c.got, c.tries, c.left, 0), c.want, c.name)
+		assert.Equal(t, decideRetry(c.got, c.tries, c.left, 0), c.want, c.name)
 	}
 }
 
-// An entry VM stands still for seconds and is still among the addresses that
-// callers are told. A caller that forgot its failures too soon would lose some
-// requests each second to it.
-func TestFailuresAreRememberedForLonger(t *testing.T) {
+// An entry VM hangs for seconds and is still in the list that callers receive. If
+// callers forgot its failures too soon, they would lose some requests to it every
+// second.
+func TestAvoidTimeGrowsWithFailures(t *testing.T) {
 	d := newDirectory(nil, newConnections(0))
 	now := time.Unix(1000, 0)
 	for i, want := range []time.Duration{1, 2, 4, 8, 8} {
-		d.fail("x", now)
-		d.fail("x", now)
+		d.recordFailure("x", now)
+		d.recordFailure("x", now)
 		now = now.Add(want * time.Second)
-		assert.Equal(t, d.failedRank("x", now.Add(-time.Millisecond)), min(i+1, worstFailure), want)
-		assert.Equal(t, d.failedRank("x", now), 0, want)
+		assert.Equal(t, d.failureRank("x", now.Add(-time.Millisecond)), min(i+1, maxFailureRank), want)
+		assert.Equal(t, d.failureRank("x", now), 0, want)
 	}
-	d.fail("x", now)
-	d.answered("x")
-	assert.Equal(t, d.failedRank("x", now), 0)
-	d.fail("x", now)
-	assert.Equal(t, d.failedRank("x", now.Add(failedFor)), 0)
+	d.recordFailure("x", now)
+	d.recordSuccess("x")
+	assert.Equal(t, d.failureRank("x", now), 0)
+	d.recordFailure("x", now)
+	assert.Equal(t, d.failureRank("x", now.Add(initialAvoidTime)), 0)
 }
 
-func TestPick(t *testing.T) {
+func TestPickEntry(t *testing.T) {
 	entries := []Entry{{"1", "a"}, {"2", "a"}, {"3", "b"}}
 	rank := func(bad ...string) func(string) int {
 		return func(address string) int {
@@ -212,10 +213,10 @@
 			return count
 		}
 	}
-	assert.Equal(t, pick(entries, rank(), 0), "1")
-	assert.Equal(t, pick(entries, rank(), 1), "2")
-	assert.Equal(t, pick(entries, rank(), 2), "1")
-	assert.Equal(t, pick(entries, rank("1"), 0), "2")
-	assert.Equal(t, pick(entries, rank("1", "2"), 1), "3")
-	assert.Equal(t, pick(entries, rank("1", "1", "2", "3"), 0), "2")
+	assert.Equal(t, pickEntry(entries, rank(), 0), "1")
+	assert.Equal(t, pickEntry(entries, rank(), 1), "2")
+	assert.Equal(t, pickEntry(entries, rank(), 2), "1")
+	assert.Equal(t, pickEntry(entries, rank("1"), 0), "2")
+	assert.Equal(t, pickEntry(entries, rank("1", "2"), 1), "3")
+	assert.Equal(t, pickEntry(entries, rank("1", "1", "2", "3"), 0), "2")
 }
--- a/internal/load/caller/connections.go
+++ b/internal/load/caller/connections.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	dialTimeout    = 300 * time.Millisecond
-	connsPerEntry  = 8192
-	idleConnection = 5 * time.Second
-	readBuffer     = 8 << 10
+	dialTimeout     = 300 * time.Millisecond
+	connsPerEntry   = 8192
+	idleConnTimeout = 5 * time.Second
+	readBuffer      = 8 << 10
 )
 
-// connections holds one client for each address. It tries nothing again by
-// itself: the caller must know of every try.
+// connections holds one HTTP client for each address. The clients never retry by
+// themselves: the caller must count every try.
 type connections struct {
 	// mu guards clients.
 	mu      sync.Mutex
 	clients map[string]*fasthttp.HostClient
-	// patienceShare is the part of a caller's time after which a silent
-	// connection is given up; zero means that it waits to the end.
-	patienceShare float64
+	// idleTimeoutShare is the share of the time left to a request after which a
+	// connection without received data fails; zero disables this timeout.
+	idleTimeoutShare float64
 }
 
-func newConnections(patienceShare float64) *connections {
-	return &connections{clients: map[string]*fasthttp.HostClient{}, patienceShare: patienceShare}
+func newConnections(idleTimeoutShare float64) *connections {
+	return &connections{clients: map[string]*fasthttp.HostClient{}, idleTimeoutShare: idleTimeoutShare}
 }
 
-func (c *connections) to(address string) *fasthttp.HostClient {
+func (c *connections) clientFor(address string) *fasthttp.HostClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	client, found := c.clients[address]
@@ -45,7 +45,7 @@
 	return &fasthttp.HostClient{
 		Addr:                      address,
 		MaxConns:                  connsPerEntry,
-		MaxIdleConnDuration:       idleConnection,
+		MaxIdleConnDuration:       idleConnTimeout,
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		ReadBufferSize:            readBuffer,
@@ -57,13 +57,13 @@
 
 func (c *connections) dial(address string) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
-	if err != nil || c.patienceShare <= 0 {
+	if err != nil || c.idleTimeoutShare <= 0 {
 		return conn, err
 	}
-	return &impatientConn{Conn: conn, share: c.patienceShare}, nil
+	return &idleTimeoutConn{Conn: conn, share: c.idleTimeoutShare}, nil
 }
 
-// close closes the connections that are idle.
+// close closes idle connections only.
 func (c *connections) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/load/caller/directory.go
+++ b/internal/load/caller/directory.go
@@ -11,129 +11,131 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Entry is one address of the system that callers may use.
+// Entry is the address of an entry VM that callers may use.
 type Entry struct {
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 }
 
-// EntriesAnswer answers GET /v1/entries, nearest availability zone first.
+// EntriesAnswer is the response to GET /v1/entries, sorted by availability zone,
+// nearest first.
 type EntriesAnswer struct {
 	Entries []Entry `json:"entries"`
-	// TTLMS is how long the answer may be used, in milliseconds.
+	// TTLMS is how long callers may cache the response, in milliseconds.
 	TTLMS int64 `json:"keep_ms"`
 }
 
 const (
-	entriesPath    = "/v1/entries"
-	askTimeout     = 500 * time.Millisecond
-	failedFor      = time.Second
-	longestFailed  = 8 * time.Second
-	worstFailure   = 3
-	shortestKeep   = 100 * time.Millisecond
-	askAgainBefore = 50 * time.Millisecond
+	entriesPath      = "/v1/entries"
+	fetchTimeout     = 500 * time.Millisecond
+	initialAvoidTime = time.Second
+	maxAvoidTime     = 8 * time.Second
+	maxFailureRank   = 3
+	minTTL           = 100 * time.Millisecond
+	fetchRetryDelay  = 50 * time.Millisecond
 )
 
 var errNoEntries = errors.New("caller: no entry VM answers")
 
-// directory keeps the answer to "which of your addresses do I use".
+// directory caches the list of entry VMs and tracks which addresses fail.
 type directory struct {
-	first []string
-	conns *connections
+	initialAddresses []string
+	conns            *connections
 
-	// asking is held while one goroutine asks; it is taken before mu.
-	asking sync.Mutex
-	// mu guards what follows.
-	mu       sync.Mutex
-	known    []Entry
-	until    time.Time
-	failed   map[string]failure
-	notAgain time.Time
-	turn     int
+	// fetchMu is held by the goroutine that fetches the list. It is locked before
+	// mu.
+	fetchMu sync.Mutex
+	// mu guards the fields below.
+	mu            sync.Mutex
+	cached        []Entry
+	validUntil    time.Time
+	failures      map[string]failure
+	noFetchBefore time.Time
+	nextTurn      int
 }
 
 func newDirectory(first []string, conns *connections) *directory {
-	return &directory{first: first, conns: conns, failed: map[string]failure{}}
+	return &directory{initialAddresses: first, conns: conns, failures: map[string]failure{}}
 }
 
-// entries is what the caller holds, asked for again once it is too old. An old
-// answer is better than none when nobody answers.
-func (d *directory) entries(now time.Time) ([]Entry, error) {
-	if known, fresh := d.held(now); fresh {
+// currentEntries returns the cached list, fetching it again once it has expired.
+// If the fetch fails, an expired list is still used.
+func (d *directory) currentEntries(now time.Time) ([]Entry, error) {
+	if known, fresh := d.lookupCached(now); fresh {
 		return known, nil
 	}
-	d.asking.Lock()
-	defer d.asking.Unlock()
-	if known, fresh := d.held(now); fresh {
+	d.fetchMu.Lock()
+	defer d.fetchMu.Unlock()
+	if known, fresh := d.lookupCached(now); fresh {
 		return known, nil
 	}
-	if err := d.ask(); err != nil {
-		if known, _ := d.held(now); len(known) > 0 {
+	if err := d.fetch(); err != nil {
+		if known, _ := d.lookupCached(now); len(known) > 0 {
 			return known, nil
 		}
 		return nil, err
 	}
-	known, _ := d.held(now)
+	known, _ := d.lookupCached(now)
 	return known, nil
 }
 
-func (d *directory) held(now time.Time) ([]Entry, bool) {
+func (d *directory) lookupCached(now time.Time) ([]Entry, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	fresh := len(d.known) > 0 && (now.Before(d.until) || now.Before(d.notAgain))
-	return d.known, fresh
+	fresh := len(d.cached) > 0 && (now.Before(d.validUntil) || now.Before(d.noFetchBefore))
+	return d.cached, fresh
 }
 
-// ask asks one address after the other until one answers. Those that failed
-// lately come last.
-func (d *directory) ask() error {
-	for _, address := range d.askOrder(time.Now()) {
-		answer, err := d.askOne(address)
+// fetch requests the list from one address after the other until one answers.
+// Addresses that failed recently come last.
+func (d *directory) fetch() error {
+	for _, address := range d.fetchOrder(time.Now()) {
+		answer, err := d.fetchFrom(address)
 		if err != nil {
-			d.fail(address, time.Now())
+			d.recordFailure(address, time.Now())
 			continue
 		}
-		d.keep(answer, time.Now())
+		d.cache(answer, time.Now())
 		return nil
 	}
 	d.mu.Lock()
-	d.notAgain = time.Now().Add(askAgainBefore)
+	d.noFetchBefore = time.Now().Add(fetchRetryDelay)
 	d.mu.Unlock()
 	return errNoEntries
 }
 
-func (d *directory) askOrder(now time.Time) []string {
+func (d *directory) fetchOrder(now time.Time) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	order := slices.Clone(d.first)
-	for _, e := range d.known {
+	order := slices.Clone(d.initialAddresses)
+	for _, e := range d.cached {
 		if !slices.Contains(order, e.Address) {
 			order = append(order, e.Address)
 		}
 	}
 	slices.SortStableFunc(order, func(a, b string) int {
-		return d.failedRank(a, now) - d.failedRank(b, now)
+		return d.failureRank(a, now) - d.failureRank(b, now)
 	})
 	return order
 }
 
-// failedRank is 0 for an address that may be used, and higher the more often it
-// has failed without an answer in between: a VM that is only slow answers some
-// requests, one behind a cut path none.
-func (d *directory) failedRank(address string, now time.Time) int {
-	f := d.failed[address]
-	if now.Before(f.until) {
-		return min(f.times, worstFailure)
+// failureRank is 0 for an address that may be used. Otherwise it grows with the
+// number of failures since the last answer: a VM that is only slow answers some
+// requests, an unreachable one answers none.
+func (d *directory) failureRank(address string, now time.Time) int {
+	f := d.failures[address]
+	if now.Before(f.avoidUntil) {
+		return min(f.count, maxFailureRank)
 	}
 	return 0
 }
 
-func (d *directory) askOne(address string) (EntriesAnswer, error) {
+func (d *directory) fetchFrom(address string) (EntriesAnswer, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + address + entriesPath)
-	if err := d.conns.to(address).DoTimeout(req, resp, askTimeout); err != nil {
+	if err := d.conns.clientFor(address).DoTimeout(req, resp, fetchTimeout); err != nil {
 		return EntriesAnswer{}, err
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
@@ -149,75 +151,76 @@
 	return answer, nil
 }
 
-func (d *directory) keep(answer EntriesAnswer, now time.Time) {
-	keep := max(time.Duration(answer.TTLMS)*time.Millisecond, shortestKeep)
+func (d *directory) cache(answer EntriesAnswer, now time.Time) {
+	ttl := max(time.Duration(answer.TTLMS)*time.Millisecond, minTTL)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.known = answer.Entries
-	d.until = now.Add(keep)
+	d.cached = answer.Entries
+	d.validUntil = now.Add(ttl)
 }
 
-// failure is what a caller remembers of an address that did not answer.
+// failure counts the failures of an address.
 type failure struct {
-	// times counts failures since the last answer.
-	times int
-	until time.Time
+	// count is the number of failures since the last answer.
+	count      int
+	avoidUntil time.Time
 }
 
-// fail passes an address over for a while, for longer each time. Failures while
-// it is passed over belong to requests sent before, and count as one.
-func (d *directory) fail(address string, now time.Time) {
+// recordFailure excludes an address for a while, twice as long after each failure
+// up to maxAvoidTime. Further failures during that time are ignored: they belong
+// to requests that were sent before it.
+func (d *directory) recordFailure(address string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f := d.failed[address]
-	if now.Before(f.until) {
+	f := d.failures[address]
+	if now.Before(f.avoidUntil) {
 		return
 	}
-	f.times++
-	f.until = now.Add(min(failedFor<<min(f.times-1, 10), longestFailed))
-	d.failed[address] = f
+	f.count++
+	f.avoidUntil = now.Add(min(initialAvoidTime<<min(f.count-1, 10), maxAvoidTime))
+	d.failures[address] = f
 }
 
-// answered forgets the failures of an address.
-func (d *directory) answered(address string) {
+// recordSuccess clears the failures of an address.
+func (d *directory) recordSuccess(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.failed, address)
+	delete(d.failures, address)
 }
 
-// choose picks the address for the next try.
-func (d *directory) choose(tried map[string]int, now time.Time) (string, error) {
-	entries, err := d.entries(now)
+// chooseAddress returns the address for the next try.
+func (d *directory) chooseAddress(tried map[string]int, now time.Time) (string, error) {
+	entries, err := d.currentEntries(now)
 	if err != nil {
 		return "", err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.turn++
-	return pick(entries, func(address string) int {
-		return (worstFailure+1)*tried[address] + d.failedRank(address, now)
-	}, d.turn), nil
+	d.nextTurn++
+	return pickEntry(entries, func(address string) int {
+		return (maxFailureRank+1)*tried[address] + d.failureRank(address, now)
+	}, d.nextTurn), nil
 }
 
-// pick takes an entry with the lowest rank, the nearest zone first and in turn
-// among the entries of that zone. Entries must not be empty.
-func pick(entries []Entry, rank func(address string) int, turn int) string {
-	best := rank(entries[0].Address)
+// pickEntry returns an entry with the lowest rank: from the nearest zone that has
+// one, round-robin within the zone. Entries must not be empty.
+func pickEntry(entries []Entry, rank func(address string) int, turn int) string {
+	lowest := rank(entries[0].Address)
 	for _, e := range entries {
-		best = min(best, rank(e.Address))
+		lowest = min(lowest, rank(e.Address))
 	}
-	var same []string
+	var candidates []string
 	zone := ""
 	for _, e := range entries {
-		if rank(e.Address) != best {
+		if rank(e.Address) != lowest {
 			continue
 		}
-		if len(same) == 0 {
+		if len(candidates) == 0 {
 			zone = e.Zone
 		}
 		if e.Zone == zone {
-			same = append(same, e.Address)
+			candidates = append(candidates, e.Address)
 		}
 	}
-	return same[turn%len(same)]
+	return candidates[turn%len(candidates)]
 }
--- a/internal/load/caller/fake_test.go
+++ b/internal/load/caller/fake_test.go
@@ -17,27 +17,27 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// fakeEntry answers as an entry VM does.
+// fakeEntry is a server that answers as an entry VM does.
 type fakeEntry struct {
 	address string
 	server  *fasthttp.Server
-	// listener is closed by stop, also when server has not begun to serve.
+	// listener is closed by stop, even if server hasn't started to serve.
 	listener net.Listener
 
 	mu sync.Mutex
-	// keys are the idempotency keys seen, in order.
+	// keys are the idempotency keys received, in order.
 	keys []string
-	// entries is what it answers for /v1/entries.
+	// entries is the response to /v1/entries.
 	entries []Entry
-	// refuse is answered instead of a result, when set.
+	// refuse, if set, is answered instead of a result.
 	refuse *problem.Problem
-	// streamWords cuts a stream after this many words; -1 ends it regularly.
+	// streamWords truncates a stream after this many words; -1 sends it in full.
 	streamWords int
-	// hold keeps a cut stream open until it is closed; nil ends it at once.
+	// hold, if not nil, keeps a truncated stream open until the channel is closed.
 	hold chan struct{}
 }
 
-func startFake(t *testing.T) *fakeEntry {
+func startFakeEntry(t *testing.T) *fakeEntry {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -49,7 +49,7 @@
 	return f
 }
 
-// stop frees the address, so that connections to it are refused.
+// stop closes the listener, so that connections are refused.
 func (f *fakeEntry) stop() {
 	_ = f.listener.Close()
 	_ = f.server.Shutdown()
@@ -113,13 +113,13 @@
 	return strings.Join(all, " ")
 }
 
-func (f *fakeEntry) seen() []string {
+func (f *fakeEntry) receivedKeys() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.keys
 }
 
-func callOf(kind Kind) Call {
+func newCall(kind Kind) Call {
 	return Call{
 		Kind: kind, BearerKey: "k", IdempotencyKey: "key-1", Ref: "a1", Pipeline: "quote", Input: "a hall",
 		MaxTokens: 5, Service: "booking", Method: "POST", Path: "/confirm",
--- a/internal/load/caller/retry.go
+++ b/internal/load/caller/retry.go
@@ -7,58 +7,60 @@
 )
 
 const (
-	firstBackoff   = 10 * time.Millisecond
-	longestBackoff = 500 * time.Millisecond
-	mostTries      = 12
+	initialBackoff = 10 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond
+	maxTries       = 12
 )
 
-// move is what a caller does after a try.
-type move struct {
-	// again says that the request is tried once more, after wait.
-	again bool
+// retryDecision is what a caller does after a try.
+type retryDecision struct {
+	// retry is true if the request is sent once more, after wait.
+	retry bool
 	wait  time.Duration
-	// failed says that the address should be passed over for a while.
-	failed bool
+	// avoidAddress is true if the address should not be used for a while.
+	avoidAddress bool
 }
 
-// next decides after a try. An error that asks to come back (503, or 409 while
-// another try of the same key runs) is tried at another address: at once the
-// first time, since one leaving VM says nothing of the others, and then not
-// before Retry-After, so that callers do not multiply an overload. A connection
-// that was refused or broke is tried elsewhere under the same idempotency key.
-func next(a answer, tries int, left time.Duration, jitter float64) move {
+// decideRetry decides whether to retry after a try. A 503 with a retry time is
+// retried at another address: immediately after the first try, since one VM that
+// is shutting down says nothing about the others, and otherwise not before the
+// retry time, so that callers don't amplify an overload. A 409 with a retry time
+// means that another try with the same key is running, and always waits. After a
+// refused or broken connection the request is retried at another address under
+// the same idempotency key.
+func decideRetry(a answer, tries int, left time.Duration, jitter float64) retryDecision {
 	if a.problem != nil {
-		return nextAfterProblem(a, tries, left, jitter)
+		return decideAfterProblem(a, tries, left, jitter)
 	}
 	if a.err == nil {
-		return move{}
+		return retryDecision{}
 	}
 	wait := backoff(tries, jitter)
 	if a.refusedConnection && tries == 1 {
 		wait = 0
 	}
-	return move{again: tries < mostTries && wait < left, wait: wait, failed: true}
+	return retryDecision{retry: tries < maxTries && wait < left, wait: wait, avoidAddress: true}
 }
 
-func nextAfterProblem(a answer, tries int, left time.Duration, jitter float64) move {
+func decideAfterProblem(a answer, tries int, left time.Duration, jitter float64) retryDecision {
 	after := a.retryAfter
 	if a.problem.RetryAfterMS > 0 {
 		after = time.Duration(a.problem.RetryAfterMS) * time.Millisecond
 	}
 	if after <= 0 || (a.problem.Status != http.StatusServiceUnavailable && a.problem.Status != http.StatusConflict) {
-		return move{}
+		return retryDecision{}
 	}
 	wait := time.Duration(0)
 	if tries > 1 || a.problem.Status == http.StatusConflict {
-		wait = after + time.Duration(jitter*float64(firstBackoff))
+		wait = after + time.Duration(jitter*float64(initialBackoff))
 	}
-	return move{again: tries < mostTries && wait < left, wait: wait}
+	return retryDecision{retry: tries < maxTries && wait < left, wait: wait}
 }
 
-// backoff doubles with each try, with full jitter (0 to 1).
+// backoff is exponential with full jitter; jitter is a random number from 0 to 1.
 func backoff(tries int, jitter float64) time.Duration {
-	longest := min(firstBackoff<<min(tries, 10), longestBackoff)
-	return time.Duration(jitter * float64(longest))
+	ceiling := min(initialBackoff<<min(tries, 10), maxBackoff)
+	return time.Duration(jitter * float64(ceiling))
 }
 
 func randomJitter() float64 { return rand.Float64() }
--- a/internal/load/caller/send.go
+++ b/internal/load/caller/send.go
@@ -19,7 +19,7 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// Headers of the callers' interface.
+// Headers of the API for callers.
 const (
 	headerTimeout      = "Request-Timeout" // milliseconds
 	headerRetryAttempt = "Retry-Attempt"   // tries before this one
@@ -33,26 +33,27 @@
 	Stream    bool   `json:"stream"`
 }
 
-// pipelineAnswer is what the checks need of a pipeline's JSON answer.
+// pipelineAnswer holds the fields of a pipeline's JSON answer that are checked.
 type pipelineAnswer struct {
 	Output string `json:"output"`
 }
 
-// answer is what one try brought.
+// answer is the result of one try.
 type answer struct {
 	status    int
 	requestID string
 	// output is the generated text, or the body of a service's answer.
 	output string
-	// ended says that the answer came to its regular end.
+	// ended is true if the answer was received up to its end.
 	ended bool
-	// problem is the system's error, if it gave one.
+	// problem is the error response of the system, if any.
 	problem    *problem.Problem
 	retryAfter time.Duration
 	firstToken time.Time
-	// err is a failure of the connection.
+	// err is a connection or decoding error.
 	err error
-	// refusedConnection says that nothing of the request was sent.
+	// refusedConnection is true if the connection could not be established, so
+	// that nothing was sent.
 	refusedConnection bool
 }
 
@@ -61,12 +62,13 @@
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	writeRequest(req, address, call, time.Now())
-	// The system can say "not run" of a first try without asking anyone.
+	// For a first try, the system can answer "not run" without checking whether
+	// an earlier try ran.
 	req.Header.Set(headerRetryAttempt, strconv.Itoa(try-1))
 	resp.StreamBody = call.Kind == KindStream
-	err := conns.to(address).DoDeadline(req, resp, call.Deadline().Add(c.grace))
+	err := conns.clientFor(address).DoDeadline(req, resp, call.Deadline().Add(c.gracePeriod))
 	if err != nil {
-		return answer{err: err, refusedConnection: neverSent(err)}
+		return answer{err: err, refusedConnection: isDialError(err)}
 	}
 	got := answer{
 		status:     resp.StatusCode(),
@@ -77,12 +79,12 @@
 		readStreamed(resp, &got)
 		return got
 	}
-	got.readWhole(resp.Body(), call.Kind)
+	got.readBody(resp.Body(), call.Kind)
 	return got
 }
 
-// neverSent is true for a connection that did not come about.
-func neverSent(err error) bool {
+// isDialError reports whether the connection could not be established.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, fasthttp.ErrDialTimeout) ||
 		(errors.As(err, &op) && op.Op == "dial")
@@ -111,7 +113,7 @@
 	}))
 }
 
-func (a *answer) readWhole(body []byte, kind Kind) {
+func (a *answer) readBody(body []byte, kind Kind) {
 	if a.status >= http.StatusBadRequest {
 		a.problem = readProblem(a.status, body)
 		return
@@ -128,8 +130,8 @@
 	a.output, a.ended = got.Output, true
 }
 
-// readProblem accepts any error body: an error that is not problem+json has
-// an unknown execution.
+// readProblem decodes an error response. If the body isn't problem+json, the
+// execution is unknown.
 func readProblem(status int, body []byte) *problem.Problem {
 	var p problem.Problem
 	if json.Unmarshal(body, &p) == nil && p.Execution != "" {
@@ -142,7 +144,7 @@
 func readStreamed(resp *fasthttp.Response, got *answer) {
 	stream := resp.BodyStream()
 	if stream == nil {
-		got.readWhole(resp.Body(), KindStream)
+		got.readBody(resp.Body(), KindStream)
 		return
 	}
 	defer func() { _ = resp.CloseBodyStream() }()
@@ -166,8 +168,8 @@
 	doneData   = "[DONE]"
 )
 
-// readEvents reads to the end of the stream. Only a stream that says [DONE] or
-// carries an error event has ended; one that just stops was cut.
+// readEvents reads server-sent events to the end of the stream. A stream is
+// complete only if it has a [DONE] or an error event; otherwise it was truncated.
 func readEvents(stream io.Reader, got *answer) {
 	lines := bufio.NewReader(stream)
 	var output strings.Builder
@@ -187,13 +189,13 @@
 		case strings.HasPrefix(text, eventField):
 			event = strings.TrimSpace(strings.TrimPrefix(text, eventField))
 		case strings.HasPrefix(text, dataField):
-			got.takeEvent(event, strings.TrimPrefix(strings.TrimPrefix(text, dataField), " "), &output)
+			got.handleEvent(event, strings.TrimPrefix(strings.TrimPrefix(text, dataField), " "), &output)
 		}
 	}
 	got.output = output.String()
 }
 
-func (a *answer) takeEvent(event, data string, output *strings.Builder) {
+func (a *answer) handleEvent(event, data string, output *strings.Builder) {
 	if event == errorEvent {
 		a.problem = readProblem(a.status, []byte(data))
 		return
--- a/internal/load/check/words.go
+++ b/internal/load/check/output.go
@@ -1,6 +1,6 @@
-// Package check judges answers and whole runs: whether an answer is whole and
-// belongs to the request that asked for it, and whether what the targets
-// counted agrees with what the callers were told.
+// Package check verifies the answers and totals of a load test: whether an answer
+// is complete and belongs to its request, and whether the responses to callers
+// agree with the executions that the targets recorded.
 package check
 
 import (
@@ -9,30 +9,30 @@
 	"strings"
 )
 
-// Finding is what is wrong with an answer.
+// Finding is the result of checking an answer.
 type Finding string
 
-// The findings. Complete is the only good one.
+// The findings. Complete is the only one without a fault.
 const (
 	Complete       Finding = "whole"
-	Partial        Finding = "partial" // words are missing at the end or in the middle
-	Duplicated     Finding = "doubled" // a word stands twice
-	ForeignContent Finding = "crossed" // something belongs to another request
+	Partial        Finding = "partial" // words are missing or surplus
+	Duplicated     Finding = "doubled" // a word is repeated
+	ForeignContent Finding = "crossed" // it contains output of another request
 )
 
 var refPattern = regexp.MustCompile(`\[ref:([A-Za-z0-9_-]+)\]`)
 
-// RefMarker is the text by which a request names itself in an input.
+// RefMarker returns the text that identifies a request in its input.
 func RefMarker(ref string) string { return "[ref:" + ref + "]" }
 
-// PipelineOutput judges the output of a generation: the words "ref:0" to
+// PipelineOutput checks generated text, which must consist of the words "ref:0" to
 // "ref:count-1", in order, once each.
 func PipelineOutput(ref string, count int, output string) Finding {
 	words := strings.Fields(output)
 	next := 0
 	for _, word := range words {
-		number, own := ownNumber(ref, word)
-		if !own {
+		number, matches := wordIndex(ref, word)
+		if !matches {
 			return ForeignContent
 		}
 		if number < next {
@@ -49,9 +49,9 @@
 	return Complete
 }
 
-// ownNumber is the number of a word "ref:number". A word that was cut within
-// its number is told by the count of words, not here.
-func ownNumber(ref, word string) (int, bool) {
+// wordIndex returns the number of a word "ref:number". A word truncated within its
+// number isn't detected here but by the sequence of the numbers.
+func wordIndex(ref, word string) (int, bool) {
 	digits, found := strings.CutPrefix(word, ref+":")
 	if !found {
 		return 0, false
@@ -60,8 +60,8 @@
 	return number, err == nil && number >= 0
 }
 
-// ServiceAnswer judges the answer of a plain service, which repeats the mark of the
-// request that it served.
+// ServiceAnswer checks the answer of a plain service, which must repeat the marker
+// of the request.
 func ServiceAnswer(ref, body string) Finding {
 	marks := refPattern.FindAllStringSubmatch(body, -1)
 	for _, mark := range marks {
--- a/internal/load/check/words_test.go
+++ b/internal/load/check/output_test.go
@@ -6,18 +6,18 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestWords(t *testing.T) {
+func TestPipelineOutput(t *testing.T) {
 	cases := []struct {
 		name, output string
 		want         Finding
 	}{
-		{"whole", "a:0 a:1 a:2", Complete},
+		{"complete", "a:0 a:1 a:2", Complete},
 		{"empty", "", Partial},
 		{"cut at the end", "a:0 a:1", Partial},
-		{"hole", "a:0 a:2", Partial},
-		{"one too many", "a:0 a:1 a:2 a:3", Partial},
+		{"word missing in the middle", "a:0 a:2", Partial},
+		{"one word too many", "a:0 a:1 a:2 a:3", Partial},
 		{"word twice after a resumed stream", "a:0 a:1 a:1 a:2", Duplicated},
-		{"begins again", "a:0 a:1 a:2 a:0", Duplicated},
+		{"restarts at the first word", "a:0 a:1 a:2 a:0", Duplicated},
 		{"another request's word", "a:0 b:1 a:2", ForeignContent},
 		{"another request's answer", "b:0 b:1 b:2", ForeignContent},
 		{"longer ref with the same start", "a:0 ab:1 a:2", ForeignContent},
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestService(t *testing.T) {
+func TestServiceAnswer(t *testing.T) {
 	assert.Equal(t, ServiceAnswer("a", `{"echo":"book hall [ref:a]"}`), Complete)
 	assert.Equal(t, ServiceAnswer("a", `{"echo":"book hall [ref:b]"}`), ForeignContent)
 	assert.Equal(t, ServiceAnswer("a", `{}`), Partial)
--- a/internal/load/check/totals.go
+++ b/internal/load/check/totals.go
@@ -7,53 +7,55 @@
 	"github.com/vanillagate/vanillagate/internal/problem"
 )
 
-// CompletedRequest is what the checks need of a request that has ended.
+// CompletedRequest holds the facts about a completed request that ComputeTotals needs.
 type CompletedRequest struct {
 	IdempotencyKey string
 	NonIdempotent  bool
-	// RefusedRequestID is the identity that the system gave to the try that it refused
-	// last.
+	// RefusedRequestID is the request ID of the try that was refused last.
 	RefusedRequestID string
-	// Answered says that the caller got a whole answer to its own request.
+	// Answered is true if the caller got a complete answer that belongs to the
+	// request.
 	Answered bool
-	// Refused says that it got a clear error.
+	// Refused is true if the caller got an explicit error.
 	Refused bool
-	// InTime says that the answer came before the caller's deadline.
+	// InTime is true if the answer arrived by the caller's deadline.
 	InTime bool
-	// Poison says that nobody can answer the request. It counts for the
-	// promises, not for the attainment.
+	// Poison is true if the request crashes every target that runs it. It is
+	// checked for double execution, wrong answers and false "not run" errors, but
+	// doesn't count for the attainment.
 	Poison    bool
 	Finding   Finding
 	Execution problem.Execution
 }
 
-// Totals is the verdict on a run.
+// Totals counts the requests of a run by their results.
 type Totals struct {
 	Requests int `json:"requests"`
-	// Answered counts requests with a whole answer, late ones included.
+	// Answered counts requests with a complete answer, including late ones.
 	Answered int `json:"answered"`
-	// InTime counts requests answered once, whole and in time.
+	// InTime counts requests with a complete answer by their deadline, except those
+	// in RanTwice.
 	InTime int `json:"in_time"`
-	// Refused counts requests that got a clear error.
+	// Refused counts requests that got an explicit error.
 	Refused int `json:"refused"`
-	// Lost counts requests that got neither a whole answer nor a clear error.
+	// Lost counts requests that got neither a complete answer nor an explicit error.
 	Lost int `json:"lost"`
 	// RanTwice counts non-idempotent requests that targets ran more than once.
 	RanTwice int `json:"doubled"`
-	// WrongAnswers counts answers that hold something of another request.
+	// WrongAnswers counts answers that contain output of another request.
 	WrongAnswers int `json:"crossed"`
-	// FalseNotRun counts requests that were told "not run" and ran: by the key
-	// of non-idempotent ones, by the refused try of others.
+	// FalseNotRun counts requests whose error said "not run" although they ran.
+	// Non-idempotent requests are matched by idempotency key, others by the
+	// request ID of the refused try.
 	FalseNotRun int `json:"false_not_run"`
-	// Poison counts requests that nobody could answer; they are in none of the
-	// counts above but RanTwice, WrongAnswers and FalseNotRun.
+	// Poison counts requests that crash every target. Of the counts above, they
+	// are only in RanTwice, WrongAnswers and FalseNotRun.
 	Poison int `json:"poison,omitempty"`
-	// Executions counts what the targets ran.
+	// Executions counts the calls that targets ran.
 	Executions int `json:"executions"`
 }
 
-// Attainment is the share of requests answered once, whole and in time. A run
-// without requests has attained nothing.
+// Attainment is InTime as a share of Requests, and 0 for a run without requests.
 func (t Totals) Attainment() float64 {
 	if t.Requests == 0 {
 		return 0
@@ -61,25 +63,26 @@
 	return float64(t.InTime) / float64(t.Requests)
 }
 
-// ComputeTotals compares what the callers were told with what the targets ran.
-func ComputeTotals(ended []CompletedRequest, executions []control.Execution) Totals {
-	ran := newWitness(executions)
+// ComputeTotals compares the responses to callers with the executions that targets
+// recorded.
+func ComputeTotals(requests []CompletedRequest, executions []control.Execution) Totals {
+	counts := countExecutions(executions)
 	totals := Totals{Executions: len(executions)}
-	for _, e := range ended {
-		totals.add(e, ran)
+	for _, e := range requests {
+		totals.add(e, counts)
 	}
 	return totals
 }
 
-func (t *Totals) add(e CompletedRequest, ran witness) {
-	doubled := e.NonIdempotent && ran.byKey[e.IdempotencyKey] > 1
-	if doubled {
+func (t *Totals) add(e CompletedRequest, counts executionCounts) {
+	ranTwice := e.NonIdempotent && counts.byKey[e.IdempotencyKey] > 1
+	if ranTwice {
 		t.RanTwice++
 	}
 	if e.Finding == ForeignContent {
 		t.WrongAnswers++
 	}
-	if e.Refused && e.Execution == problem.NotRun && ran.ran(e) {
+	if e.Refused && e.Execution == problem.NotRun && counts.hasRun(e) {
 		t.FalseNotRun++
 	}
 	if e.Poison {
@@ -95,36 +98,36 @@
 	default:
 		t.Lost++
 	}
-	if e.Answered && e.InTime && !doubled {
+	if e.Answered && e.InTime && !ranTwice {
 		t.InTime++
 	}
 }
 
-// witness knows what the targets ran.
-type witness struct {
+// executionCounts counts executions by idempotency key and by request ID.
+type executionCounts struct {
 	byKey     map[string]int
 	byRequest map[string]int
 }
 
-func newWitness(executions []control.Execution) witness {
-	w := witness{byKey: map[string]int{}, byRequest: map[string]int{}}
+func countExecutions(executions []control.Execution) executionCounts {
+	counts := executionCounts{byKey: map[string]int{}, byRequest: map[string]int{}}
 	for _, x := range executions {
 		if x.IdempotencyKey != "" {
-			w.byKey[x.IdempotencyKey]++
+			counts.byKey[x.IdempotencyKey]++
 		}
 		request, _, _ := strings.Cut(x.RequestID, "/")
-		w.byRequest[request]++
+		counts.byRequest[request]++
 	}
-	return w
+	return counts
 }
 
-// ran says whether what was refused as "not run" ran. The refusal of a
-// non-idempotent request speaks of its key: its caller must be able to take
-// "not run" for the whole truth. The refusal of an idempotent one speaks of the
-// try, since its caller may have tried it at a VM that died.
-func (w witness) ran(e CompletedRequest) bool {
-	if e.NonIdempotent && w.byKey[e.IdempotencyKey] > 0 {
+// hasRun reports whether a request that was refused as "not run" ran. For a
+// non-idempotent request, no try with its key may have run: its caller relies on
+// "not run" to submit it again. For an idempotent one only the refused try
+// counts, since an earlier try may have run at a VM that died.
+func (c executionCounts) hasRun(e CompletedRequest) bool {
+	if e.NonIdempotent && c.byKey[e.IdempotencyKey] > 0 {
 		return true
 	}
-	return e.RefusedRequestID != "" && w.byRequest[e.RefusedRequestID] > 0
+	return e.RefusedRequestID != "" && c.byRequest[e.RefusedRequestID] > 0
 }
--- a/internal/load/check/totals_test.go
+++ b/internal/load/check/totals_test.go
@@ -9,7 +9,7 @@
 	"github.com/vanillagate/vanillagate/internal/problem"
 )
 
-func TestJudge(t *testing.T) {
+func TestComputeTotals(t *testing.T) {
 	executions := []control.Execution{
 		{IdempotencyKey: "twice", RequestID: "r1/service/1"},
 		{IdempotencyKey: "twice", RequestID: "r2/service/1"},
@@ -35,9 +35,9 @@
 }
 
 // The first entry VM ran the request and died; the second refuses the same
-// request as "not run". For a booking that is false, and the client would book
-// again elsewhere. For a quote it is true of the second try, which is all that
-// an idempotent request needs.
+// request as "not run". For a non-idempotent request that is false: the client
+// would submit it again and it would run twice. For an idempotent one it only has
+// to be true of the second try.
 func TestNotRunAfterAnEarlierTry(t *testing.T) {
 	executions := []control.Execution{{IdempotencyKey: "k", RequestID: "r1/s/1"}, {RequestID: "r2/s/1"}}
 	refused := CompletedRequest{IdempotencyKey: "k", RefusedRequestID: "r3", Refused: true, Execution: problem.NotRun}
--- a/internal/load/control/control.go
+++ b/internal/load/control/control.go
@@ -1,5 +1,5 @@
-// Package control is the client of the stand-ins' control listener: it reads
-// what the targets counted and switches faults.
+// Package control is a client of the stand-ins' control listener: it reads the
+// executions that targets recorded and sets faults and VM states.
 package control
 
 import (
@@ -13,18 +13,18 @@
 )
 
 const (
-	timeout = 10 * time.Second
-	// DefaultIdleWait is a usual limit for CountsWhenIdle.
-	DefaultIdleWait = 2 * time.Second
-	settlePeriod    = 50 * time.Millisecond
-	countsPath      = "/counts"
-	resetPath       = "/counts/reset"
-	summaryPath     = "/summary"
-	faultsPath      = "/faults"
-	vmStatePath     = "/vms/state"
+	callTimeout = 10 * time.Second
+	// DefaultIdleWait is the default limit for CountsWhenIdle.
+	DefaultIdleWait  = 2 * time.Second
+	idlePollInterval = 50 * time.Millisecond
+	countsPath       = "/counts"
+	resetPath        = "/counts/reset"
+	summaryPath      = "/summary"
+	faultsPath       = "/faults"
+	vmStatePath      = "/vms/state"
 )
 
-// Execution is one call that a target ran.
+// Execution is the record of a call that a target ran.
 type Execution struct {
 	Target         string `json:"target"`
 	Pool           string `json:"pool"`
@@ -40,65 +40,66 @@
 	CachedTokens   int    `json:"cached_tokens"`
 }
 
-// Counts answers GET /counts.
+// Counts is the response to GET /counts.
 type Counts struct {
 	Executions []Execution `json:"executions"`
 }
 
-// FaultRequest replaces the fault of a scope; an empty Fault clears it.
+// FaultRequest sets the fault of a scope; {} as Fault clears it.
 type FaultRequest struct {
 	Scope string          `json:"scope"`
 	Fault json.RawMessage `json:"fault"`
 }
 
-// VMStateRequest orders a row of the VM list into a state.
+// VMStateRequest sets the state of a VM in the VM list.
 type VMStateRequest struct {
 	Address string `json:"address"`
 	State   string `json:"state"`
 }
 
-// Client talks to one control listener.
+// Client sends requests to a control listener.
 type Client struct {
 	address string
 	client  *fasthttp.Client
 }
 
-// New is a client of the control listener at an IP:port.
+// New returns a client of the control listener at an IP:port.
 func New(address string) *Client {
 	return &Client{address: address, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}}
 }
 
-// Counts lists every call that the targets ran since the last Reset.
+// Counts returns every call that the targets ran since the last Reset.
 func (c *Client) Counts() (Counts, error) {
 	var counts Counts
 	err := c.do(http.MethodGet, countsPath, nil, &counts)
 	return counts, err
 }
 
-// CountsWhenIdle reads the counts once every call has ended, or when limit has passed:
-// a call that still runs as the last answer arrives may be a second execution.
+// CountsWhenIdle returns the counts once no call is running, or after limit. A call
+// that still runs when the last answer arrives may be a second execution of the
+// same request.
 func (c *Client) CountsWhenIdle(limit time.Duration) (Counts, error) {
-	for until := time.Now().Add(limit); ; time.Sleep(settlePeriod) {
+	for until := time.Now().Add(limit); ; time.Sleep(idlePollInterval) {
 		counts, err := c.Counts()
-		if err != nil || !counts.running() || time.Now().After(until) {
+		if err != nil || !counts.hasRunningCalls() || time.Now().After(until) {
 			return counts, err
 		}
 	}
 }
 
-func (c Counts) running() bool {
+func (c Counts) hasRunningCalls() bool {
 	return slices.ContainsFunc(c.Executions, func(x Execution) bool { return !x.Finished && !x.Cancelled })
 }
 
-// Reset forgets the executions so far.
+// Reset deletes the recorded executions.
 func (c *Client) Reset() error { return c.do(http.MethodPost, resetPath, nil, nil) }
 
-// SetFault switches a fault.
+// SetFault sets or clears a fault.
 func (c *Client) SetFault(order FaultRequest) error {
 	return c.do(http.MethodPut, faultsPath, order, nil)
 }
 
-// SetVMState changes a row of the VM list.
+// SetVMState sets the state of a VM in the VM list.
 func (c *Client) SetVMState(state VMStateRequest) error {
 	return c.do(http.MethodPost, vmStatePath, state, nil)
 }
@@ -117,7 +118,7 @@
 		req.Header.SetContentType("application/json")
 		req.SetBody(raw)
 	}
-	if err := c.client.DoTimeout(req, resp, timeout); err != nil {
+	if err := c.client.DoTimeout(req, resp, callTimeout); err != nil {
 		return fmt.Errorf("control: %s %s: %w", method, path, err)
 	}
 	if resp.StatusCode() >= http.StatusBadRequest {
--- a/internal/load/control/control_test.go
+++ b/internal/load/control/control_test.go
@@ -14,7 +14,8 @@
 	"github.com/vanillagate/vanillagate/internal/targetapi"
 )
 
-// The real stand-ins answer here, so that both sides agree on the formats.
+// Runs against the real stand-ins, so that a difference between the formats of
+// client and server fails the test.
 func TestClientAndStandInsAgree(t *testing.T) {
 	file := fleet.File{
 		Table: "127.0.0.1:0", Objects: "127.0.0.1:0", VMList: "127.0.0.1:0", Control: "127.0.0.1:0",
@@ -26,7 +27,7 @@
 	target := stands.Targets["booking"][0]
 	c := New(stands.Control)
 
-	assert.Equal(t, call(t, target), http.StatusOK)
+	assert.Equal(t, confirmStatus(t, target), http.StatusOK)
 	counts, err := c.CountsWhenIdle(DefaultIdleWait)
 	assert.NilError(t, err)
 	assert.Equal(t, len(counts.Executions), 1)
@@ -37,7 +38,7 @@
 	assert.Assert(t, got.Finished && got.EngineUS > 0)
 
 	assert.NilError(t, c.SetFault(FaultRequest{Scope: "pool:booking", Fault: json.RawMessage(`{"refuse":true}`)}))
-	assert.Equal(t, call(t, target), http.StatusServiceUnavailable)
+	assert.Equal(t, confirmStatus(t, target), http.StatusServiceUnavailable)
 	assert.NilError(t, c.SetFault(FaultRequest{Scope: "pool:booking", Fault: json.RawMessage(`{}`)}))
 	assert.NilError(t, c.Reset())
 	counts, err = c.Counts()
@@ -49,7 +50,7 @@
 	assert.ErrorContains(t, c.SetFault(FaultRequest{Scope: "pool:none", Fault: json.RawMessage(`{}`)}), "no such scope")
 }
 
-func call(t *testing.T, target string) int {
+func confirmStatus(t *testing.T, target string) int {
 	t.Helper()
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/load/fault/fault_test.go
+++ b/internal/load/fault/fault_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestPlanOrdersAndRepeats(t *testing.T) {
+func TestPlanSortsAndRepeatsEvents(t *testing.T) {
 	down := json.RawMessage(`{"down":true}`)
 	s := &experiment.Scenario{Shape: &shape.Shape{}, Faults: []experiment.Fault{
 		{At: 0.5, Until: 0.75, Platform: &experiment.PlatformFault{Scope: "table", Fault: down}},
@@ -73,10 +73,10 @@
 	})
 }
 
-// An entry VM is killed while it is being replaced, so that its process id is
-// not known for a moment. A fault that was left out would make the run show a
-// better attainment than the scenario has.
-func TestSignalWaitsForTheReplacement(t *testing.T) {
+// An entry VM gets a signal while it is being replaced, when its PID file is
+// missing for a moment. If the signal were skipped, the run would show a better
+// attainment than the scenario has.
+func TestSignalWaitsForReplacedEntry(t *testing.T) {
 	process := exec.Command("sleep", "60")
 	assert.NilError(t, process.Start())
 	dir := t.TempDir()
@@ -91,7 +91,7 @@
 	assert.ErrorContains(t, process.Wait(), "killed")
 }
 
-func TestFaultThatFailsIsTold(t *testing.T) {
+func TestRunReturnsInjectionErrors(t *testing.T) {
 	dir := t.TempDir()
 	assert.NilError(t, os.WriteFile(PIDFile(dir, 0), []byte("1"), 0o600))
 	injector := Injector{PIDDir: dir, Log: io.Discard}
--- a/internal/load/fault/inject.go
+++ b/internal/load/fault/inject.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	replacedWithin = 3 * time.Second
-	lookAgain      = 10 * time.Millisecond
+	replacementTimeout = 3 * time.Second
+	pidPollInterval    = 10 * time.Millisecond
 )
 
-// Injector makes events happen.
+// Injector injects the events of a plan.
 type Injector struct {
 	Control *control.Client
-	// PIDDir holds a file "entry-N.pid" for each entry VM, which the script
-	// that starts them keeps up to date.
+	// PIDDir contains a file "entry-N.pid" for each entry VM, maintained by the
+	// script that starts them.
 	PIDDir string
 	Log    io.Writer
 }
 
-// Run makes every event happen at its time after start, until ctx ends. A
-// fault that could not be injected makes the whole run worthless, so its error
-// is returned; the other events still happen.
+// Run injects every event at its time after start, until ctx is done. The result
+// of a load test is invalid if a fault could not be injected, so the errors are
+// returned; the other events are still injected.
 func (i *Injector) Run(ctx context.Context, start time.Time, events []Event) error {
 	var failed []error
 	for _, event := range events {
@@ -52,30 +52,31 @@
 	if event.Request != nil {
 		return i.Control.SetFault(*event.Request)
 	}
-	pid, err := i.pid(ctx, event.Entry)
+	pid, err := i.waitPID(ctx, event.Entry)
 	if err != nil {
 		return err
 	}
 	return syscall.Kill(pid, event.Signal)
 }
 
-// PIDFile is where the process id of an entry VM is found.
+// PIDFile returns the path of the file with the process ID of an entry VM.
 func PIDFile(dir string, entry int) string {
 	return filepath.Join(dir, "entry-"+strconv.Itoa(entry)+".pid")
 }
 
-// pid waits while an entry VM is being replaced: its file is gone then.
-func (i *Injector) pid(ctx context.Context, entry int) (int, error) {
+// waitPID reads the process ID and retries for replacementTimeout: the file is
+// missing while an entry VM is being replaced.
+func (i *Injector) waitPID(ctx context.Context, entry int) (int, error) {
 	pid, err := ReadPID(i.PIDDir, entry)
-	for until := time.Now().Add(replacedWithin); err != nil; pid, err = ReadPID(i.PIDDir, entry) {
-		if !time.Now().Before(until) || !wait.Until(ctx, time.Now().Add(lookAgain)) {
+	for until := time.Now().Add(replacementTimeout); err != nil; pid, err = ReadPID(i.PIDDir, entry) {
+		if !time.Now().Before(until) || !wait.Until(ctx, time.Now().Add(pidPollInterval)) {
 			return 0, err
 		}
 	}
 	return pid, nil
 }
 
-// ReadPID is the process id of an entry VM.
+// ReadPID reads the process ID of an entry VM.
 func ReadPID(dir string, entry int) (int, error) {
 	raw, err := os.ReadFile(PIDFile(dir, entry))
 	if err != nil {
--- a/internal/load/fault/plan.go
+++ b/internal/load/fault/plan.go
@@ -1,6 +1,6 @@
-// Package fault turns an experiment's faults into events at given times and
-// makes them happen: orders to the stand-ins' control listener, and signals to
-// entry VMs.
+// Package fault converts the faults of an experiment into timed events and injects
+// them: through requests to the control listener of the stand-ins and signals to
+// the processes of entry VMs.
 package fault
 
 import (
@@ -18,27 +18,27 @@
 	"github.com/vanillagate/vanillagate/internal/load/shape"
 )
 
-// Event is one thing that happens. Either Order or Signal is set.
+// Event is a fault that begins or ends. Either Request or Signal is set.
 type Event struct {
-	// At is since the start of the load.
+	// At is the time since the start of the load.
 	At time.Duration
-	// Request goes to the control listener.
+	// Request is sent to the control listener.
 	Request *control.FaultRequest
-	// Signal goes to the entry VM at place Entry.
+	// Signal is sent to the process of the entry VM with index Entry.
 	Signal syscall.Signal
 	Entry  int
 }
 
-// String tells what happens, in words for a log.
+// String describes the event for logs.
 func (e Event) String() string {
 	if e.Request != nil {
-		return fmt.Sprintf("at %s: %s %s", e.At, e.Request.Scope, oneLine(e.Request.Fault))
+		return fmt.Sprintf("at %s: %s %s", e.At, e.Request.Scope, compactJSON(e.Request.Fault))
 	}
 	return fmt.Sprintf("at %s: entry VM %d gets signal %q", e.At, e.Entry, e.Signal)
 }
 
-// oneLine takes the line breaks of the experiment file out.
-func oneLine(raw json.RawMessage) string {
+// compactJSON removes the whitespace of the experiment file.
+func compactJSON(raw json.RawMessage) string {
 	var out bytes.Buffer
 	if err := json.Compact(&out, raw); err != nil {
 		return string(raw)
@@ -46,29 +46,29 @@
 	return out.String()
 }
 
-// healthy clears a scope's fault.
-var healthy = json.RawMessage(`{}`)
+// noFault is the fault value that clears a scope's fault.
+var noFault = json.RawMessage(`{}`)
 
-// Plan lists the events of a scenario in order of time.
+// Plan returns the events of a scenario, sorted by time.
 func Plan(s *experiment.Scenario, fleet shape.Fleet, length time.Duration) []Event {
 	var events []Event
 	if s.CrashingRequests != nil {
-		events = append(events, crashing(s, length)...)
+		events = append(events, crashEvents(s, length)...)
 	}
 	for _, f := range s.Faults {
-		events = append(events, repeated(f, fleet, length)...)
+		events = append(events, repeatedEvents(f, fleet, length)...)
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return events
 }
 
-// repeated lists the events of one fault, as often as it comes.
-func repeated(f experiment.Fault, fleet shape.Fleet, length time.Duration) []Event {
-	at := part(length, f.At)
-	lasts := part(length, f.Until) - at
+// repeatedEvents returns the events of all repetitions of a fault.
+func repeatedEvents(f experiment.Fault, fleet shape.Fleet, length time.Duration) []Event {
+	at := scaleDuration(length, f.At)
+	duration := scaleDuration(length, f.Until) - at
 	var events []Event
-	for turn := 0; at < length; turn++ {
-		events = append(events, once(f, fleet, at, at+lasts, turn)...)
+	for repetition := 0; at < length; repetition++ {
+		events = append(events, singleEvents(f, fleet, at, at+duration, repetition)...)
 		if f.EveryMS <= 0 {
 			break
 		}
@@ -77,53 +77,53 @@
 	return events
 }
 
-func once(f experiment.Fault, fleet shape.Fleet, at, until time.Duration, turn int) []Event {
-	mended := f.Until > 0
+func singleEvents(f experiment.Fault, fleet shape.Fleet, at, until time.Duration, repetition int) []Event {
+	ends := f.Until > 0
 	switch {
 	case f.Platform != nil:
-		return orders([]string{f.Platform.Scope}, f.Platform.Fault, at, until, mended)
+		return faultRequests([]string{f.Platform.Scope}, f.Platform.Fault, at, until, ends)
 	case f.Targets != nil:
-		return orders(scopes(f.Targets, fleet), f.Targets.Fault, at, until, mended)
+		return faultRequests(scopes(f.Targets, fleet), f.Targets.Fault, at, until, ends)
 	default:
-		return signals(f.Entry, len(fleet.Entries), at, until, turn)
+		return signalEvents(f.Entry, len(fleet.Entries), at, until, repetition)
 	}
 }
 
-func orders(scopes []string, fault json.RawMessage, at, until time.Duration, mended bool) []Event {
+func faultRequests(scopes []string, fault json.RawMessage, at, until time.Duration, ends bool) []Event {
 	var events []Event
 	for _, scope := range scopes {
 		events = append(events, Event{At: at, Request: &control.FaultRequest{Scope: scope, Fault: fault}})
-		if mended {
-			events = append(events, Event{At: until, Request: &control.FaultRequest{Scope: scope, Fault: healthy}})
+		if ends {
+			events = append(events, Event{At: until, Request: &control.FaultRequest{Scope: scope, Fault: noFault}})
 		}
 	}
 	return events
 }
 
-// scopes names the targets that a fault concerns.
+// scopes returns the scopes of the targets that a fault affects.
 func scopes(f *experiment.TargetFault, fleet shape.Fleet) []string {
-	var all []string
+	var names []string
 	for _, p := range fleet.Pools {
 		if f.Pool != "" && p.Pool != f.Pool {
 			continue
 		}
 		count := 0
-		for place := range p.Count {
-			if f.Zone != "" && p.Zone(place) != f.Zone {
+		for index := range p.Count {
+			if f.Zone != "" && p.Zone(index) != f.Zone {
 				continue
 			}
 			if f.Count > 0 && count == f.Count {
 				break
 			}
 			count++
-			all = append(all, "target:"+p.Address(place))
+			names = append(names, "target:"+p.Address(index))
 		}
 	}
-	return all
+	return names
 }
 
-func signals(f *experiment.EntryFault, entries int, at, until time.Duration, turn int) []Event {
-	entry := (f.FirstEntry + turn) % entries
+func signalEvents(f *experiment.EntryFault, entries int, at, until time.Duration, repetition int) []Event {
+	entry := (f.FirstEntry + repetition) % entries
 	switch f.Action {
 	case experiment.EntryKill:
 		return []Event{{At: at, Signal: syscall.SIGKILL, Entry: entry}}
@@ -135,8 +135,9 @@
 	return nil
 }
 
-// crashing makes the targets crash on the marker from the start.
-func crashing(s *experiment.Scenario, _ time.Duration) []Event {
+// crashEvents configures the engine pools, from the start, to crash on requests
+// that contain the scenario's marker.
+func crashEvents(s *experiment.Scenario, _ time.Duration) []Event {
 	fault, err := json.Marshal(crashFault{Marker: s.CrashingRequests.Marker, RestartMS: crashRestartMS})
 	if err != nil {
 		panic(err) // a struct of a string and a number always encodes
@@ -150,7 +151,7 @@
 	return events
 }
 
-// crashRestartMS is how long a crashed target stays away.
+// crashRestartMS is the time until a crashed target has restarted.
 const crashRestartMS = 1500
 
 type crashFault struct {
@@ -158,6 +159,6 @@
 	RestartMS int    `json:"restart_ms"`
 }
 
-func part(length time.Duration, share float64) time.Duration {
+func scaleDuration(length time.Duration, share float64) time.Duration {
 	return time.Duration(math.Round(float64(length) * share))
 }
--- a/internal/load/runner/runner.go
+++ b/internal/load/runner/runner.go
@@ -1,4 +1,5 @@
-// Package runner sends planned calls at their times, whatever the answers do.
+// Package runner sends planned calls at their scheduled times, without waiting for
+// answers (open loop).
 package runner
 
 import (
@@ -11,23 +12,24 @@
 	"github.com/vanillagate/vanillagate/internal/wait"
 )
 
-// PlannedCall is a call and when to send it, since the start.
+// PlannedCall is a call and its send time since the start of the run.
 type PlannedCall struct {
 	At   time.Duration
 	Call caller.Call
 }
 
-// Progress counts while a run goes on.
+// Progress counts the calls of a run in progress.
 type Progress struct {
 	Sent, Completed, InTime atomic.Int64
 }
 
-// Run sends every planned call, in order of At after start, and returns the results in the
-// same order once all have ended. The calls go to the callers in turn. When
-// ctx ends, calls not yet sent are left out.
+// Run sends every planned call at its time after start and returns the results in
+// the order of the plan, which must be sorted by At, once all calls have
+// completed. Calls are distributed round-robin over the callers. Once ctx is done,
+// no further calls are sent, and these have no result.
 func Run(ctx context.Context, callers []*caller.Caller, plan []PlannedCall, start time.Time, progress *Progress) []caller.Result {
 	results := make([]caller.Result, len(plan))
-	var running sync.WaitGroup
+	var inFlight sync.WaitGroup
 	sent := 0
 	for i, planned := range plan {
 		if !wait.Until(ctx, start.Add(planned.At)) {
@@ -37,13 +39,13 @@
 		call.Scheduled = start.Add(planned.At)
 		sent++
 		progress.Sent.Add(1)
-		running.Go(func() {
+		inFlight.Go(func() {
 			results[i] = callers[i%len(callers)].Do(ctx, call)
 			results[i].ScheduledOffset = planned.At
 			progress.count(results[i])
 		})
 	}
-	running.Wait()
+	inFlight.Wait()
 	return results[:sent]
 }
 
--- a/internal/load/setup/setup.go
+++ b/internal/load/setup/setup.go
@@ -1,5 +1,5 @@
-// Package setup has a fresh deployment accept the configuration of a shape, as
-// an operator would, and waits until it is in force and requests get through.
+// Package setup configures a new deployment from a shape through the API for
+// operators, and waits until entry VMs are up and have the configuration in force.
 package setup
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/vanillagate/vanillagate/internal/load/shape"
 )
 
-// Headers and paths of the operators' interface.
+// Headers and paths of the API for operators.
 const (
 	headerIfMatch  = "If-Match"
 	headerChangeID = "Change-Id"
@@ -29,36 +29,36 @@
 	healthPath     = "/healthz"
 	operatorName   = "vgload"
 	callTimeout    = 3 * time.Second
-	pollPeriod     = 25 * time.Millisecond
+	pollInterval   = 25 * time.Millisecond
 )
 
-// Operator changes and reads the configuration at one entry VM.
+// Operator is a client of the API for operators at one entry VM.
 type Operator struct {
 	client *fasthttp.Client
 	entry  string
 	key    string
 }
 
-// NewOperator is an operator with a bearer key, at an entry VM's IP:port.
+// NewOperator returns a client with a bearer key for the entry VM at an IP:port.
 func NewOperator(entry, key string) *Operator {
 	return &Operator{client: &fasthttp.Client{MaxIdemponentCallAttempts: 1}, entry: entry, key: key}
 }
 
-// KeyHash is the form in which keys are kept.
+// KeyHash returns the hash of a bearer key as contracts contain it.
 func KeyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// item is one piece of the configuration.
+// item is an item of the configuration.
 type item struct {
 	kind config.Kind
 	name string
 	body any
 }
 
-// items lists the whole configuration of a shape, in an order in which each
-// refers only to what came before.
+// items returns the configuration of a shape, ordered so that items only refer to
+// earlier ones.
 func items(s *shape.Shape) []item {
 	var all []item
 	for _, p := range s.Pools {
@@ -78,7 +78,7 @@
 	return all
 }
 
-// Apply creates every item of the shape and gives the last revision.
+// Apply creates every item of the shape and returns the latest revision.
 func (o *Operator) Apply(ctx context.Context, s *shape.Shape) (config.Revision, error) {
 	var last config.Revision
 	for _, i := range items(s) {
@@ -91,17 +91,17 @@
 	return last, nil
 }
 
-// putAnswer answers an accepted change.
-type putAnswer struct {
+// putResponse is the response to an accepted change.
+type putResponse struct {
 	Revision config.Revision `json:"revision"`
 }
 
-// create puts a new item. It asks again under the same change id while the
-// entry VM says that it can't now.
+// create creates an item. It retries with the same change ID while the entry VM
+// is unreachable or answers 503.
 func (o *Operator) create(ctx context.Context, i item) (config.Revision, error) {
 	changeID := uuid.NewString()
 	path := adminPath + string(i.kind) + "s/" + i.name
-	var answer putAnswer
+	var answer putResponse
 	err := poll(ctx, func() (bool, error) {
 		status, err := o.do(http.MethodPut, path, changeID, i.body, &answer)
 		again := status == http.StatusServiceUnavailable || status == 0
@@ -110,22 +110,23 @@
 	return answer.Revision, err
 }
 
-// inForce answers GET /v1/admin/in_force.
-type inForce struct {
-	VMs []vmInForce `json:"vms"`
+// inForceResponse is the response to GET /v1/admin/in_force.
+type inForceResponse struct {
+	VMs []vmRevision `json:"vms"`
 }
 
-type vmInForce struct {
+type vmRevision struct {
 	Incarnation   string          `json:"incarnation"`
 	CallerAddress string          `json:"caller_address"`
 	Zone          string          `json:"zone"`
 	Revision      config.Revision `json:"revision"`
 }
 
-// WaitInForce waits until so many entry VMs have a revision in force.
+// WaitInForce waits until a revision or a later one is in force at the given
+// number of entry VMs.
 func (o *Operator) WaitInForce(ctx context.Context, revision config.Revision, entries int) error {
 	return poll(ctx, func() (bool, error) {
-		var answer inForce
+		var answer inForceResponse
 		if _, err := o.do(http.MethodGet, inForcePath, "", nil, &answer); err != nil {
 			return true, err
 		}
@@ -142,7 +143,7 @@
 	})
 }
 
-// WaitOK waits until an address answers GET on a path with 200.
+// WaitOK waits until GET of a path at an address returns 200.
 func WaitOK(ctx context.Context, address, path string) error {
 	o := NewOperator(address, "")
 	return poll(ctx, func() (bool, error) {
@@ -151,17 +152,17 @@
 	})
 }
 
-// WaitReady waits until an entry VM says that it is ready for callers.
+// WaitReady waits until an entry VM reports that it is ready for requests.
 func WaitReady(ctx context.Context, address string) error {
 	return WaitOK(ctx, address, readyPath)
 }
 
-// WaitHealthy waits until an entry VM answers at all.
+// WaitHealthy waits until an entry VM passes its health check, ready or not.
 func WaitHealthy(ctx context.Context, address string) error {
 	return WaitOK(ctx, address, healthPath)
 }
 
-// do makes one call. The status is 0 when there was no answer.
+// do sends one request. The status is 0 if there was no response.
 func (o *Operator) do(method, path, changeID string, body, into any) (int, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -195,10 +196,10 @@
 	return status, json.Unmarshal(resp.Body(), into)
 }
 
-// poll calls try until it says not to come again, or ctx ends; then the last
-// error of try is told too.
+// poll calls try until it returns again == false or ctx is done. In the latter case
+// the error wraps the last error of try as well.
 func poll(ctx context.Context, try func() (again bool, err error)) error {
-	ticker := time.NewTicker(pollPeriod)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		again, err := try()
--- a/internal/load/shape/fleet.go
+++ b/internal/load/shape/fleet.go
@@ -10,7 +10,8 @@
 	"github.com/vanillagate/vanillagate/internal/config"
 )
 
-// Fleet is the stand-ins' fleet file.
+// Fleet is the content of the fleet file, which configures the stand-in processes
+// for the platform and the targets.
 type Fleet struct {
 	Seed           uint64       `json:"seed"`
 	Table          string       `json:"table"`
@@ -23,7 +24,7 @@
 	Pools          []FleetPool  `json:"pools"`
 }
 
-// FleetEntry is an entry VM in the VM list.
+// FleetEntry is the row of an entry VM in the VM list.
 type FleetEntry struct {
 	Address     string `json:"address"`
 	PeerAddress string `json:"peer_address"`
@@ -31,7 +32,7 @@
 	Region      string `json:"region"`
 }
 
-// FleetPool is a pool of targets at successive ports.
+// FleetPool is a pool of targets at consecutive ports.
 type FleetPool struct {
 	Pool          string            `json:"pool"`
 	Kind          config.TargetKind `json:"kind"`
@@ -48,11 +49,11 @@
 
 const loopback = "127.0.0.1"
 
-// platformPorts is how many ports the table, object store, VM list and control
-// listener take.
+// platformPorts is the number of ports for the table, object store, VM list and
+// control listener.
 const platformPorts = 4
 
-// PortCount is how many successive ports a fleet of this shape needs.
+// PortCount returns the number of consecutive ports that a fleet of this shape needs.
 func (s *Shape) PortCount() int {
 	count := platformPorts + 2*s.Entries
 	for _, p := range s.Pools {
@@ -61,82 +62,82 @@
 	return count
 }
 
-// BuildFleet lays the shape out on successive ports of the loopback address.
+// BuildFleet assigns consecutive ports of the loopback address to the shape.
 func (s *Shape) BuildFleet(firstPort int, seed uint64) Fleet {
-	next := firstPort
-	take := func(count int) string {
-		address := net.JoinHostPort(loopback, strconv.Itoa(next))
-		next += count
+	nextPort := firstPort
+	reserve := func(count int) string {
+		address := net.JoinHostPort(loopback, strconv.Itoa(nextPort))
+		nextPort += count
 		return address
 	}
 	f := Fleet{
-		Seed: seed, Table: take(1), Objects: take(1), VMList: take(1), Control: take(1),
+		Seed: seed, Table: reserve(1), Objects: reserve(1), VMList: reserve(1), Control: reserve(1),
 		VMListLagMS: s.VMListLagMS, StoreLatencyMS: s.StoreLatencyMS,
 	}
 	for i := range s.Entries {
 		f.Entries = append(f.Entries, FleetEntry{
-			Address: take(1), PeerAddress: take(1), Zone: s.Zone(i), Region: s.Region,
+			Address: reserve(1), PeerAddress: reserve(1), Zone: s.Zone(i), Region: s.Region,
 		})
 	}
 	for _, p := range s.Pools {
 		f.Pools = append(f.Pools, FleetPool{
 			Pool: p.Name, Kind: p.Kind, Model: p.Model, Version: p.Version,
-			FirstAddress: take(p.Count), Count: p.Count, Zones: s.Zones, Region: s.Region,
+			FirstAddress: reserve(p.Count), Count: p.Count, Zones: s.Zones, Region: s.Region,
 			ChecksFencing: p.ChecksFencing, Engine: p.Engine, Service: p.Service,
 		})
 	}
 	return f
 }
 
-// TargetAddresses lists the addresses of a pool's targets by place.
+// TargetAddresses returns the addresses of a pool's targets in order of their index.
 func (f Fleet) TargetAddresses(pool string) []string {
-	var all []string
+	var addresses []string
 	for _, p := range f.Pools {
 		if p.Pool != pool {
 			continue
 		}
-		for place := range p.Count {
-			all = append(all, p.Address(place))
+		for index := range p.Count {
+			addresses = append(addresses, p.Address(index))
 		}
 	}
-	return all
+	return addresses
 }
 
-// Address is that of the target at a place.
-func (p FleetPool) Address(place int) string {
+// Address returns the address of the target with the given index.
+func (p FleetPool) Address(index int) string {
 	host, port, err := net.SplitHostPort(p.FirstAddress)
 	if err != nil {
-		panic(err) // Fleet wrote it
+		panic(err) // BuildFleet wrote a valid address
 	}
 	first, err := strconv.Atoi(port)
 	if err != nil {
-		panic(err) // Fleet wrote it
+		panic(err) // BuildFleet wrote a valid address
 	}
-	return net.JoinHostPort(host, strconv.Itoa(first+place))
+	return net.JoinHostPort(host, strconv.Itoa(first+index))
 }
 
-// Zone is that of the target at a place.
-func (p FleetPool) Zone(place int) string { return p.Zones[place%len(p.Zones)] }
+// Zone returns the availability zone of the target with the given index.
+func (p FleetPool) Zone(index int) string { return p.Zones[index%len(p.Zones)] }
 
-// Bounds of the ports that FindFreePorts looks at. They lie below the range from
-// which Linux takes the near ends of outgoing connections: a port of that range
-// may be taken while an entry VM is being replaced, which then can't listen.
+// Bounds of the ports that FindFreePorts tries. They are below the range of
+// ephemeral ports on Linux: an outgoing connection could take a port of that range
+// while an entry VM is being replaced, and the new one couldn't listen.
 const (
-	lowestPort  = 12000
-	highestPort = 32000
-	portTries   = 200
+	minPort      = 12000
+	maxPort      = 32000
+	maxPortTries = 200
 )
 
-// FindFreePorts finds successive ports on which nothing listens, and gives the
+// FindFreePorts finds consecutive ports on which nothing listens and returns the
 // first.
 func FindFreePorts(count int) (int, error) {
-	for range portTries {
-		first := lowestPort + rand.IntN(highestPort-lowestPort-count)
+	for range maxPortTries {
+		first := minPort + rand.IntN(maxPort-minPort-count)
 		if allFree(first, count) {
 			return first, nil
 		}
 	}
-	return 0, fmt.Errorf("shape: found no %d successive free ports", count)
+	return 0, fmt.Errorf("shape: found no %d consecutive free ports", count)
 }
 
 func allFree(first, count int) bool {
--- a/internal/load/shape/shape.go
+++ b/internal/load/shape/shape.go
@@ -1,7 +1,7 @@
-// Package shape describes a deployment: its availability zones, entry VMs,
-// pools, what operators agreed with its customers, and what its customers ask
-// for. It is read from a checked-in file, from which the stand-ins' fleet file
-// and the entry VMs' configuration follow.
+// Package shape describes a deployment for load tests: its availability zones,
+// entry VMs and pools, the contracts of its customers, and the mix of their
+// calls. It is read from a checked-in file. The fleet file for the stand-in
+// processes and the configuration of the entry VMs are derived from it.
 package shape
 
 import (
@@ -14,20 +14,21 @@
 	"github.com/vanillagate/vanillagate/internal/config"
 )
 
-// Shape is a deployment.
+// Shape describes a deployment and its load.
 type Shape struct {
 	Name  string `json:"name"`
 	About string `json:"about"`
-	// Zones are the availability zones; entry VMs and targets take turns.
+	// Zones are the availability zones; entry VMs and targets are assigned to them
+	// round-robin.
 	Zones   []string `json:"zones"`
 	Region  string   `json:"region"`
 	Entries int      `json:"entries"`
-	// VMListLagMS is how old the served VM list is.
+	// VMListLagMS is how far the VM list lags behind, in milliseconds.
 	VMListLagMS int `json:"vm_list_lag_ms"`
-	// StoreLatencyMS is what a call of the table or object store takes.
+	// StoreLatencyMS is the latency of calls to the table and object store.
 	StoreLatencyMS int `json:"store_latency_ms"`
-	// CapacityPerSecond is how many requests of Mix the pools can serve, as
-	// measured. Loads are given as a share of it.
+	// CapacityPerSecond is the measured number of requests of Mix that the pools
+	// can serve. Loads are specified as a share of it.
 	CapacityPerSecond float64           `json:"capacity_per_second"`
 	Pools             []Pool            `json:"pools"`
 	Pipelines         []config.Pipeline `json:"pipelines"`
@@ -36,26 +37,27 @@
 	Mix               Mix               `json:"mix"`
 }
 
-// Pool is a pool of targets.
+// Pool is the configuration of a pool and its number of targets.
 type Pool struct {
 	config.Pool
 	Count int `json:"count"`
-	// Engine and Service are cost parameters, passed to the stand-ins as they
-	// are.
+	// Engine and Service are cost parameters, passed to the stand-ins
+	// unchanged.
 	Engine  json.RawMessage `json:"engine,omitempty"`
 	Service json.RawMessage `json:"service,omitempty"`
 }
 
-// Customer is one customer and its part of the load.
+// Customer is a customer and its share of the load.
 type Customer struct {
-	// Key is the customer's bearer key. It is a secret of a test bench only.
+	// Key is the customer's bearer key. It is only used in load tests.
 	Key string `json:"key"`
-	// Share is the customer's part of the load; the shares are weights.
+	// Share is the customer's weight in the load; shares needn't add up to 1.
 	Share    float64         `json:"share"`
 	Contract config.Contract `json:"contract"`
 }
 
-// Mix says which calls the customers make, as weights, and what they look like.
+// Mix specifies the types of calls that customers make, as weights, and their
+// parameters.
 type Mix struct {
 	Pipeline string `json:"pipeline"`
 	// JSON and Stream weigh pipeline calls by how they are answered.
@@ -68,22 +70,23 @@
 	ReadPath    string  `json:"read_path"`
 	Confirm     float64 `json:"confirm"`
 	ConfirmPath string  `json:"confirm_path"`
-	// The tokens of an answer are drawn between these, both included.
+	// The number of tokens of an answer is random between MinTokens and MaxTokens,
+	// both inclusive.
 	MinTokens int `json:"least_tokens"`
 	MaxTokens int `json:"most_tokens"`
-	// Prefixes is how many long starts the inputs of one customer share; zero
-	// means that no two inputs start alike.
+	// Prefixes is the number of long prefixes that the inputs of one customer
+	// share; zero means that no two inputs share a prefix.
 	Prefixes int `json:"prefixes"`
-	// InputWords is the length of an input.
+	// InputWords is the length of an input in words.
 	InputWords int `json:"input_words"`
-	// TimeoutMS is a caller's time for a pipeline, ServiceTimeoutMS for a
-	// plain service.
+	// TimeoutMS is the timeout of pipeline calls, ServiceTimeoutMS that of calls of
+	// the plain service.
 	TimeoutMS        int `json:"timeout_ms"`
 	ServiceTimeoutMS int `json:"service_timeout_ms"`
 }
 
-// Read reads and checks a shape file. Unknown fields are errors, so that a
-// misspelt one is not taken for its default.
+// Read reads and validates a shape file. Unknown fields are errors, so that a
+// misspelled field doesn't silently get its default.
 func Read(path string) (*Shape, error) {
 	var s Shape
 	if err := DecodeFile(path, &s); err != nil {
@@ -95,61 +98,61 @@
 	return &s, nil
 }
 
-// DecodeFile reads a JSON file without unknown fields.
-func DecodeFile(path string, into any) error {
+// DecodeFile decodes a JSON file; unknown fields are errors.
+func DecodeFile(path string, target any) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(target); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return nil
 }
 
 func (s *Shape) check() error {
-	var wrong []error
-	need := func(good bool, text string) {
+	var errs []error
+	require := func(good bool, text string) {
 		if !good {
-			wrong = append(wrong, errors.New(text))
+			errs = append(errs, errors.New(text))
 		}
 	}
-	need(s.Name != "", "name is empty")
-	need(len(s.Zones) > 0, "zones is empty")
-	need(s.Entries > 0, "entries must be above 0")
-	need(s.CapacityPerSecond > 0, "capacity_per_second must be above 0")
-	need(len(s.Customers) > 0, "customers is empty")
+	require(s.Name != "", "name is empty")
+	require(len(s.Zones) > 0, "zones is empty")
+	require(s.Entries > 0, "entries must be above 0")
+	require(s.CapacityPerSecond > 0, "capacity_per_second must be above 0")
+	require(len(s.Customers) > 0, "customers is empty")
 	for _, p := range s.Pools {
-		need(p.Name != "" && p.Count > 0, "a pool needs a name and a count above 0")
+		require(p.Name != "" && p.Count > 0, "a pool needs a name and a count above 0")
 	}
 	for _, c := range s.Customers {
-		need(c.Key != "" && c.Contract.Customer != "", "a customer needs a key and a contract with its name")
+		require(c.Key != "" && c.Contract.Customer != "", "a customer needs a key and a contract with its name")
 	}
-	wrong = append(wrong, s.Mix.Check())
-	return errors.Join(wrong...)
+	errs = append(errs, s.Mix.Check())
+	return errors.Join(errs...)
 }
 
-// Check tells what is wrong with a mix.
+// Check returns the validation errors of a mix.
 func (m Mix) Check() error {
-	var wrong []error
+	var errs []error
 	if m.JSON+m.Stream+m.Read+m.Confirm <= 0 {
-		wrong = append(wrong, errors.New("mix: the weights add up to nothing"))
+		errs = append(errs, errors.New("mix: the sum of the weights must be above 0"))
 	}
 	if m.JSON+m.Stream > 0 && (m.Pipeline == "" || m.TimeoutMS <= 0) {
-		wrong = append(wrong, errors.New("mix: pipeline calls need pipeline and timeout_ms"))
+		errs = append(errs, errors.New("mix: pipeline calls need pipeline and timeout_ms"))
 	}
 	if m.Read+m.Confirm > 0 && (m.Service == "" || m.ServiceTimeoutMS <= 0) {
-		wrong = append(wrong, errors.New("mix: service calls need service and service_timeout_ms"))
+		errs = append(errs, errors.New("mix: service calls need service and service_timeout_ms"))
 	}
 	if m.MinTokens < 1 || m.MaxTokens < m.MinTokens {
-		wrong = append(wrong, errors.New("mix: least_tokens must be 1 or more and most_tokens no less"))
+		errs = append(errs, errors.New("mix: least_tokens must be at least 1 and most_tokens at least least_tokens"))
 	}
-	return errors.Join(wrong...)
+	return errors.Join(errs...)
 }
 
-// Pool finds a pool by name.
+// Pool looks up a pool by name.
 func (s *Shape) Pool(name string) (Pool, bool) {
 	for _, p := range s.Pools {
 		if p.Name == name {
@@ -159,5 +162,6 @@
 	return Pool{}, false
 }
 
-// Zone is the availability zone of the entry VM or target at a place.
-func (s *Shape) Zone(place int) string { return s.Zones[place%len(s.Zones)] }
+// Zone returns the availability zone of the entry VM or target with the
+// given index.
+func (s *Shape) Zone(index int) string { return s.Zones[index%len(s.Zones)] }
--- a/internal/load/shape/shape_test.go
+++ b/internal/load/shape/shape_test.go
@@ -11,7 +11,7 @@
 
 const checkedIn = "../../../experiments/shapes"
 
-func TestCheckedInShapes(t *testing.T) {
+func TestCheckedInShapesAreValid(t *testing.T) {
 	for _, name := range []string{"wierzbicki", "granite"} {
 		s, err := Read(filepath.Join(checkedIn, name+".json"))
 		assert.NilError(t, err)
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestFleetGivesEachItsOwnAddress(t *testing.T) {
+func TestFleetAddressesAreUnique(t *testing.T) {
 	s, err := Read(filepath.Join(checkedIn, "granite.json"))
 	assert.NilError(t, err)
 	fleet := s.BuildFleet(20000, 7)
@@ -42,10 +42,10 @@
 	assert.Equal(t, fleet.Entries[1].Zone, "boston-b")
 }
 
-func TestFreePorts(t *testing.T) {
+func TestFindFreePorts(t *testing.T) {
 	first, err := FindFreePorts(50)
 	assert.NilError(t, err)
-	assert.Assert(t, first >= lowestPort && first+50 <= highestPort)
+	assert.Assert(t, first >= minPort && first+50 <= maxPort)
 	assert.Assert(t, allFree(first, 50))
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -53,7 +53,7 @@
 	assert.Assert(t, !allFree(taken.Addr().(*net.TCPAddr).Port, 1))
 }
 
-func TestMistakesAreNamed(t *testing.T) {
+func TestReadReportsAllErrors(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "s.json")
 	assert.NilError(t, os.WriteFile(file, []byte(`{"name":"x","mix":{"json":1}}`), 0o600))
 	_, err := Read(file)
