--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -60,14 +60,14 @@
 func (f *File) Reread() {
 	raw, err := os.ReadFile(f.Path)
 	if err != nil {
-		f.Log.Warn("Failed to read the settings file; keeping the previous settings.", zap.Error(err))
+		f.Log.Warn("Settings can't be read; the old ones stay.", zap.Error(err))
 		return
 	}
 	if bytes.Equal(raw, f.Applied) {
 		return
 	}
 	if err := f.Apply(raw); err != nil {
-		f.Log.Warn("Invalid settings file; keeping the previous settings.", zap.Error(err))
+		f.Log.Warn("Settings can't be used; the old ones stay.", zap.Error(err))
 		return
 	}
 	f.Applied = raw
