--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -273,8 +273,8 @@
 	l := NewConcurrencyLimiter(false)
 	l.adaptive.limit = 1
 	l.completionInterval = time.Second
-	pass, refusal := l.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(time.Hour)})
-	assert.Assert(t, pass != nil && refusal == nil)
+	permit, refusal := l.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(time.Hour)})
+	assert.Assert(t, permit != nil && refusal == nil)
 	start := time.Now()
 	_, refusal = l.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(500 * time.Millisecond)})
 	assert.Assert(t, refusal != nil)
@@ -289,7 +289,7 @@
 	l := NewConcurrencyLimiter(false)
 	l.adaptive.limit, l.adaptive.Min = 1, 1
 	l.completionInterval = 10 * time.Millisecond
-	pass, _ := l.Acquire(context.Background(), AcquireRequest{Customer: "burst", Weight: 30, Deadline: time.Now().Add(time.Hour)})
+	permit, _ := l.Acquire(context.Background(), AcquireRequest{Customer: "burst", Weight: 30, Deadline: time.Now().Add(time.Hour)})
 	for range 100 {
 		l.queue.push(&waiter{customer: "burst", weight: 30, deadline: time.Now().Add(time.Hour), result: make(chan bool, 1)})
 	}
@@ -297,7 +297,7 @@
 	assert.Assert(t, l.refuseIfLate(calm, time.Now()) == nil)
 	burst := AcquireRequest{Customer: "burst", Weight: 30, Deadline: time.Now().Add(200 * time.Millisecond)}
 	assert.Assert(t, l.refuseIfLate(burst, time.Now()) != nil)
-	pass.Release(false)
+	permit.Release(false)
 }
 
 // Requests that waited in the queue have little time left when they are
@@ -354,15 +354,15 @@
 	first, _ := l.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(time.Hour)})
 	got := make(chan *Permit)
 	go func() {
-		pass, _ := l.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(time.Hour)})
-		got <- pass
+		permit, _ := l.Acquire(context.Background(), AcquireRequest{Customer: "a", Deadline: time.Now().Add(time.Hour)})
+		got <- permit
 	}()
 	for l.Stats().Waiting == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	first.Release(false)
-	pass := <-got
-	assert.Assert(t, pass != nil)
-	pass.Release(false)
+	permit := <-got
+	assert.Assert(t, permit != nil)
+	permit.Release(false)
 	assert.Equal(t, l.Stats().InService, 0)
 }
--- a/internal/limit/simulation_test.go
+++ b/internal/limit/simulation_test.go
@@ -70,14 +70,14 @@
 }
 
 var simCases = []simCase{
-	{"callers spread evenly", sameAtEachVM, noEvent, 0.05, 0.05},
-	{"all callers at one VM", allCallersAt(0), noEvent, 0.05, 0.1},
+	{"callers even", sameAtEachVM, noEvent, 0.05, 0.05},
+	{"one VM gets all", allCallersAt(0), noEvent, 0.05, 0.1},
 	{"a VM joins", sameAtEachVM, joins, 0.05, 0.05},
 	{"a VM leaves", sameAtEachVM, leaves, 0.05, 0.05},
 	{"a VM is killed", sameAtEachVM, killed, 0.05, 0.15},
-	{"the VM with all callers is killed, they go to the first", allCallersAt(simVMs - 1), killed, 0.05, 0.5},
+	{"the VM with all is killed, its callers go to the first", allCallersAt(simVMs - 1), killed, 0.05, 0.5},
 	{"a VM is cut off", sameAtEachVM, cutOff, 0.05, 0.05},
-	{"the VM with all callers is cut off", allCallersAt(simVMs - 1), cutOff, 0.15, 0.95},
+	{"the VM with all is cut off", allCallersAt(simVMs - 1), cutOff, 0.15, 0.95},
 }
 
 type simulation struct {
