--- a/internal/backing/clients_test.go
+++ b/internal/backing/clients_test.go
@@ -53,11 +53,11 @@
 	})
 }
 
-func setFault(t *testing.T, f *fleet.Fleet, scope string, what fault.Fault) {
+func setFault(t *testing.T, f *fleet.Fleet, scope string, injected fault.Fault) {
 	body, err := json.Marshal(struct {
 		Scope string      `json:"scope"`
 		Fault fault.Fault `json:"fault"`
-	}{scope, what})
+	}{scope, injected})
 	assert.NilError(t, err)
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPut, "http://"+f.Control+"/faults", bytes.NewReader(body))
 	assert.NilError(t, err)
--- a/internal/inforce/inforce.go
+++ b/internal/inforce/inforce.go
@@ -79,10 +79,10 @@
 	// tableUp is set while the last read of the table succeeded.
 	tableUp atomic.Bool
 
-	mu            sync.Mutex // held while a newer state is installed; no other lock is taken under it
+	mu            sync.Mutex // held while a newer state is installed and the onChange functions run
 	onChange      []func(*config.State)
 	wake          chan struct{}
-	savedRevision config.Revision // last known revision of the snapshot; only the snapshot loop uses it
+	savedRevision config.Revision // last known revision of the snapshot; set by Run at its start, then by RunSnapshots
 }
 
 // New returns a Keeper at revision 0. Call it before the network starts.
@@ -277,11 +277,11 @@
 }
 
 func (k *Keeper) recordTableResult(err error) {
-	was := k.tableUp.Swap(err == nil)
-	if err != nil && was {
+	wasUp := k.tableUp.Swap(err == nil)
+	if err != nil && wasUp {
 		k.opts.Log.Warn("Failed to read the table service.", zap.Error(err))
 	}
-	if err == nil && !was {
+	if err == nil && !wasUp {
 		k.opts.Log.Info("Table service is reachable.")
 	}
 }
