--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -45,7 +45,8 @@
 	// LinkCounts configures the number of links; the zero value means member.DefaultLinkCounts.
 	LinkCounts member.LinkCounts
 	// PacedBytesPerSecond is the rate in bytes per second at which a process may receive the paced
-	// topics of all processes together; 0 for DefaultPace. See pacing.go.
+	// topics of all processes together; 0 for DefaultPacedBytesPerSecond. See
+	// pacing.go.
 	PacedBytesPerSecond float64
 }
 
